--- a/crates/fleet/src/admission_desk.rs
+++ b/crates/fleet/src/admission_check.rs
@@ -12,11 +12,11 @@
 use crate::{
     LogEvent,
     fleet_log::whole_millis,
-    fleet_shared::FleetShared, //
+    shared_state::SharedState, //
 };
 
 /// How long the owner may take to answer; without an answer the job is admitted.
-const DECIDED_WITHIN: Duration = Duration::from_millis(350);
+const OWNER_DECISION_TIMEOUT: Duration = Duration::from_millis(350);
 
 /// The admission decision on a long-running job; CPU amounts in thousandths of a core.
 #[derive(Serialize)]
@@ -33,8 +33,8 @@
 
 /// Returns the time after which the caller should retry if there is no free capacity for its job, `None` if the job is
 /// admitted.
-pub(crate) async fn refusal(
-    shared: &FleetShared,
+pub(crate) async fn check_admission(
+    shared: &SharedState,
     key: JobKey,
     queue: &str,
     graph: &JobGraph,
@@ -43,11 +43,11 @@
         return None;
     }
     let admission = match shared.owner_address() {
-        None => decide_here(shared, key, queue, graph),
+        None => decide_as_owner(shared, key, queue, graph),
         Some(owner) => {
             shared
                 .peers
-                .admit(&owner, key, queue, graph, DECIDED_WITHIN)
+                .admit(&owner, key, queue, graph, OWNER_DECISION_TIMEOUT)
                 .await
         }
     };
@@ -58,18 +58,18 @@
 }
 
 /// Decides on a job as the owner. Returns `None` if another daemon is the owner or may have become it.
-pub(crate) fn decide_here(
-    shared: &FleetShared,
+pub(crate) fn decide_as_owner(
+    shared: &SharedState,
     key: JobKey,
     queue: &str,
     graph: &JobGraph,
 ) -> Option<Admission> {
-    let seat = shared.knowing_seat()?;
-    if !shared.may_order(&seat) {
+    let term = shared.loaded_term()?;
+    if !shared.may_order(&term) {
         return None;
     }
     let now = shared.now();
-    let admission = seat.dispatcher.borrow_mut().admit(key, queue, graph, now);
+    let admission = term.dispatcher.borrow_mut().admit(key, queue, graph, now);
     let (granted, shortage) = match admission {
         Admission::Granted => (true, None),
         Admission::Refused(shortage) => (false, Some(shortage)),
@@ -84,7 +84,7 @@
             room: shortage.map_or(0, |shortage| shortage.room),
             short_need: shortage.map_or(0, |shortage| shortage.short_need),
             back_ms: shortage.map_or(0, |shortage| whole_millis(shortage.back)),
-            owner_token: seat.token(),
+            owner_token: term.token(),
         },
     );
     Some(admission)
--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -47,31 +47,31 @@
     PeerClient,
     RowCommit,
     Succession,
-    fleet_log::FLUSH_EVERY,
-    fleet_shared::{
-        FleetShared,
-        OWNER_KEY,
-        OperatorView,
-        SHARD_PART, //
-    },
+    fleet_log::FLUSH_INTERVAL,
     http_server::serve,
     member_watch::{
-        follow_members,
-        guard_succession, //
+        run_succession, //
+        watch_members,
+    },
+    monitored_store::MonitoredStore,
+    operator_watch::watch_operator,
+    peer_api::PeerApi,
+    shared_state::{
+        OWNER_KEY,
+        OperatorState,
+        SHARD_PART, //
+        SharedState,
     },
-    operator_watch::follow_operator,
-    peer_desk::PeerDesk,
-    store_link::StoreLink,
     store_probe::probe_store, //
 };
 
 /// How long the load balancer may send new connections after the readiness check begins to fail: two checks, a second
 /// apart, and the network delay.
-const BALANCER_LAG: Duration = Duration::from_millis(2200);
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(2200);
 /// The part of the time to stop that is reserved for delivering the last answers.
-const LAST_ANSWERS: Duration = Duration::from_millis(700);
+const LAST_ANSWERS_RESERVE: Duration = Duration::from_millis(700);
 /// The interval between checks whether all connections are closed.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The ports by which a daemon reaches the platform.
 pub struct FleetEdges {
@@ -93,7 +93,7 @@
 
 /// A daemon that accepts jobs and, while it is the owner, dispatches them.
 pub struct FleetDaemon {
-    shared: Rc<FleetShared>,
+    shared: Rc<SharedState>,
     desk: Rc<CallerDesk>,
     connections: ConnectionCount,
     stop: watch::Receiver<bool>,
@@ -116,8 +116,8 @@
     pub fn new(settings: FleetSettings, edges: FleetEdges, stop: watch::Receiver<bool>) -> Self {
         let incarnation = incarnation(&*edges.clock);
         let succession = Succession::new(&settings.node);
-        let store = StoreLink::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
-        let shared = Rc::new(FleetShared {
+        let store = MonitoredStore::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
+        let shared = Rc::new(SharedState {
             settings,
             incarnation,
             clock: edges.clock,
@@ -128,12 +128,12 @@
             peers: PeerClient::new(edges.pool),
             peer_order: RefCell::default(),
             log: edges.log,
-            operator: RefCell::new(OperatorView::default()),
+            operator: RefCell::new(OperatorState::default()),
             succession: RefCell::new(succession),
             members: RefCell::new(IndexMap::new()),
             owner_version: Cell::new(0),
             highest_token: Cell::new(0),
-            seat: RefCell::new(None),
+            term: RefCell::new(None),
             stop: stop.clone(),
         });
         Self {
@@ -162,12 +162,12 @@
     {
         let shared = &self.shared;
         let settings = &shared.settings;
-        self.tell("started");
+        self.log_change("started");
         let finish = self.finish.subscribe();
         let uncounted = ConnectionCount::default();
-        let peers = Rc::new(PeerDesk::new(Rc::clone(shared), self.desk()));
+        let peers = Rc::new(PeerApi::new(Rc::clone(shared), self.desk()));
         serve(settings.peers, peers, finish.clone(), uncounted.clone()).await?;
-        let ready = Rc::new(ReadyDesk {
+        let ready = Rc::new(ReadinessCheck {
             shared: Rc::clone(shared),
         });
         serve(settings.ready, ready, finish.clone(), uncounted.clone()).await?;
@@ -176,39 +176,44 @@
         let log = shared.log.clone();
         task::spawn_local(async move {
             loop {
-                time::sleep(FLUSH_EVERY).await;
+                time::sleep(FLUSH_INTERVAL).await;
                 log.flush();
             }
         });
-        task::spawn_local(follow_operator(Rc::clone(shared)));
-        task::spawn_local(follow_members(Rc::clone(shared)));
-        task::spawn_local(guard_succession(Rc::clone(shared)));
+        task::spawn_local(watch_operator(Rc::clone(shared)));
+        task::spawn_local(watch_members(Rc::clone(shared)));
+        task::spawn_local(run_succession(Rc::clone(shared)));
         task::spawn_local(probe_store(Rc::clone(shared)));
         let mut stop = self.stop.clone();
-        crate::http_server::stopped(&mut stop).await;
-        self.wind_down().await;
+        crate::http_server::until_stopped(&mut stop).await;
+        self.shut_down().await;
         Ok(())
     }
 
-    /// Gives up the ownership, waits until the load balancer sends no more connections, and closes each connection after
-    /// its current request.
-    async fn wind_down(&self) {
-        self.tell("stopping");
-        let begun = self.shared.now();
-        resign(&self.shared).await;
-        let spent = self.shared.now().saturating_sub(begun);
-        time::sleep(BALANCER_LAG.saturating_sub(spent)).await;
+    /// Gives up the ownership, waits until the load balancer sends no more connections, and closes each connection
+    /// after its current request.
+    async fn shut_down(&self) {
+        self.log_change("stopping");
+        let started_at = self.shared.now();
+        release_ownership(&self.shared).await;
+        let spent = self.shared.now().saturating_sub(started_at);
+        time::sleep(LOAD_BALANCER_DELAY.saturating_sub(spent)).await;
         self.finish.send_replace(true);
-        let longest = self.shared.settings.grace.saturating_sub(LAST_ANSWERS);
-        while self.connections.open() > 0 && self.shared.now().saturating_sub(begun) < longest {
-            time::sleep(LOOK_EVERY).await;
+        let longest = self
+            .shared
+            .settings
+            .grace
+            .saturating_sub(LAST_ANSWERS_RESERVE);
+        while self.connections.open() > 0 && self.shared.now().saturating_sub(started_at) < longest
+        {
+            time::sleep(CONNECTION_CHECK_INTERVAL).await;
         }
-        self.tell("stopped");
+        self.log_change("stopped");
         self.shared.log.flush();
-        time::sleep(LOOK_EVERY).await;
+        time::sleep(CONNECTION_CHECK_INTERVAL).await;
     }
 
-    fn tell(&self, change: &'static str) {
+    fn log_change(&self, change: &'static str) {
         let switches = self.shared.settings.dispatch.switches;
         self.shared.log.line(
             LogEvent::Daemon,
@@ -224,20 +229,20 @@
 }
 
 /// Marks the owner's row as vacant if this daemon is the owner, so that another daemon takes over at once.
-async fn resign(shared: &FleetShared) {
-    let Some(seat) = shared.seat() else {
+async fn release_ownership(shared: &SharedState) {
+    let Some(term) = shared.term() else {
         return;
     };
-    seat.depose();
+    term.depose();
     let record = OwnerRecord {
         vacant: true,
-        ..seat.record.clone()
+        ..term.record.clone()
     };
     let Ok(value) = postcard::to_stdvec(&record) else {
         return;
     };
     let commit = RowCommit {
-        guards: vec![seat.guard.clone()],
+        guards: vec![term.guard.clone()],
         writes: vec![FleetRow::new(
             FleetTable::Fleet,
             SHARD_PART,
@@ -247,7 +252,7 @@
     };
     // If the store does not answer, the other daemons notice by probes that this one no longer acts.
     if let Ok(CommitAnswer::Conflict(rows)) = shared.store.commit(commit).await {
-        crate::member_watch::note_owner(shared, rows.first());
+        crate::member_watch::apply_owner_row(shared, rows.first());
     }
 }
 
@@ -262,12 +267,12 @@
 }
 
 /// The readiness check for the load balancer.
-struct ReadyDesk {
-    shared: Rc<FleetShared>,
+struct ReadinessCheck {
+    shared: Rc<SharedState>,
 }
 
 #[async_trait(?Send)]
-impl HttpHandler for ReadyDesk {
+impl HttpHandler for ReadinessCheck {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
         let ready = !self.shared.is_stopping() && self.shared.configuration().is_some();
         let mut response = Response::new(Full::new(Bytes::new()));
--- a/crates/fleet/src/fleet_log.rs
+++ b/crates/fleet/src/fleet_log.rs
@@ -24,13 +24,13 @@
 use serde::Serialize;
 
 /// The most bytes that may wait to be written; further lines are counted and dropped.
-const HIGHEST_BACKLOG: usize = 256 << 10;
+const MAX_BACKLOG_BYTES: usize = 256 << 10;
 /// The most chunks that may wait for the writer thread.
-const CHUNKS: usize = 4;
+const MAX_QUEUED_CHUNKS: usize = 4;
 /// The most bytes that a pipe accepts in one atomic write (`PIPE_BUF`); POSIX guarantees 512, Linux has 4,096.
-const PIECE: usize = 4096;
+const PIPE_BUF_BYTES: usize = 4096;
 /// The interval at which buffered lines are passed to the writer thread.
-pub(crate) const FLUSH_EVERY: Duration = Duration::from_millis(250);
+pub(crate) const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Returns a duration as whole milliseconds.
 pub(crate) fn whole_millis(duration: Duration) -> u64 {
@@ -98,11 +98,11 @@
     where
         Sink: Write + Send + 'static,
     {
-        let (writer, chunks) = sync_channel::<Vec<u8>>(CHUNKS);
+        let (writer, chunks) = sync_channel::<Vec<u8>>(MAX_QUEUED_CHUNKS);
         let mut sink = sink;
         let spawned = thread::Builder::new().spawn(move || {
             while let Ok(chunk) = chunks.recv() {
-                for piece in pieces(&chunk) {
+                for piece in split_into_pieces(&chunk) {
                     // There is nowhere else to report that the sink is closed.
                     drop(sink.write_all(piece).and_then(|()| sink.flush()));
                 }
@@ -125,7 +125,7 @@
             return;
         }
         let mut backlog = self.inner.backlog.borrow_mut();
-        if backlog.len() >= HIGHEST_BACKLOG {
+        if backlog.len() >= MAX_BACKLOG_BYTES {
             self.inner.dropped.set(self.inner.dropped.get() + 1);
             metrics::counter!("jasminebend_fleet_log_lines_dropped_total").increment(1);
             return;
@@ -177,12 +177,12 @@
 
 /// Splits a chunk between lines into pieces that a pipe accepts atomically, so that lines of several writers don't
 /// interleave.
-fn pieces(chunk: &[u8]) -> Vec<&[u8]> {
+fn split_into_pieces(chunk: &[u8]) -> Vec<&[u8]> {
     let mut pieces = Vec::new();
     let mut start = 0;
     let mut end = 0;
     for line in chunk.split_inclusive(|byte| *byte == b'\n') {
-        if end > start && end + line.len() - start > PIECE {
+        if end > start && end + line.len() - start > PIPE_BUF_BYTES {
             pieces.push(&chunk[start..end]);
             start = end;
         }
--- a/crates/fleet/src/http_pool.rs
+++ b/crates/fleet/src/http_pool.rs
@@ -37,15 +37,15 @@
 };
 
 /// The connect timeout. Connecting to the farthest VM takes a fraction of it; a VM that lost power never answers.
-const CONNECT: Duration = Duration::from_millis(700);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The most idle connections that are kept to one address.
-const IDLE: usize = 6;
+const MAX_IDLE_PER_ADDRESS: usize = 6;
 /// How long a connection may stay idle: one to a VM that lost power would otherwise stay open for ever.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The interval at which idle connections that timed out are closed.
-const SWEEP_EVERY: Duration = Duration::from_secs(10);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
 /// The largest accepted answer, in bytes; a page of rows has 1 MB.
-const LARGEST_ANSWER: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -76,9 +76,9 @@
 pub struct HttpPool {
     idle: RefCell<HashMap<String, Vec<IdleConnection>>>,
     /// The most concurrent calls to one address; further calls wait. `None` means no limit.
-    most: Option<usize>,
+    limit_per_address: Option<usize>,
     /// The semaphores that enforce the limit, by address.
-    turns: RefCell<HashMap<String, Arc<Semaphore>>>,
+    permits: RefCell<HashMap<String, Arc<Semaphore>>>,
     sweep_due: Cell<Option<time::Instant>>,
 }
 
@@ -106,16 +106,16 @@
         Self::default()
     }
 
-    /// Creates a pool with at most `most` concurrent calls, and so connections, to one address.
-    pub fn with_most(most: usize) -> Self {
+    /// Creates a pool with at most `limit_per_address` concurrent calls, and so connections, to one address.
+    pub fn with_most(limit_per_address: usize) -> Self {
         Self {
-            most: Some(most),
+            limit_per_address: Some(limit_per_address),
             ..Self::default()
         }
     }
 
-    /// Sends a request once and reads the whole answer, within `timeout`. A call that waits for the limit until its timeout
-    /// is not sent.
+    /// Sends a request once and reads the whole answer, within `timeout`. A call that waits for the limit until its
+    /// timeout is not sent.
     ///
     /// # Errors
     ///
@@ -128,25 +128,25 @@
     ) -> Result<HttpReply, HttpFault> {
         self.sweep_if_due();
         let started = time::Instant::now();
-        let turn = time::timeout(timeout, self.turn(address)).await;
-        let _turn = turn.map_err(|_| HttpFault::Unsent)?;
+        let permit = time::timeout(timeout, self.acquire_permit(address)).await;
+        let _permit = permit.map_err(|_| HttpFault::Unsent)?;
         let timeout = timeout.saturating_sub(started.elapsed());
         let mut request = request;
-        while let Some(connection) = self.take(address) {
+        while let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, request, timeout).await {
                 Ok(reply) => return Ok(reply),
-                Err(Failed::NotSent(unsent)) => request = *unsent,
-                Err(Failed::Lost) => return Err(HttpFault::Unanswered),
+                Err(ExchangeError::NotSent(unsent)) => request = *unsent,
+                Err(ExchangeError::Lost) => return Err(HttpFault::Unanswered),
             }
         }
         let connecting = time::Instant::now();
-        let connection = time::timeout(timeout.min(CONNECT), connect(address)).await;
+        let connection = time::timeout(timeout.min(CONNECT_TIMEOUT), connect(address)).await;
         let connection = connection.map_err(|_| HttpFault::Unsent)??;
-        let left = timeout.saturating_sub(connecting.elapsed());
-        match self.exchange(address, connection, request, left).await {
+        let remaining = timeout.saturating_sub(connecting.elapsed());
+        match self.exchange(address, connection, request, remaining).await {
             Ok(reply) => Ok(reply),
-            Err(Failed::NotSent(_)) => Err(HttpFault::Unsent),
-            Err(Failed::Lost) => Err(HttpFault::Unanswered),
+            Err(ExchangeError::NotSent(_)) => Err(HttpFault::Unsent),
+            Err(ExchangeError::Lost) => Err(HttpFault::Unanswered),
         }
     }
 
@@ -156,18 +156,18 @@
     }
 
     /// Waits for a permit to call the address; returns `None` if the pool has no limit.
-    async fn turn(&self, address: &str) -> Option<OwnedSemaphorePermit> {
-        let turns = {
-            let mut turns = self.turns.borrow_mut();
-            let most = self.most?;
-            let entry = turns.entry(address.to_owned());
-            Arc::clone(entry.or_insert_with(|| Arc::new(Semaphore::new(most))))
+    async fn acquire_permit(&self, address: &str) -> Option<OwnedSemaphorePermit> {
+        let permits = {
+            let mut permits = self.permits.borrow_mut();
+            let limit_per_address = self.limit_per_address?;
+            let entry = permits.entry(address.to_owned());
+            Arc::clone(entry.or_insert_with(|| Arc::new(Semaphore::new(limit_per_address))))
         };
         // `acquire_owned` fails only on a closed semaphore, and these are never closed.
-        turns.acquire_owned().await.ok()
+        permits.acquire_owned().await.ok()
     }
 
-    fn take(&self, address: &str) -> Option<PooledConnection> {
+    fn take_idle(&self, address: &str) -> Option<PooledConnection> {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(address)?;
         while let Some(idle) = connections.pop() {
@@ -183,22 +183,22 @@
         if self.sweep_due.get().is_some_and(|due| now < due) {
             return;
         }
-        self.sweep_due.set(Some(now + SWEEP_EVERY));
+        self.sweep_due.set(Some(now + SWEEP_INTERVAL));
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|idle| {
                 now < idle.since + IDLE_TIMEOUT && !idle.connection.sender.is_closed()
             });
             !connections.is_empty()
         });
-        self.turns
+        self.permits
             .borrow_mut()
-            .retain(|_, turns| Arc::strong_count(turns) > 1);
+            .retain(|_, permits| Arc::strong_count(permits) > 1);
     }
 
-    fn keep(&self, address: &str, connection: PooledConnection) {
+    fn put_idle(&self, address: &str, connection: PooledConnection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(address.to_owned()).or_default();
-        if connections.len() < IDLE {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             let since = time::Instant::now();
             connections.push(IdleConnection { connection, since });
         }
@@ -210,22 +210,22 @@
         mut connection: PooledConnection,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<HttpReply, Failed> {
+    ) -> Result<HttpReply, ExchangeError> {
         match time::timeout(timeout, send(&mut connection, request)).await {
             Ok(Ok(reply)) => {
-                self.keep(address, connection);
+                self.put_idle(address, connection);
                 Ok(reply)
             }
             Ok(Err(failed)) => Err(failed),
             Err(_) => {
                 self.forget(address);
-                Err(Failed::Lost)
+                Err(ExchangeError::Lost)
             }
         }
     }
 }
 
-enum Failed {
+enum ExchangeError {
     NotSent(Box<Request<Full<Bytes>>>),
     Lost,
 }
@@ -252,24 +252,24 @@
 async fn send(
     connection: &mut PooledConnection,
     request: Request<Full<Bytes>>,
-) -> Result<HttpReply, Failed> {
+) -> Result<HttpReply, ExchangeError> {
     if let Err(_closed) = connection.sender.ready().await {
-        return Err(Failed::NotSent(Box::new(request)));
+        return Err(ExchangeError::NotSent(Box::new(request)));
     }
     let response = match connection.sender.try_send_request(request).await {
         Ok(response) => response,
         Err(mut error) => {
             return Err(match error.take_message() {
-                Some(request) => Failed::NotSent(Box::new(request)),
-                None => Failed::Lost,
+                Some(request) => ExchangeError::NotSent(Box::new(request)),
+                None => ExchangeError::Lost,
             });
         }
     };
     let status = response.status();
-    let body = Limited::new(response.into_body(), LARGEST_ANSWER)
+    let body = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
         .collect()
         .await
-        .map_err(|_| Failed::Lost)?;
+        .map_err(|_| ExchangeError::Lost)?;
     Ok(HttpReply {
         status,
         body: body.to_bytes(),
--- a/crates/fleet/src/http_server.rs
+++ b/crates/fleet/src/http_server.rs
@@ -43,13 +43,13 @@
 use tokio_io_timeout::TimeoutStream;
 
 /// The pause after a failed accept, which is most likely due to a lack of file descriptors.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// The timeout for a request's head to arrive.
-const HEAD: Duration = Duration::from_secs(10);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// The timeout for a request's whole body to arrive.
-const BODY: Duration = Duration::from_secs(10);
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// The timeout after which a connection ends whose client sends no byte of a request, or reads no byte of an answer.
-const STALL: Duration = Duration::from_secs(10);
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why reading a request's body failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -68,9 +68,9 @@
 ///
 /// Any [`BodyFault`].
 pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
-    let whole = time::timeout(BODY, Limited::new(body, limit).collect()).await;
-    match whole {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    let collected = time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
+    match collected {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(_)) => Err(BodyFault::Broken),
         Err(_) => Err(BodyFault::Late),
     }
@@ -126,10 +126,10 @@
 ) where
     Handler: HttpHandler + 'static,
 {
-    task::spawn_local(accept(listener, handler, stop, count));
+    task::spawn_local(accept_connections(listener, handler, stop, count));
 }
 
-async fn accept<Handler>(
+async fn accept_connections<Handler>(
     listener: TcpListener,
     handler: Rc<Handler>,
     stop: watch::Receiver<bool>,
@@ -140,15 +140,16 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let serving = connection(stream, Rc::clone(&handler), stop.clone(), count.clone());
+                let serving =
+                    serve_connection(stream, Rc::clone(&handler), stop.clone(), count.clone());
                 task::spawn_local(serving);
             }
-            Err(_) => time::sleep(ACCEPT_AGAIN).await,
+            Err(_) => time::sleep(ACCEPT_RETRY_PAUSE).await,
         }
     }
 }
 
-async fn connection<Handler>(
+async fn serve_connection<Handler>(
     stream: TcpStream,
     handler: Rc<Handler>,
     mut stop: watch::Receiver<bool>,
@@ -159,8 +160,8 @@
     // With Nagle's algorithm a small answer could wait for the acknowledgement of the previous one.
     drop(stream.set_nodelay(true));
     let mut stream = TimeoutStream::new(stream);
-    stream.set_read_timeout(Some(STALL));
-    stream.set_write_timeout(Some(STALL));
+    stream.set_read_timeout(Some(STALL_TIMEOUT));
+    stream.set_write_timeout(Some(STALL_TIMEOUT));
     count.open.set(count.open.get() + 1);
     let service = service_fn(|request| {
         let handler = Rc::clone(&handler);
@@ -168,12 +169,12 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     let mut serving = pin!(serving);
     tokio::select! {
         _ = serving.as_mut() => {}
-        () = stopped(&mut stop) => {
+        () = until_stopped(&mut stop) => {
             serving.as_mut().graceful_shutdown();
             // The client sees an error on its connection; there is no one else to report it to.
             drop(serving.await);
@@ -183,7 +184,7 @@
 }
 
 /// Waits until `stop` is true, for ever if the sender is dropped before.
-pub(crate) async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub(crate) async fn until_stopped(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/crates/fleet/src/owner_jobs.rs
+++ b/crates/fleet/src/job_watch.rs
@@ -17,43 +17,43 @@
     FleetTable,
     JobRecord,
     StoreError,
-    fleet_shared::{
-        CANCEL_SUFFIX,
-        FleetShared,
+    monitored_store::WatchedRows, //
+    owner_term::OwnerTerm,
+    shared_state::{
+        CANCELLATION_SUFFIX,
+        SharedState,
         WATCH_WAIT,
-        job_parts, //
+        all_job_parts, //
     },
-    owner_seat::OwnerSeat,
-    store_link::WatchedRows, //
 };
 
 /// The upper limit for the age of a job's acceptance: daemons' wall clocks differ.
-const OLDEST: Duration = Duration::from_secs(120);
+const MAX_JOB_AGE: Duration = Duration::from_secs(120);
 
 /// The point up to which the owner knows the jobs.
 #[derive(Clone, Copy)]
-pub(crate) struct KnownJobs {
+pub(crate) struct JobWatchPosition {
     /// The store's version from which to watch for changes.
     version: u64,
     /// When the call was sent that returned this version: all jobs accepted before that are known.
-    asked_at: Duration,
+    sent_at: Duration,
 }
 
-impl KnownJobs {
+impl JobWatchPosition {
     /// Returns whether a job that is not known yet may already run: a former owner that had not learned yet that it was
     /// replaced may have started it.
-    fn may_run_already(self, seat: &OwnerSeat) -> bool {
-        self.asked_at < seat.shared_until.get()
+    fn may_already_run(self, term: &OwnerTerm) -> bool {
+        self.sent_at < term.former_owner_until.get()
     }
 }
 
 /// Reads all jobs, and the version from which to watch them: the lowest of the parts' versions.
 pub(crate) async fn read_jobs(
-    shared: &Rc<FleetShared>,
-) -> Result<(Vec<FleetRow>, KnownJobs), StoreError> {
-    let asked_at = shared.now();
+    shared: &Rc<SharedState>,
+) -> Result<(Vec<FleetRow>, JobWatchPosition), StoreError> {
+    let sent_at = shared.now();
     let mut reads = JoinSet::new();
-    for part in job_parts() {
+    for part in all_job_parts() {
         let shared = Rc::clone(shared);
         reads.spawn_local(async move {
             let store = &shared.store;
@@ -68,19 +68,19 @@
         version = version.min(read_version);
     }
     // Jobs first: a job's cancellation may be in another part than the job.
-    rows.sort_by_key(|row| row.key.ends_with(CANCEL_SUFFIX));
-    Ok((rows, KnownJobs { version, asked_at }))
+    rows.sort_by_key(|row| row.key.ends_with(CANCELLATION_SUFFIX));
+    Ok((rows, JobWatchPosition { version, sent_at }))
 }
 
 /// Passes a row of the table of jobs, a job or a cancellation, to the dispatcher.
-pub(crate) fn note_job_row(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+pub(crate) fn apply_job_row(
+    shared: &SharedState,
+    term: &OwnerTerm,
     row: &FleetRow,
     inherited: bool,
 ) {
-    let mut dispatcher = seat.dispatcher.borrow_mut();
-    if let Some(name) = row.key.strip_suffix(CANCEL_SUFFIX) {
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    if let Some(name) = row.key.strip_suffix(CANCELLATION_SUFFIX) {
         if let Ok(key) = name.parse() {
             dispatcher.cancel_job(key);
         }
@@ -93,7 +93,7 @@
         return;
     };
     let accepted = Duration::from_millis(record.accepted_ms);
-    let age = shared.wall().saturating_sub(accepted).min(OLDEST);
+    let age = shared.wall().saturating_sub(accepted).min(MAX_JOB_AGE);
     dispatcher.add_job(
         key,
         AcceptedJob {
@@ -106,43 +106,47 @@
 }
 
 /// Watches the jobs until the future is dropped.
-pub(crate) async fn follow_jobs(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, known: KnownJobs) {
-    let mut known = known;
+pub(crate) async fn watch_jobs(
+    shared: Rc<SharedState>,
+    term: Rc<OwnerTerm>,
+    position: JobWatchPosition,
+) {
+    let mut position = position;
     loop {
-        let asked_at = shared.now();
+        let sent_at = shared.now();
         let store = &shared.store;
         let call = store
-            .raw()
-            .watch(FleetTable::Jobs, known.version, WATCH_WAIT);
+            .port()
+            .watch(FleetTable::Jobs, position.version, WATCH_WAIT);
         match store.watch(WatchedRows::Jobs, call).await {
             Ok(page) => {
-                let inherited = known.may_run_already(&seat);
+                let inherited = position.may_already_run(&term);
                 for row in page.items.iter().filter_map(|change| change.row.as_ref()) {
-                    note_job_row(&shared, &seat, row, inherited);
+                    apply_job_row(&shared, &term, row, inherited);
                 }
-                known = KnownJobs {
+                position = JobWatchPosition {
                     version: page.version,
-                    asked_at,
+                    sent_at,
                 };
-                seat.plan.notify_one();
+                term.plan.notify_one();
             }
-            Err(StoreError::Forgotten) => match read_jobs_again(&shared, &seat, known).await {
-                Ok(read) => known = read,
-                Err(_) => shared.store.pause().await,
+            Err(StoreError::Forgotten) => match read_jobs_again(&shared, &term, position).await {
+                Ok(read) => position = read,
+                Err(_) => shared.store.wait_to_retry().await,
             },
-            Err(_) => shared.store.pause().await,
+            Err(_) => shared.store.wait_to_retry().await,
         }
     }
 }
 
 async fn read_jobs_again(
-    shared: &Rc<FleetShared>,
-    seat: &OwnerSeat,
-    known: KnownJobs,
-) -> Result<KnownJobs, StoreError> {
+    shared: &Rc<SharedState>,
+    term: &OwnerTerm,
+    position: JobWatchPosition,
+) -> Result<JobWatchPosition, StoreError> {
     let (rows, read) = read_jobs(shared).await?;
     for row in &rows {
-        note_job_row(shared, seat, row, known.may_run_already(seat));
+        apply_job_row(shared, term, row, position.may_already_run(term));
     }
     Ok(read)
 }
--- a/crates/fleet/src/worker_work.rs
+++ b/crates/fleet/src/lease_renewal.rs
@@ -16,21 +16,21 @@
 
 use crate::{
     LogEvent,
-    fleet_shared::FleetShared,
-    owner_seat::OwnerSeat,
-    plan_work::worker_address, //
+    order_planning::worker_address, //
+    owner_term::OwnerTerm,
+    shared_state::SharedState,
 };
 
 /// The pause after the first failed call; each further failure doubles it.
-const FIRST_AGAIN: Duration = Duration::from_millis(50);
+const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause between calls, within which a worker that is back is noticed.
-const LONGEST_AGAIN: Duration = Duration::from_millis(500);
+const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(500);
 /// How long to wait for the commit of reported outcomes before the next call: without their acknowledgement the worker
 /// would answer at once with the same outcomes.
-const RECORD_WAIT: Duration = Duration::from_millis(100);
+const COMMIT_WAIT: Duration = Duration::from_millis(100);
 
 #[derive(Serialize)]
-struct EndLine<'a> {
+struct RunEndLine<'a> {
     task: String,
     run: u64,
     worker: &'a str,
@@ -47,88 +47,88 @@
 }
 
 /// Renews a worker's lease until the term is over, or the worker is retired.
-pub(crate) async fn attend_worker(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, key: WorkerKey) {
+pub(crate) async fn renew_lease(shared: Rc<SharedState>, term: Rc<OwnerTerm>, key: WorkerKey) {
     let mut failures: u32 = 0;
     loop {
-        let address = worker_address(&seat, key);
+        let address = worker_address(&term, key);
         let sent = shared.now();
-        let confirmed = shared.may_order(&seat);
-        let order = seat
+        let confirmed = shared.may_order(&term);
+        let order = term
             .dispatcher
             .borrow_mut()
             .hold_order(key, confirmed, sent);
         metrics::counter!("jasminebend_fleet_holds_total").increment(1);
         let result = shared.workers.hold(&address, order).await;
-        if seat.is_over() {
+        if term.is_over() {
             return;
         }
         match result {
             Ok(report) => {
                 if failures > 1 {
-                    log_contact(&shared, &address.id, "regained", failures);
+                    log_contact_change(&shared, &address.id, "regained", failures);
                 }
                 failures = 0;
-                log_ends(&shared, &seat, &address.id, &report.ended);
+                log_run_ends(&shared, &term, &address.id, &report.ended);
                 let now = shared.now();
-                seat.dispatcher
+                term.dispatcher
                     .borrow_mut()
                     .hold_answered(key, sent, report, now);
-                seat.plan.notify_one();
-                wait_for_record(&seat, key).await;
+                term.plan.notify_one();
+                wait_for_commit(&term, key).await;
             }
             Err(OrderEnd::Refused(OrderRefusal::Fenced)) => {
-                seat.depose();
+                term.depose();
                 return;
             }
             Err(end) => {
                 failures += 1;
                 if failures == 2 {
-                    log_contact(&shared, &address.id, "lost", failures);
+                    log_contact_change(&shared, &address.id, "lost", failures);
                 }
-                seat.dispatcher.borrow_mut().hold_unanswered(key, end);
-                if seat.dispatcher.borrow().is_retired(key) {
-                    seat.attended.borrow_mut().remove(&key);
+                term.dispatcher.borrow_mut().hold_unanswered(key, end);
+                if term.dispatcher.borrow().is_retired(key) {
+                    term.renewed_workers.borrow_mut().remove(&key);
                     return;
                 }
-                let pause = FIRST_AGAIN * 2u32.saturating_pow(failures.min(8) - 1);
-                time::sleep(pause.min(LONGEST_AGAIN)).await;
+                let pause = FIRST_RETRY_PAUSE * 2u32.saturating_pow(failures.min(8) - 1);
+                time::sleep(pause.min(LONGEST_RETRY_PAUSE)).await;
             }
         }
     }
 }
 
-async fn wait_for_record(seat: &OwnerSeat, key: WorkerKey) {
-    let mut committed = seat.committed.subscribe();
-    if !seat.dispatcher.borrow().owes_acknowledgement(key) {
+async fn wait_for_commit(term: &OwnerTerm, key: WorkerKey) {
+    let mut committed = term.committed.subscribe();
+    if !term.dispatcher.borrow().owes_acknowledgement(key) {
         return;
     }
-    seat.commit.notify_one();
+    term.commit.notify_one();
     // After the timeout the worker is called without the acknowledgement: its lease must not lapse.
-    drop(time::timeout(RECORD_WAIT, committed.changed()).await);
+    drop(time::timeout(COMMIT_WAIT, committed.changed()).await);
 }
 
-fn log_ends(shared: &FleetShared, seat: &OwnerSeat, worker: &str, ended: &[EndedRun]) {
+fn log_run_ends(shared: &SharedState, term: &OwnerTerm, worker: &str, ended: &[EndedRun]) {
     for end in ended {
-        if seat.dispatcher.borrow().has_processed(worker, end.number) {
+        if term.dispatcher.borrow().has_processed(worker, end.number) {
             continue;
         }
         metrics::counter!("jasminebend_fleet_ends_total", "end" => end.end.to_string())
             .increment(1);
         shared.log.line(
             LogEvent::End,
-            EndLine {
+            RunEndLine {
                 task: end.task.to_string(),
                 run: end.run.value(),
                 worker,
                 end: end.end.to_string(),
                 number: end.number,
-                owner_token: seat.token(),
+                owner_token: term.token(),
             },
         );
     }
 }
 
-fn log_contact(shared: &FleetShared, worker: &str, change: &'static str, failures: u32) {
+fn log_contact_change(shared: &SharedState, worker: &str, change: &'static str, failures: u32) {
     shared.log.line(
         LogEvent::Worker,
         ContactLine {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -4,43 +4,43 @@
 //! `jasminebend-dispatch` decides what runs where, and [`Succession`] decides when a daemon becomes the owner. The
 //! ports in this crate are the only way to the platform.
 
-mod admission_desk;
-mod announcement;
+mod admission_check;
 mod caller_call;
 mod caller_desk;
-mod commit_work;
-mod confirm_work;
 mod fleet_daemon;
 mod fleet_log;
 mod fleet_row;
 mod fleet_settings;
-mod fleet_shared;
 mod fleet_store;
 mod fleet_workers;
 mod http_pool;
 mod http_server;
-mod kept_knowledge;
+mod job_watch;
+mod lease_renewal;
+mod maintenance_waves;
 mod member_expiry;
 mod member_watch;
+mod monitored_store;
 mod operator_watch;
-mod owner_jobs;
+mod order_planning;
+mod owner_announcement;
 mod owner_record;
-mod owner_registry;
-mod owner_seat;
-mod owner_work;
+mod owner_term;
+mod ownership_takeover;
+mod peer_api;
 mod peer_client;
-mod peer_desk;
 mod peer_message;
 mod peer_order;
-mod plan_work;
-mod pool_watch;
+mod pool_usage_log;
+mod progress_commits;
+mod registry_watch;
+mod shared_state;
 mod store_health;
-mod store_link;
 mod store_probe;
 mod succession;
-mod upkeep_work;
+mod takeover_records;
+mod term_confirmation;
 mod wave_request;
-mod worker_work;
 
 pub use self::{
     caller_call::{
@@ -108,7 +108,7 @@
     peer_order::PeerOrder,
     store_health::StoreHealth,
     succession::{
-        OwnerProbe,
+        ProbeResult,
         Succession, //
     },
     wave_request::WaveRequest, //
--- a/crates/fleet/src/upkeep_work.rs
+++ b/crates/fleet/src/maintenance_waves.rs
@@ -19,27 +19,27 @@
     LogEvent,
     UpkeepEnd,
     WaveRequest,
-    fleet_shared::FleetShared,
-    owner_seat::OwnerSeat, //
+    owner_term::OwnerTerm, //
+    shared_state::SharedState,
 };
 
 /// The interval between two steps of an active wave; each step reads the list of VMs, which is an expensive call.
-const EVERY: Duration = Duration::from_millis(700);
+const WAVE_STEP_INTERVAL: Duration = Duration::from_millis(700);
 /// The interval between checks for a new wave while none is active.
-const IDLE: Duration = Duration::from_millis(500);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an unanswered call counts as carried out: the platform may carry it out late.
-const UNSURE: Duration = Duration::from_secs(13);
+const ASSUMED_DOWN_TIME: Duration = Duration::from_secs(13);
 
 /// The progress of a wave.
 #[derive(Debug, Default)]
 struct WaveState {
     /// The VMs whose maintenance has begun or can never take place.
-    begun: IndexSet<Arc<str>>,
+    handled: IndexSet<Arc<str>>,
     /// The VMs that may be down though the list shows them as up, with the time when the call was sent: the call got no
     /// answer, or the list is not up to date yet.
-    unsure: IndexMap<Arc<str>, Duration>,
+    maybe_down: IndexMap<Arc<str>, Duration>,
     /// The completion status last written to the store; `None` before the first write.
-    told: Option<bool>,
+    written_status: Option<bool>,
 }
 
 #[derive(Serialize)]
@@ -53,11 +53,11 @@
 }
 
 /// Carries out maintenance waves until the term is over.
-pub(crate) async fn carry_waves(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn carry_out_waves(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let Some(vms) = shared.vms.clone() else {
-        return seat.ended().await;
+        return term.ended().await;
     };
-    if seat.token() > 1 {
+    if term.token() > 1 {
         // The platform counts calls of two owners within this time as two concurrent lease holders.
         time::sleep(shared.settings.duty_lease).await;
     }
@@ -67,76 +67,80 @@
         states.retain(|number, _| waves.iter().any(|wave| wave.wave == *number));
         let open = waves.iter().any(|wave| {
             let state = states.get(&wave.wave);
-            state.is_none_or(|state| state.told != Some(true))
+            state.is_none_or(|state| state.written_status != Some(true))
         });
-        if !open || !shared.may_order(&seat) {
-            time::sleep(IDLE).await;
+        if !open || !shared.may_order(&term) {
+            time::sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
         if let Some(listed) = vms.list().await {
             for wave in &waves {
                 let state = states.entry(wave.wave).or_default();
-                carry_wave(&shared, &seat, &*vms, wave, state, &listed).await;
+                advance_wave(&shared, &term, &*vms, wave, state, &listed).await;
             }
         }
-        time::sleep(EVERY).await;
+        time::sleep(WAVE_STEP_INTERVAL).await;
     }
 }
 
-async fn carry_wave(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+async fn advance_wave(
+    shared: &SharedState,
+    term: &OwnerTerm,
     vms: &dyn FleetVms,
     wave: &WaveRequest,
     state: &mut WaveState,
     listed: &[ListedVm],
 ) {
-    if state.told == Some(true) {
+    if state.written_status == Some(true) {
         return;
     }
     let now = shared.now();
-    state.unsure.retain(|_, sent| now < *sent + UNSURE);
+    state
+        .maybe_down
+        .retain(|_, sent| now < *sent + ASSUMED_DOWN_TIME);
     for vm in &wave.vms {
-        let entry = listed.iter().find(|entry| entry.vm == *vm);
-        let Some(entry) = entry else {
+        let listed_vm = listed.iter().find(|listed_vm| listed_vm.vm == *vm);
+        let Some(listed_vm) = listed_vm else {
             // A VM that is no longer listed needs no maintenance.
-            state.begun.insert(Arc::clone(vm));
+            state.handled.insert(Arc::clone(vm));
             continue;
         };
-        if state.begun.contains(vm) || !entry.up {
+        if state.handled.contains(vm) || !listed_vm.up {
             continue;
         }
-        let down = count_down(wave, state, listed);
-        if down >= wave.cap || state.unsure.contains_key(vm) {
+        let down = count_vms_down(wave, state, listed);
+        if down >= wave.cap || state.maybe_down.contains_key(vm) {
             continue;
         }
-        let ready = entry.worker.as_ref().is_none_or(|worker| {
-            let mut dispatcher = seat.dispatcher.borrow_mut();
+        let ready = listed_vm.worker.as_ref().is_none_or(|worker| {
+            let mut dispatcher = term.dispatcher.borrow_mut();
             dispatcher.prepare_upkeep(worker, now)
         });
-        seat.plan.notify_one();
-        if ready && shared.may_order(seat) {
-            send_down(shared, seat, vms, wave, state, vm, down).await;
+        term.plan.notify_one();
+        if ready && shared.may_order(term) {
+            start_maintenance(shared, term, vms, wave, state, vm, down).await;
         }
         // Workers are drained one VM at a time, so that the others keep running tasks.
         break;
     }
-    let completed = wave.vms.iter().all(|vm| state.begun.contains(vm));
-    tell(shared, seat, wave, state, completed).await;
+    let completed = wave.vms.iter().all(|vm| state.handled.contains(vm));
+    write_status(shared, term, wave, state, completed).await;
 }
 
 /// Counts the VMs of a wave that are down or may be.
-fn count_down(wave: &WaveRequest, state: &WaveState, listed: &[ListedVm]) -> usize {
+fn count_vms_down(wave: &WaveRequest, state: &WaveState, listed: &[ListedVm]) -> usize {
     let down = wave.vms.iter().filter(|vm| {
-        let up = listed.iter().any(|entry| entry.vm == **vm && entry.up);
-        !up || state.unsure.contains_key(*vm)
+        let up = listed
+            .iter()
+            .any(|listed_vm| listed_vm.vm == **vm && listed_vm.up);
+        !up || state.maybe_down.contains_key(*vm)
     });
     down.count()
 }
 
-async fn send_down(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+async fn start_maintenance(
+    shared: &SharedState,
+    term: &OwnerTerm,
     vms: &dyn FleetVms,
     wave: &WaveRequest,
     state: &mut WaveState,
@@ -144,47 +148,47 @@
     down: usize,
 ) {
     let sent = shared.now();
-    let end = vms
-        .upkeep(vm, wave.wave, &shared.settings.node, seat.token())
+    let outcome = vms
+        .upkeep(vm, wave.wave, &shared.settings.node, term.token())
         .await;
     shared.log.line(
         LogEvent::Operator,
         WaveLine {
             wave: wave.wave,
             vm,
-            outcome: format!("{end:?}"),
+            outcome: format!("{outcome:?}"),
             down,
             cap: wave.cap,
-            owner_token: seat.token(),
+            owner_token: term.token(),
         },
     );
-    match end {
+    match outcome {
         UpkeepEnd::Begun => {
-            state.begun.insert(Arc::clone(vm));
-            // The list may show the VM as up for a while; it counts as down until `UNSURE` has passed.
-            state.unsure.insert(Arc::clone(vm), sent);
+            state.handled.insert(Arc::clone(vm));
+            // The list may show the VM as up for a while; it counts as down until `ASSUMED_DOWN_TIME` has passed.
+            state.maybe_down.insert(Arc::clone(vm), sent);
         }
-        UpkeepEnd::Never => drop(state.begun.insert(Arc::clone(vm))),
-        UpkeepEnd::Unknown => drop(state.unsure.insert(Arc::clone(vm), sent)),
-        UpkeepEnd::Fenced => seat.depose(),
+        UpkeepEnd::Never => drop(state.handled.insert(Arc::clone(vm))),
+        UpkeepEnd::Unknown => drop(state.maybe_down.insert(Arc::clone(vm), sent)),
+        UpkeepEnd::Fenced => term.depose(),
         UpkeepEnd::Busy | UpkeepEnd::Refused => {}
     }
 }
 
-async fn tell(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+async fn write_status(
+    shared: &SharedState,
+    term: &OwnerTerm,
     wave: &WaveRequest,
     state: &mut WaveState,
     completed: bool,
 ) {
-    if state.told == Some(completed) {
+    if state.written_status == Some(completed) {
         return;
     }
     let store = &shared.store;
-    let guard = seat.guard.clone();
-    let call = store.raw().tell_wave(wave.wave, completed, guard);
+    let guard = term.guard.clone();
+    let call = store.port().tell_wave(wave.wave, completed, guard);
     if store.call(call).await.is_ok() {
-        state.told = Some(completed);
+        state.written_status = Some(completed);
     }
 }
--- a/crates/fleet/src/member_expiry.rs
+++ b/crates/fleet/src/member_expiry.rs
@@ -18,19 +18,19 @@
     FleetTable,
     LogEvent,
     MemberRecord,
-    OwnerProbe,
+    ProbeResult,
     RowCommit,
-    fleet_shared::{
-        FleetShared,
+    owner_term::OwnerTerm, //
+    shared_state::{
         MEMBERS_PART, //
+        SharedState,
     },
-    owner_seat::OwnerSeat, //
 };
 
 /// The interval at which the owner probes all members.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
+const PROBE_INTERVAL: Duration = Duration::from_secs(30);
 /// How long a member must have left every probe unanswered to be removed. A daemon that is back enrolls again.
-const EXPIRY: Duration = Duration::from_secs(300);
+const MEMBER_EXPIRY_TIME: Duration = Duration::from_secs(300);
 
 #[derive(Serialize)]
 struct ExpiryLine<'a> {
@@ -42,26 +42,26 @@
 /// Removes members that have not answered for long, until the term is over. Without the store the ownership depends on
 /// a majority of the members, so that daemons that are gone for good must not be counted for ever. A member is removed
 /// only while a majority answers.
-pub(crate) async fn expire_members(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn expire_members(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let mut silent_since: HashMap<String, Duration> = HashMap::new();
-    while !seat.is_over() {
-        time::sleep(LOOK_EVERY).await;
-        let silent = silent_members(&shared, seat.token()).await;
+    while !term.is_over() {
+        time::sleep(PROBE_INTERVAL).await;
+        let silent = find_silent_members(&shared, term.token()).await;
         let now = shared.now();
         silent_since.retain(|node, _| silent.iter().any(|member| member.node == *node));
         let members = shared.members.borrow().len();
         let has_majority = members.saturating_sub(silent.len()) * 2 > members;
         for member in &silent {
             let since = *silent_since.entry(member.node.clone()).or_insert(now);
-            let is_expired = now >= since + EXPIRY;
-            if is_expired && has_majority && shared.may_order(&seat) {
-                remove_member(&shared, &seat, member).await;
+            let is_expired = now >= since + MEMBER_EXPIRY_TIME;
+            if is_expired && has_majority && shared.may_order(&term) {
+                remove_member(&shared, &term, member).await;
             }
         }
     }
 }
 
-async fn silent_members(shared: &FleetShared, token: u64) -> Vec<MemberRecord> {
+async fn find_silent_members(shared: &SharedState, token: u64) -> Vec<MemberRecord> {
     let members: Vec<MemberRecord> = shared.members.borrow().values().cloned().collect();
     let mut probes = JoinSet::new();
     for member in members {
@@ -71,14 +71,14 @@
         let peers = shared.peers.clone();
         probes.spawn_local(async move {
             let probe = peers.probe(&member.address, token).await;
-            (!matches!(probe, OwnerProbe::Answered(_))).then_some(member)
+            (!matches!(probe, ProbeResult::Answered(_))).then_some(member)
         });
     }
     probes.join_all().await.into_iter().flatten().collect()
 }
 
 /// Clears the member's row, unless the member has enrolled again.
-async fn remove_member(shared: &FleetShared, seat: &OwnerSeat, member: &MemberRecord) {
+async fn remove_member(shared: &SharedState, term: &OwnerTerm, member: &MemberRecord) {
     let read = shared
         .store
         .read_few(FleetTable::Fleet, MEMBERS_PART, &member.node, None)
@@ -98,7 +98,7 @@
     }
     let empty = FleetRow::new(FleetTable::Fleet, MEMBERS_PART, row.key.clone(), Vec::new());
     let commit = RowCommit {
-        guards: vec![seat.guard.clone(), row.guard(row.version)],
+        guards: vec![term.guard.clone(), row.guard(row.version)],
         writes: vec![empty],
     };
     if let Ok(CommitAnswer::Done(_)) = shared.store.commit(commit).await {
--- a/crates/fleet/src/member_watch.rs
+++ b/crates/fleet/src/member_watch.rs
@@ -13,25 +13,25 @@
     FleetTable,
     LogEvent,
     MemberRecord,
-    OwnerProbe,
     OwnerRecord,
+    ProbeResult,
     RowCommit,
     StoreError,
-    fleet_shared::{
-        FleetShared,
+    monitored_store::WatchedRows, //
+    ownership_takeover::take_over,
+    shared_state::{
         MEMBERS_PART,
         OWNER_KEY,
         SHARD_PART,
+        SharedState,
         WATCH_WAIT, //
     },
-    owner_work::take_over,
-    store_link::WatchedRows, //
 };
 
 /// The pause between two probes of the owner.
-const PROBE_EVERY: Duration = Duration::from_millis(350);
+const PROBE_INTERVAL: Duration = Duration::from_millis(350);
 /// The pause between two probes while the owner may have to be replaced.
-const DOUBT_EVERY: Duration = Duration::from_millis(60);
+const DOUBTED_PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
 #[derive(Serialize)]
 struct OwnerLine<'a> {
@@ -41,13 +41,13 @@
 }
 
 /// Enrolls this daemon as a member, then watches the owner and the members for as long as the daemon runs.
-pub(crate) async fn follow_members(shared: Rc<FleetShared>) {
+pub(crate) async fn watch_members(shared: Rc<SharedState>) {
     enroll(&shared).await;
     let mut after: Option<u64> = None;
     loop {
         let result = match after {
-            None => read_whole(&shared).await,
-            Some(version) => watch(&shared, version).await,
+            None => read_all_rows(&shared).await,
+            Some(version) => watch_once(&shared, version).await,
         };
         match result {
             Ok(version) => {
@@ -57,34 +57,34 @@
                 }
             }
             Err(StoreError::Forgotten) => after = None,
-            Err(_) => shared.store.pause().await,
+            Err(_) => shared.store.wait_to_retry().await,
         }
     }
 }
 
 /// Probes the owner, and takes over the ownership when this daemon should, for as long as the daemon runs.
-pub(crate) async fn guard_succession(shared: Rc<FleetShared>) {
+pub(crate) async fn run_succession(shared: Rc<SharedState>) {
     loop {
         probe_owner(&shared).await;
         let now = shared.now();
         let claims = shared.succession.borrow().should_claim(now)
             && shared.configuration().is_some()
-            && shared.seat().is_none()
+            && shared.term().is_none()
             && !shared.is_stopping()
             && !shared.store.is_lost();
         if claims {
             take_over(&shared).await;
         }
-        let pause = match shared.succession.borrow().is_in_doubt() {
-            true => DOUBT_EVERY,
-            false => PROBE_EVERY,
+        let pause = match shared.succession.borrow().may_need_replacement() {
+            true => DOUBTED_PROBE_INTERVAL,
+            false => PROBE_INTERVAL,
         };
         time::sleep(pause).await;
     }
 }
 
 /// Writes this daemon's member row, with retries until the store accepts it.
-async fn enroll(shared: &FleetShared) {
+async fn enroll(shared: &SharedState) {
     let member = MemberRecord {
         node: shared.settings.node.clone(),
         incarnation: shared.incarnation,
@@ -109,11 +109,11 @@
         if shared.store.commit(commit).await.is_ok() {
             return;
         }
-        shared.store.pause().await;
+        shared.store.wait_to_retry().await;
     }
 }
 
-async fn read_whole(shared: &FleetShared) -> Result<u64, StoreError> {
+async fn read_all_rows(shared: &SharedState) -> Result<u64, StoreError> {
     let (members, version) = shared
         .store
         .read_all(FleetTable::Fleet, MEMBERS_PART, "", None)
@@ -124,34 +124,34 @@
         .await?;
     shared.members.borrow_mut().clear();
     for row in &members {
-        note_member(shared, row);
+        apply_member_row(shared, row);
     }
     let owner = rows.iter().find(|row| row.key == OWNER_KEY);
-    note_owner(shared, owner);
+    apply_owner_row(shared, owner);
     Ok(version)
 }
 
-async fn watch(shared: &FleetShared, after: u64) -> Result<u64, StoreError> {
+async fn watch_once(shared: &SharedState, after: u64) -> Result<u64, StoreError> {
     let store = &shared.store;
-    let call = store.raw().watch(FleetTable::Fleet, after, WATCH_WAIT);
+    let call = store.port().watch(FleetTable::Fleet, after, WATCH_WAIT);
     let page = store.watch(WatchedRows::Members, call).await?;
     for change in page.items {
         match (change.part.as_str(), &change.row) {
-            (MEMBERS_PART, Some(row)) => note_member(shared, row),
+            (MEMBERS_PART, Some(row)) => apply_member_row(shared, row),
             (MEMBERS_PART, None) => {
                 shared.members.borrow_mut().shift_remove(&change.key);
             }
-            (SHARD_PART, row) if change.key == OWNER_KEY => note_owner(shared, row.as_ref()),
+            (SHARD_PART, row) if change.key == OWNER_KEY => apply_owner_row(shared, row.as_ref()),
             _ => {}
         }
     }
     Ok(page.version)
 }
 
-fn note_member(shared: &FleetShared, row: &FleetRow) {
+fn apply_member_row(shared: &SharedState, row: &FleetRow) {
     if row.value.is_empty() {
         shared.members.borrow_mut().shift_remove(&row.key);
-        tell_succession(shared);
+        update_succession(shared);
         return;
     }
     // A row that a different release encoded is ignored.
@@ -159,17 +159,17 @@
         let mut members = shared.members.borrow_mut();
         members.insert(member.node.clone(), member);
         drop(members);
-        tell_succession(shared);
+        update_succession(shared);
     }
 }
 
-fn tell_succession(shared: &FleetShared) {
+fn update_succession(shared: &SharedState) {
     let members = shared.members.borrow().values().cloned().collect();
-    shared.succession.borrow_mut().note_members(members);
+    shared.succession.borrow_mut().set_members(members);
 }
 
 /// Applies the owner's row if it is not older than the known one; `None` if there is no row.
-pub(crate) fn note_owner(shared: &FleetShared, row: Option<&FleetRow>) {
+pub(crate) fn apply_owner_row(shared: &SharedState, row: Option<&FleetRow>) {
     let version = row.map_or(0, |row| row.version);
     if version < shared.owner_version.get() {
         return;
@@ -188,16 +188,16 @@
             },
         );
         if owner.node != shared.settings.node || owner.incarnation != shared.incarnation {
-            shared.note_token(owner.token);
+            shared.observe_token(owner.token);
         }
         shared
             .highest_token
             .set(shared.highest_token.get().max(owner.token));
     }
-    shared.succession.borrow_mut().note_owner(owner, now);
+    shared.succession.borrow_mut().set_owner(owner, now);
 }
 
-async fn probe_owner(shared: &FleetShared) {
+async fn probe_owner(shared: &SharedState) {
     let Some(address) = shared.owner_address() else {
         return;
     };
@@ -207,13 +207,13 @@
     if shared.owner_address().as_deref() != Some(address.as_str()) {
         return;
     }
-    if let OwnerProbe::Answered(health) = probe
+    if let ProbeResult::Answered(health) = probe
         && let Some(acting) = health.acting
     {
-        shared.note_token(acting);
+        shared.observe_token(acting);
     }
     let now = shared.now();
     let mut succession = shared.succession.borrow_mut();
-    succession.note_store(shared.store.with());
-    succession.note_probe(probe, sent, now);
+    succession.set_store_available_for(shared.store.available_for());
+    succession.record_probe(probe, sent, now);
 }
--- a/crates/fleet/src/store_link.rs
+++ b/crates/fleet/src/monitored_store.rs
@@ -27,33 +27,33 @@
     StoreError,
     StoreHealth,
     fleet_log::whole_millis,
-    fleet_shared::{
+    shared_state::{
         OWNER_KEY,
         SHARD_PART, //
     }, //
 };
 
 /// How long calls must have failed before the store counts as lost: one lost answer is no outage.
-const LOST_AFTER: Duration = Duration::from_millis(300);
+const STORE_LOST_AFTER: Duration = Duration::from_millis(300);
 
 /// How long a call may be left unanswered before the store is probed.
-const QUIET: Duration = Duration::from_millis(50);
+const SUSPECT_AFTER: Duration = Duration::from_millis(50);
 /// How long a probe may be left unanswered before the store counts as silent. A slow store takes 60 times its usual
 /// 4 ms.
-const PATIENCE: Duration = Duration::from_millis(320);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(320);
 /// The additional time for a probe's answer: after a stall of this process the timeout fires before an answer that has
 /// already arrived is read.
-const STALL: Duration = Duration::from_millis(30);
+const STALL_ALLOWANCE: Duration = Duration::from_millis(30);
 // A single unanswered probe suffices to count the store as lost.
-const _: () = assert!(PATIENCE.as_millis() >= LOST_AFTER.as_millis());
+const _: () = assert!(PROBE_TIMEOUT.as_millis() >= STORE_LOST_AFTER.as_millis());
 /// The least time to wait for a call while later calls are answered.
-const LEAST_PATIENCE: Duration = Duration::from_millis(300);
+const LEAST_OVERDUE_TIME: Duration = Duration::from_millis(300);
 /// A call is given up once later calls are answered and it has taken this many times as long as the latest of them.
-const LATENCIES: u32 = 8;
+const OVERDUE_LATENCY_FACTOR: u32 = 8;
 /// The pause after a failed call while other calls are answered.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// The longest pause after a failed call while the store is failing.
-const LONGEST_PAUSE: Duration = Duration::from_secs(1);
+const LONGEST_RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// The rows whose changes a daemon watches.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
@@ -70,7 +70,7 @@
 }
 
 /// Access to the store that tracks its health and gives up calls while it is lost.
-pub(crate) struct StoreLink {
+pub(crate) struct MonitoredStore {
     store: Rc<dyn FleetStore>,
     clock: Rc<dyn ClockSource>,
     log: FleetLog,
@@ -79,12 +79,12 @@
     lost: Cell<bool>,
     /// How long the latest answered call took, watches excluded.
     latency: Cell<Duration>,
-    suspected: Notify,
-    went_away: Notify,
-    came_back: Notify,
+    suspected_notify: Notify,
+    lost_notify: Notify,
+    available_notify: Notify,
 }
 
-impl StoreLink {
+impl MonitoredStore {
     pub(crate) fn new(
         store: Rc<dyn FleetStore>,
         clock: Rc<dyn ClockSource>,
@@ -97,28 +97,28 @@
             health: Cell::new(StoreHealth::new()),
             lost: Cell::new(false),
             latency: Cell::new(Duration::ZERO),
-            suspected: Notify::new(),
-            went_away: Notify::new(),
-            came_back: Notify::new(),
+            suspected_notify: Notify::new(),
+            lost_notify: Notify::new(),
+            available_notify: Notify::new(),
         }
     }
 
-    pub(crate) fn raw(&self) -> &dyn FleetStore {
+    pub(crate) fn port(&self) -> &dyn FleetStore {
         &*self.store
     }
 
     /// Returns how long calls have failed; zero while the store is available.
-    pub(crate) fn without(&self) -> Duration {
-        self.health.get().without(self.clock.monotonic())
+    pub(crate) fn failing_for(&self) -> Duration {
+        self.health.get().failing_for(self.clock.monotonic())
     }
 
     /// Returns how long the store has been available; zero while calls fail.
-    pub(crate) fn with(&self) -> Duration {
-        self.health.get().with(self.clock.monotonic())
+    pub(crate) fn available_for(&self) -> Duration {
+        self.health.get().available_for(self.clock.monotonic())
     }
 
     pub(crate) fn is_lost(&self) -> bool {
-        self.without() >= LOST_AFTER
+        self.failing_for() >= STORE_LOST_AFTER
     }
 
     pub(crate) fn is_failing(&self) -> bool {
@@ -126,8 +126,8 @@
     }
 
     /// Waits until a call fails or is left unanswered.
-    pub(crate) async fn suspicion(&self) {
-        self.suspected.notified().await;
+    pub(crate) async fn until_suspected(&self) {
+        self.suspected_notify.notified().await;
     }
 
     /// Reads a row on a new connection; a read that is left unanswered shows that the store is silent.
@@ -139,28 +139,28 @@
             .store
             .read(FleetTable::Fleet, SHARD_PART, OWNER_KEY, None);
         let mut read = pin!(read);
-        for patience in [PATIENCE, STALL] {
-            if let Ok(result) = time::timeout(patience, &mut read).await {
-                self.note_latency(sent);
-                self.note(sent, &result);
+        for limit in [PROBE_TIMEOUT, STALL_ALLOWANCE] {
+            if let Ok(result) = time::timeout(limit, &mut read).await {
+                self.record_latency(sent);
+                self.record_outcome(sent, &result);
                 return;
             }
         }
         let mut health = self.health.get();
-        health.note_silence(sent);
+        health.record_silence(sent);
         self.health.set(health);
-        self.tell();
-        self.suspected.notify_one();
+        self.update_lost();
+        self.suspected_notify.notify_one();
         // A slow store may still answer.
-        self.note(sent, &read.await);
+        self.record_outcome(sent, &read.await);
     }
 
-    /// Waits after a failed call; while the store is failing, until it is back or [`LONGEST_PAUSE`] has passed.
-    pub(crate) async fn pause(&self) {
-        let back = self.came_back.notified();
+    /// Waits after a failed call; while the store is failing, until it is back or [`LONGEST_RETRY_PAUSE`] has passed.
+    pub(crate) async fn wait_to_retry(&self) {
+        let until_available = self.available_notify.notified();
         match self.is_failing() {
-            true => drop(time::timeout(LONGEST_PAUSE, back).await),
-            false => time::sleep(PAUSE).await,
+            true => drop(time::timeout(LONGEST_RETRY_PAUSE, until_available).await),
+            false => time::sleep(RETRY_PAUSE).await,
         }
     }
 
@@ -170,72 +170,72 @@
         Call: Future<Output = Result<Answer, StoreError>>,
     {
         let sent = self.clock.monotonic();
-        let away = self.went_away.notified();
-        let mut call = pin!(self.noted(call));
-        let result = match time::timeout(QUIET, &mut call).await {
+        let until_lost = self.lost_notify.notified();
+        let mut call = pin!(self.call_and_record(call));
+        let result = match time::timeout(SUSPECT_AFTER, &mut call).await {
             Ok(result) => result,
             Err(_) => {
-                self.suspected.notify_one();
+                self.suspected_notify.notify_one();
                 tokio::select! {
                     biased;
                     result = call => result,
-                    () = away => Err(StoreError::Unknown),
+                    () = until_lost => Err(StoreError::Unknown),
                 }
             }
         };
         if result.is_ok() {
-            self.note_latency(sent);
+            self.record_latency(sent);
         }
         result
     }
 
-    /// Waits until a call sent at `sent` can be given up: later calls were answered, and it has taken [`LATENCIES`] times as
-    /// long as the latest of them.
-    async fn overtaken(&self, sent: Duration) {
+    /// Waits until a call sent at `sent` can be given up: later calls were answered, and it has taken
+    /// [`OVERDUE_LATENCY_FACTOR`] times as long as the latest of them.
+    async fn until_overdue(&self, sent: Duration) {
         loop {
-            time::sleep(QUIET).await;
+            time::sleep(SUSPECT_AFTER).await;
             let waited = self.clock.monotonic().saturating_sub(sent);
-            let patience = LEAST_PATIENCE.max(self.latency.get() * LATENCIES);
-            if self.health.get().is_answered_since(sent) && waited >= patience {
+            let limit = LEAST_OVERDUE_TIME.max(self.latency.get() * OVERDUE_LATENCY_FACTOR);
+            if self.health.get().is_answered_since(sent) && waited >= limit {
                 return;
             }
         }
     }
 
-    fn note_latency(&self, sent: Duration) {
+    fn record_latency(&self, sent: Duration) {
         self.latency
             .set(self.clock.monotonic().saturating_sub(sent));
     }
 
-    async fn noted<Answer, Call>(&self, call: Call) -> Result<Answer, StoreError>
+    async fn call_and_record<Answer, Call>(&self, call: Call) -> Result<Answer, StoreError>
     where
         Call: Future<Output = Result<Answer, StoreError>>,
     {
         let sent = self.clock.monotonic();
         let result = call.await;
-        self.note(sent, &result);
+        self.record_outcome(sent, &result);
         result
     }
 
-    fn note<Answer>(&self, sent: Duration, result: &Result<Answer, StoreError>) {
+    fn record_outcome<Answer>(&self, sent: Duration, result: &Result<Answer, StoreError>) {
         let mut health = self.health.get();
         match result {
             Err(StoreError::Refused | StoreError::Unknown) => {
-                health.note_failure(sent, self.clock.monotonic());
+                health.record_failure(sent, self.clock.monotonic());
                 self.health.set(health);
                 if health.is_failing() {
-                    self.suspected.notify_one();
+                    self.suspected_notify.notify_one();
                 }
             }
             Ok(_) | Err(StoreError::Forgotten | StoreError::Malformed) => {
-                let is_back = health.note_answer(sent);
+                let is_back = health.record_answer(sent);
                 self.health.set(health);
                 if is_back {
-                    self.came_back.notify_waiters();
+                    self.available_notify.notify_waiters();
                 }
             }
         }
-        self.tell();
+        self.update_lost();
     }
 
     /// Commits rows. Unlike a read, which may be large and take long, a commit is also given up once later calls were
@@ -246,11 +246,12 @@
         tokio::select! {
             biased;
             result = self.call(self.store.commit(commit)) => result,
-            () = self.overtaken(sent) => Err(StoreError::Unknown),
+            () = self.until_overdue(sent) => Err(StoreError::Unknown),
         }
     }
 
-    /// Reads few rows as [`StoreLink::read_all`] does, and repeats the read on another connection if it is overdue.
+    /// Reads few rows as [`MonitoredStore::read_all`] does, and repeats the read on another connection if it is
+    /// overdue.
     pub(crate) async fn read_few(
         &self,
         table: FleetTable,
@@ -262,13 +263,13 @@
         tokio::select! {
             biased;
             result = self.read_all(table, part, from, to) => return result,
-            () = self.overtaken(sent) => {}
+            () = self.until_overdue(sent) => {}
         }
         self.read_all(table, part, from, to).await
     }
 
-    /// Reads all rows of a part with keys from `from`, inclusive, to `to`, exclusive; also returns the store's version at
-    /// the first page.
+    /// Reads all rows of a part with keys from `from`, inclusive, to `to`, exclusive; also returns the store's
+    /// version at the first page.
     pub(crate) async fn read_all(
         &self,
         table: FleetTable,
@@ -295,8 +296,8 @@
         }
     }
 
-    /// Waits for a watch's answer, and logs a watch that fails. A watch sent before the store came back is given up: the
-    /// store may never have received it, or its answer may be lost.
+    /// Waits for a watch's answer, and logs a watch that fails. A watch sent before the store came back is given up:
+    /// the store may never have received it, or its answer may be lost.
     pub(crate) async fn watch<Page, Call>(
         &self,
         rows: WatchedRows,
@@ -306,11 +307,11 @@
         Call: Future<Output = Result<Page, StoreError>>,
     {
         let sent = self.clock.monotonic();
-        let back = self.came_back.notified();
+        let until_available = self.available_notify.notified();
         let result = tokio::select! {
             biased;
-            result = self.noted(call) => result,
-            () = back => Err(StoreError::Unknown),
+            result = self.call_and_record(call) => result,
+            () = until_available => Err(StoreError::Unknown),
         };
         if let Err(error) = &result {
             self.log.line(
@@ -325,13 +326,13 @@
         result
     }
 
-    fn tell(&self) {
+    fn update_lost(&self) {
         let lost = self.is_lost();
         if self.lost.replace(lost) != lost {
             if lost {
-                self.went_away.notify_waiters();
+                self.lost_notify.notify_waiters();
             }
-            let without_ms = whole_millis(self.without());
+            let without_ms = whole_millis(self.failing_for());
             self.log.line(
                 LogEvent::Dependency,
                 DependencyLine {
--- a/crates/fleet/src/operator_watch.rs
+++ b/crates/fleet/src/operator_watch.rs
@@ -13,11 +13,11 @@
     RowPage,
     StoreError,
     fleet_log::whole_millis,
-    fleet_shared::{
-        FleetShared,
+    monitored_store::WatchedRows, //
+    shared_state::{
+        SharedState,
         WATCH_WAIT, //
     },
-    store_link::WatchedRows, //
 };
 
 #[derive(Serialize)]
@@ -29,11 +29,11 @@
 }
 
 /// Watches the operator's rows for as long as the daemon runs.
-pub(crate) async fn follow_operator(shared: Rc<FleetShared>) {
+pub(crate) async fn watch_operator(shared: Rc<SharedState>) {
     let mut after: Option<u64> = None;
     loop {
         let sent = shared.now();
-        let store = shared.store.raw();
+        let store = shared.store.port();
         let result = match after {
             None => shared.store.call(store.read_operator()).await,
             Some(after) => {
@@ -43,35 +43,41 @@
         };
         match result {
             Ok(page) => {
-                let whole = after.is_none();
+                let is_full_read = after.is_none();
                 after = Some(page.version);
-                apply(&shared, page, whole, sent);
+                apply_page(&shared, page, is_full_read, sent);
             }
             Err(StoreError::Forgotten) => after = None,
-            Err(_) => shared.store.pause().await,
+            Err(_) => shared.store.wait_to_retry().await,
         }
     }
 }
 
-/// Applies a page whose call was sent at `sent`. A full read also removes closed domains and waves that it does not list.
-fn apply(shared: &FleetShared, page: RowPage<OperatorChange>, whole: bool, sent: Duration) {
-    if whole {
+/// Applies a page whose call was sent at `sent`. A full read also removes closed domains and waves that it does not
+/// list.
+fn apply_page(
+    shared: &SharedState,
+    page: RowPage<OperatorChange>,
+    is_full_read: bool,
+    sent: Duration,
+) {
+    if is_full_read {
         let mut operator = shared.operator.borrow_mut();
         operator.closed.clear();
         operator.waves.clear();
     }
     let version = page.version;
-    let changed = !page.items.is_empty() || whole;
+    let changed = !page.items.is_empty() || is_full_read;
     for change in page.items {
         apply_change(shared, change, version, sent);
     }
-    shared.operator.borrow_mut().known_at = Some(shared.now());
+    shared.operator.borrow_mut().confirmed_at = Some(shared.now());
     if changed {
-        inform_seat(shared);
+        configure_dispatcher(shared);
     }
 }
 
-fn apply_change(shared: &FleetShared, change: OperatorChange, version: u64, sent: Duration) {
+fn apply_change(shared: &SharedState, change: OperatorChange, version: u64, sent: Duration) {
     let (name, what) = match &change {
         OperatorChange::Configured(new) => ("configured", new.version.to_string()),
         OperatorChange::Closed(domain) => ("closed", domain.to_string()),
@@ -107,15 +113,15 @@
 }
 
 /// Passes the configuration and the closed domains to the dispatcher if this daemon is the owner.
-pub(crate) fn inform_seat(shared: &FleetShared) {
-    let Some(seat) = shared.seat() else {
+pub(crate) fn configure_dispatcher(shared: &SharedState) {
+    let Some(term) = shared.term() else {
         return;
     };
     let operator = shared.operator.borrow();
-    let mut dispatcher = seat.dispatcher.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
     if let Some(configuration) = &operator.configuration {
         dispatcher.configure(configuration.clone());
     }
     dispatcher.close_domains(operator.closed.clone());
-    seat.plan.notify_one();
+    term.plan.notify_one();
 }
--- a/crates/fleet/src/plan_work.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -27,20 +27,20 @@
     LogEvent,
     WorkerAddress,
     fleet_log::whole_millis,
-    fleet_shared::{
-        FleetShared,
+    owner_term::OwnerTerm, //
+    shared_state::{
         SHARD_PART, //
+        SharedState,
     },
-    owner_seat::OwnerSeat, //
 };
 
 /// How long events are collected before a plan is made: one answer causes several events.
-const GATHER: Duration = Duration::from_millis(1);
+const PLAN_DELAY: Duration = Duration::from_millis(1);
 /// The longest time between two plans: leases lapse and stops are repeated without an event.
-const EVERY: Duration = Duration::from_millis(150);
+const LONGEST_PLAN_INTERVAL: Duration = Duration::from_millis(150);
 
 /// The pause of the process (suspended VM, starved CPU) after which its knowledge of workers counts as stale.
-const PAUSE: Duration = Duration::from_millis(900);
+const STALE_AFTER_PAUSE: Duration = Duration::from_millis(900);
 
 #[derive(Serialize)]
 struct OrderLine<'a> {
@@ -76,7 +76,7 @@
 }
 
 #[derive(Serialize)]
-struct GiveWayLine<'a> {
+struct FillerDecisionLine<'a> {
     order: &'static str,
     worker: &'a str,
     service: String,
@@ -88,74 +88,78 @@
 }
 
 /// Makes a plan after each event and at regular intervals, and sends its orders, until the term is over.
-pub(crate) async fn plan_orders(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn plan_orders(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let mut planned = shared.now();
     loop {
         // After the timeout a plan is made without an event.
-        drop(time::timeout(EVERY, seat.plan.notified()).await);
-        let begun = shared.now();
-        time::sleep(GATHER).await;
+        drop(time::timeout(LONGEST_PLAN_INTERVAL, term.plan.notified()).await);
+        let woken_at = shared.now();
+        time::sleep(PLAN_DELAY).await;
         let now = shared.now();
-        let lag = now.saturating_sub(begun + GATHER);
-        if now > planned + PAUSE {
-            seat.dispatcher.borrow_mut().note_pause();
+        let lag = now.saturating_sub(woken_at + PLAN_DELAY);
+        if now > planned + STALE_AFTER_PAUSE {
+            term.dispatcher.borrow_mut().note_pause();
         }
         planned = now;
-        if !shared.may_order(&seat) {
+        if !shared.may_order(&term) {
             continue;
         }
         let outcome = {
-            let mut dispatcher = seat.dispatcher.borrow_mut();
+            let mut dispatcher = term.dispatcher.borrow_mut();
             dispatcher.note_lag(lag, now);
             dispatcher.note_lapses(now);
             dispatcher.begin_due(shared.wall(), now);
             dispatcher.plan(now)
         };
         for order in outcome.orders {
-            task::spawn_local(send(Rc::clone(&shared), Rc::clone(&seat), order));
+            task::spawn_local(send_order(Rc::clone(&shared), Rc::clone(&term), order));
         }
         for note in &outcome.notes {
-            log_note(&shared, &seat, note);
+            log_filler_decision(&shared, &term, note);
         }
         for wait in &outcome.waits {
-            log_wait(&shared, &seat, wait, now);
+            log_wait(&shared, &term, wait, now);
         }
-        for wish in outcome.advice {
-            task::spawn_local(ask_advice(Rc::clone(&shared), Rc::clone(&seat), wish));
+        for request in outcome.advice {
+            task::spawn_local(request_advice(
+                Rc::clone(&shared),
+                Rc::clone(&term),
+                request,
+            ));
         }
-        if seat.dispatcher.borrow().wants_commit() {
-            seat.commit.notify_one();
+        if term.dispatcher.borrow().wants_commit() {
+            term.commit.notify_one();
         }
     }
 }
 
 /// Returns the worker's address, with the owner's fencing token.
-pub(crate) fn worker_address(seat: &OwnerSeat, key: WorkerKey) -> WorkerAddress {
-    let dispatcher = seat.dispatcher.borrow();
+pub(crate) fn worker_address(term: &OwnerTerm, key: WorkerKey) -> WorkerAddress {
+    let dispatcher = term.dispatcher.borrow();
     let record = dispatcher.worker_record(key);
     WorkerAddress {
         id: record.id.clone(),
         address: record.address.clone(),
-        token: seat.token(),
+        token: term.token(),
     }
 }
 
-async fn send(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, order: WorkerOrder) {
+async fn send_order(shared: Rc<SharedState>, term: Rc<OwnerTerm>, order: WorkerOrder) {
     // The process may have been paused since the order was planned.
-    if !shared.may_order(&seat) || !is_wanted(&seat, &order) {
-        give_back(&shared, &seat, &order);
+    if !shared.may_order(&term) || !is_still_wanted(&term, &order) {
+        report_unsent(&shared, &term, &order);
         return;
     }
-    let end = match &order {
-        WorkerOrder::Start(start) => send_start(&shared, &seat, start).await,
+    let outcome = match &order {
+        WorkerOrder::Start(start) => send_start(&shared, &term, start).await,
         WorkerOrder::Stop { worker, task, run } => {
-            let address = worker_address(&seat, *worker);
-            let end = shared.workers.stop(&address, *task, *run).await;
+            let address = worker_address(&term, *worker);
+            let outcome = shared.workers.stop(&address, *task, *run).await;
             let now = shared.now();
-            seat.dispatcher
+            term.dispatcher
                 .borrow_mut()
-                .stop_ended(*worker, *task, *run, end, now);
-            end
+                .stop_ended(*worker, *task, *run, outcome, now);
+            outcome
         }
         WorkerOrder::Pace {
             worker,
@@ -163,43 +167,43 @@
             run,
             percent,
         } => {
-            let address = worker_address(&seat, *worker);
-            let end = shared.workers.pace(&address, *task, *run, *percent).await;
-            if end != OrderEnd::Taken {
-                seat.dispatcher
+            let address = worker_address(&term, *worker);
+            let outcome = shared.workers.pace(&address, *task, *run, *percent).await;
+            if outcome != OrderEnd::Taken {
+                term.dispatcher
                     .borrow_mut()
                     .pace_unsure(*worker, *task, *run);
             }
-            end
+            outcome
         }
     };
-    log_order(&shared, &seat, &order, end);
-    if end == OrderEnd::Refused(OrderRefusal::Fenced) {
-        seat.depose();
+    log_order(&shared, &term, &order, outcome);
+    if outcome == OrderEnd::Refused(OrderRefusal::Fenced) {
+        term.depose();
     }
-    if end != OrderEnd::Taken || seat.dispatcher.borrow().holds_back() {
-        seat.plan.notify_one();
+    if outcome != OrderEnd::Taken || term.dispatcher.borrow().holds_back() {
+        term.plan.notify_one();
     }
 }
 
-fn is_wanted(seat: &OwnerSeat, order: &WorkerOrder) -> bool {
+fn is_still_wanted(term: &OwnerTerm, order: &WorkerOrder) -> bool {
     match order {
-        WorkerOrder::Start(start) => seat.dispatcher.borrow().still_wants(start),
+        WorkerOrder::Start(start) => term.dispatcher.borrow().still_wants(start),
         WorkerOrder::Stop { .. } | WorkerOrder::Pace { .. } => true,
     }
 }
 
 /// Reports to the dispatcher that an order was not sent.
-fn give_back(shared: &FleetShared, seat: &OwnerSeat, order: &WorkerOrder) {
-    let end = OrderEnd::Refused(OrderRefusal::Late);
+fn report_unsent(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder) {
+    let outcome = OrderEnd::Refused(OrderRefusal::Late);
     let now = shared.now();
-    let mut dispatcher = seat.dispatcher.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
     match order {
         WorkerOrder::Start(start) => {
-            dispatcher.start_ended(start.worker, start.task, start.run, end, now);
+            dispatcher.start_ended(start.worker, start.task, start.run, outcome, now);
         }
         WorkerOrder::Stop { worker, task, run } => {
-            dispatcher.stop_ended(*worker, *task, *run, end, now);
+            dispatcher.stop_ended(*worker, *task, *run, outcome, now);
         }
         WorkerOrder::Pace {
             worker, task, run, ..
@@ -209,38 +213,38 @@
     }
 }
 
-async fn send_start(shared: &FleetShared, seat: &OwnerSeat, start: &StartOrder) -> OrderEnd {
-    let address = worker_address(seat, start.worker);
-    let deadline = seat
+async fn send_start(shared: &SharedState, term: &OwnerTerm, start: &StartOrder) -> OrderEnd {
+    let address = worker_address(term, start.worker);
+    let deadline = term
         .dispatcher
         .borrow_mut()
         .order_deadline(start.worker, shared.now());
-    let end = match deadline {
+    let outcome = match deadline {
         Some(deadline) => shared.workers.start(&address, start, deadline).await,
         None => OrderEnd::Refused(OrderRefusal::Unsent),
     };
     let now = shared.now();
-    seat.dispatcher
+    term.dispatcher
         .borrow_mut()
-        .start_ended(start.worker, start.task, start.run, end, now);
-    end
+        .start_ended(start.worker, start.task, start.run, outcome, now);
+    outcome
 }
 
-async fn ask_advice(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, wish: AdviceWish) {
+async fn request_advice(shared: Rc<SharedState>, term: Rc<OwnerTerm>, request: AdviceWish) {
     let Some(advice) = &shared.advice else {
         return;
     };
-    let Some(answer) = advice.advise(wish.step, &wish.workers).await else {
+    let Some(answer) = advice.advise(request.step, &request.workers).await else {
         return;
     };
     let until = shared.now() + answer.validity;
-    seat.dispatcher
+    term.dispatcher
         .borrow_mut()
-        .advice_answered(wish.step, answer.tickets, until);
-    seat.plan.notify_one();
+        .advice_answered(request.step, answer.tickets, until);
+    term.plan.notify_one();
 }
 
-fn log_order(shared: &FleetShared, seat: &OwnerSeat, order: &WorkerOrder, end: OrderEnd) {
+fn log_order(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder, outcome: OrderEnd) {
     let (name, worker, task, run) = match order {
         WorkerOrder::Start(start) => ("start", start.worker, start.task, start.run),
         WorkerOrder::Stop { worker, task, run } => ("stop", *worker, *task, *run),
@@ -248,10 +252,10 @@
             worker, task, run, ..
         } => ("pace", *worker, *task, *run),
     };
-    metrics::counter!("jasminebend_fleet_orders_total", "order" => name, "end" => end_name(end))
+    metrics::counter!("jasminebend_fleet_orders_total", "order" => name, "end" => outcome_label(outcome))
         .increment(1);
     let now = shared.now();
-    let dispatcher = seat.dispatcher.borrow();
+    let dispatcher = term.dispatcher.borrow();
     let heard = dispatcher.heard(worker);
     shared.log.line(
         LogEvent::Order,
@@ -260,20 +264,20 @@
             task: task.to_string(),
             run: run.value(),
             worker: &dispatcher.worker_record(worker).id,
-            outcome: format!("{end:?}"),
-            owner_token: seat.token(),
+            outcome: format!("{outcome:?}"),
+            owner_token: term.token(),
             worker_heard_ms: heard.map(|heard| whole_millis(now.saturating_sub(heard))),
             job_age_ms: dispatcher.age(task.job(), now).map(whole_millis),
         },
     );
 }
 
-fn log_note(shared: &FleetShared, seat: &OwnerSeat, note: &DecisionNote) {
-    let dispatcher = seat.dispatcher.borrow();
+fn log_filler_decision(shared: &SharedState, term: &OwnerTerm, note: &DecisionNote) {
+    let dispatcher = term.dispatcher.borrow();
     let fillers = note.fillers.iter();
     shared.log.line(
         LogEvent::Order,
-        GiveWayLine {
+        FillerDecisionLine {
             order: "give_way",
             worker: &dispatcher.worker_record(note.worker).id,
             service: note.service.to_string(),
@@ -288,16 +292,16 @@
     );
 }
 
-fn log_wait(shared: &FleetShared, seat: &OwnerSeat, wait: &WaitNote, now: Duration) {
+fn log_wait(shared: &SharedState, term: &OwnerTerm, wait: &WaitNote, now: Duration) {
     let reasons = wait.reasons;
-    let age = seat.dispatcher.borrow().age(wait.step.job, now);
+    let age = term.dispatcher.borrow().age(wait.step.job, now);
     shared.log.line(
         LogEvent::Wait,
         WaitLine {
             step: wait.step.to_string(),
             missing: wait.missing,
             job_age_ms: age.map(whole_millis),
-            owner_token: seat.token(),
+            owner_token: term.token(),
             processors: reasons.processors,
             memory: reasons.memory,
             leaving: reasons.leaving,
@@ -314,8 +318,8 @@
     );
 }
 
-fn end_name(end: OrderEnd) -> &'static str {
-    match end {
+fn outcome_label(outcome: OrderEnd) -> &'static str {
+    match outcome {
         OrderEnd::Taken => "taken",
         OrderEnd::Refused(_) => "refused",
         OrderEnd::Unknown => "unknown",
--- a/crates/fleet/src/announcement.rs
+++ b/crates/fleet/src/owner_announcement.rs
@@ -14,14 +14,14 @@
 
 use crate::{
     LogEvent,
-    OwnerProbe,
+    ProbeResult,
     fleet_log::whole_millis,
-    fleet_shared::FleetShared,
-    owner_seat::OwnerSeat, //
+    owner_term::OwnerTerm, //
+    shared_state::SharedState,
 };
 
 /// The pause before the announcement is repeated to daemons that did not answer.
-const AGAIN: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 #[derive(Serialize)]
 struct AnnouncementLine {
@@ -36,41 +36,45 @@
 ///
 /// A former owner that has lost the store stays in office while more than half of the members confirm that they know
 /// no newer token. Until half know the new token, workers that have not reported yet may still run its orders.
-pub(crate) async fn announce(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, former_gone: bool) {
-    let begun = shared.now();
-    let mut knowing = HashSet::new();
-    let mut told = false;
-    while !seat.is_over() {
-        tell(&shared, &seat, &mut knowing).await;
-        let is_known = is_known_to_half(&shared, &knowing);
-        wait_for_former(&shared, &seat, former_gone, is_known);
-        if is_known || !told {
-            told = true;
+pub(crate) async fn announce_owner(
+    shared: Rc<SharedState>,
+    term: Rc<OwnerTerm>,
+    former_gone: bool,
+) {
+    let started_at = shared.now();
+    let mut informed = HashSet::new();
+    let mut is_logged = false;
+    while !term.is_over() {
+        probe_members(&shared, &term, &mut informed).await;
+        let is_known = is_known_to_half(&shared, &informed);
+        extend_former_owner_time(&shared, &term, former_gone, is_known);
+        if is_known || !is_logged {
+            is_logged = true;
             shared.log.line(
                 LogEvent::Owner,
                 AnnouncementLine {
                     change: if is_known { "quorum" } else { "no_quorum" },
-                    token: seat.token(),
-                    knowing: knowing.len(),
+                    token: term.token(),
+                    knowing: informed.len(),
                     members: shared.members.borrow().len(),
-                    took_ms: whole_millis(shared.now().saturating_sub(begun)),
+                    took_ms: whole_millis(shared.now().saturating_sub(started_at)),
                 },
             );
         }
         if is_known {
             return;
         }
-        time::sleep(AGAIN).await;
+        time::sleep(RETRY_PAUSE).await;
     }
 }
 
 /// Sends the token to the members that do not know it yet, and waits until half know it or all probes have ended. A
 /// member that refuses connections counts as knowing it: no daemon there can confirm the former owner.
-async fn tell(shared: &FleetShared, seat: &OwnerSeat, knowing: &mut HashSet<String>) {
-    let token = seat.token();
+async fn probe_members(shared: &SharedState, term: &OwnerTerm, informed: &mut HashSet<String>) {
+    let token = term.token();
     let mut probes = JoinSet::new();
     for address in shared.peer_addresses() {
-        if knowing.contains(&address) {
+        if informed.contains(&address) {
             continue;
         }
         let peers = shared.peers.clone();
@@ -84,16 +88,16 @@
             continue;
         };
         match probe {
-            OwnerProbe::Answered(health) => {
-                shared.note_token(health.known_token);
+            ProbeResult::Answered(health) => {
+                shared.observe_token(health.known_token);
                 if health.known_token >= token {
-                    knowing.insert(address);
+                    informed.insert(address);
                 }
             }
-            OwnerProbe::Gone => drop(knowing.insert(address)),
-            OwnerProbe::Silent => {}
+            ProbeResult::ConnectionRefused => drop(informed.insert(address)),
+            ProbeResult::Unanswered => {}
         }
-        if is_known_to_half(shared, knowing) {
+        if is_known_to_half(shared, informed) {
             // The remaining probes still deliver the token.
             probes.detach_all();
             return;
@@ -102,21 +106,26 @@
 }
 
 /// Returns whether at least half of the members, this daemon included, know the new owner.
-fn is_known_to_half(shared: &FleetShared, knowing: &HashSet<String>) -> bool {
+fn is_known_to_half(shared: &SharedState, informed: &HashSet<String>) -> bool {
     let members = shared.members.borrow();
     let known = members
         .values()
-        .filter(|member| member.node == shared.settings.node || knowing.contains(&member.address));
+        .filter(|member| member.node == shared.settings.node || informed.contains(&member.address));
     known.count() * 2 >= members.len()
 }
 
-fn wait_for_former(shared: &FleetShared, seat: &OwnerSeat, former_gone: bool, is_known: bool) {
+fn extend_former_owner_time(
+    shared: &SharedState,
+    term: &OwnerTerm,
+    former_gone: bool,
+    is_known: bool,
+) {
     let now = shared.now();
     if is_known && !former_gone {
-        seat.shared_until
+        term.former_owner_until
             .set(now + shared.settings.dispatch.unconfirmed);
     }
-    let mut dispatcher = seat.dispatcher.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
     let until = now + dispatcher.inheritance(former_gone);
     dispatcher.extend_inheritance(until);
 }
--- a/crates/fleet/src/owner_seat.rs
+++ b/crates/fleet/src/owner_term.rs
@@ -29,7 +29,7 @@
 
 /// State of this daemon's term as the owner of the jobs and workers. A term begins when the daemon writes the owner's
 /// row with a new fencing token, and is over for good once another owner is known.
-pub(crate) struct OwnerSeat {
+pub(crate) struct OwnerTerm {
     /// The owner's row as this daemon wrote it.
     pub(crate) record: OwnerRecord,
     /// The guard that requires the owner's row to be the one that began this term.
@@ -38,7 +38,7 @@
     /// The store's versions of the jobs' progress rows.
     pub(crate) progress_versions: RefCell<HashMap<JobKey, u64>>,
     /// The workers whose leases are being renewed.
-    pub(crate) attended: RefCell<HashSet<WorkerKey>>,
+    pub(crate) renewed_workers: RefCell<HashSet<WorkerKey>>,
     /// Wakes the task that plans orders.
     pub(crate) plan: Notify,
     /// Wakes the task that commits progress.
@@ -46,11 +46,11 @@
     /// The number of progress commits so far.
     pub(crate) committed: watch::Sender<u64>,
     /// The number of rows in which the former owner recorded its workers.
-    pub(crate) kept_rows: Cell<usize>,
+    pub(crate) worker_row_count: Cell<usize>,
     /// Whether the set of workers has changed since it was last recorded.
     pub(crate) workers_changed: Cell<bool>,
     /// Until when a former owner may act without knowing that it was replaced, by the monotonic clock.
-    pub(crate) shared_until: Cell<Duration>,
+    pub(crate) former_owner_until: Cell<Duration>,
     /// Whether all records have been read from the store.
     pub(crate) loaded: Cell<bool>,
     /// When the last call was sent whose answer confirmed the term.
@@ -58,7 +58,7 @@
     over: watch::Sender<bool>,
 }
 
-impl OwnerSeat {
+impl OwnerTerm {
     pub(crate) fn new(
         record: OwnerRecord,
         guard: RowGuard,
@@ -70,21 +70,21 @@
             guard,
             dispatcher: RefCell::new(dispatcher),
             progress_versions: RefCell::new(HashMap::new()),
-            attended: RefCell::new(HashSet::new()),
+            renewed_workers: RefCell::new(HashSet::new()),
             plan: Notify::new(),
             commit: Notify::new(),
             committed: watch::Sender::new(0),
-            kept_rows: Cell::new(0),
+            worker_row_count: Cell::new(0),
             workers_changed: Cell::new(true),
-            shared_until: Cell::new(Duration::ZERO),
+            former_owner_until: Cell::new(Duration::ZERO),
             loaded: Cell::new(false),
             confirmed: Cell::new(now),
             over: watch::Sender::new(false),
         }
     }
 
-    pub(crate) fn with_shared_until(self, until: Duration) -> Self {
-        self.shared_until.set(until);
+    pub(crate) fn with_former_owner_until(self, until: Duration) -> Self {
+        self.former_owner_until.set(until);
         self
     }
 
--- a/crates/fleet/src/owner_work.rs
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -23,37 +23,37 @@
     RegistryChange,
     RowCommit,
     StoreError,
-    announcement::announce,
-    commit_work::commit_ends,
-    confirm_work::confirm_seat,
-    fleet_shared::{
-        FleetShared,
+    job_watch::{
+        JobWatchPosition,
+        apply_job_row,
+        read_jobs, //
+        watch_jobs,
+    },
+    maintenance_waves::carry_out_waves, //
+    member_expiry::expire_members,
+    member_watch::apply_owner_row,
+    operator_watch::configure_dispatcher,
+    order_planning::plan_orders,
+    owner_announcement::announce_owner,
+    owner_term::OwnerTerm,
+    pool_usage_log::report_pool_usage,
+    progress_commits::commit_progress,
+    registry_watch::watch_registry,
+    shared_state::{
         OWNER_KEY,
         SHARD_PART, //
+        SharedState,
     },
-    kept_knowledge::{
-        keep_knowledge,
-        kept_workers,
+    takeover_records::{
+        decode_workers,
         restore_learned, //
+        write_takeover_records,
     },
-    member_expiry::expire_members,
-    member_watch::note_owner,
-    operator_watch::inform_seat,
-    owner_jobs::{
-        KnownJobs,
-        follow_jobs,
-        note_job_row,
-        read_jobs, //
-    },
-    owner_registry::follow_registry,
-    owner_seat::OwnerSeat,
-    plan_work::plan_orders,
-    pool_watch::watch_pools,
-    upkeep_work::carry_waves, //
+    term_confirmation::confirm_term,
 };
 
 #[derive(Serialize)]
-struct TakeOverLine<'a> {
+struct TakeoverLine<'a> {
     change: &'static str,
     token: u64,
     former: &'a str,
@@ -64,50 +64,59 @@
 }
 
 /// Takes over the ownership: writes the owner's row, reads all records, then starts the owner's tasks.
-pub(crate) async fn take_over(shared: &Rc<FleetShared>) {
-    let begun = shared.now();
-    let former_gone = shared.succession.borrow().former_is_gone();
-    let Some((seat, former)) = claim(shared, former_gone).await else {
+pub(crate) async fn take_over(shared: &Rc<SharedState>) {
+    let started_at = shared.now();
+    let former_gone = shared.succession.borrow().is_former_owner_gone();
+    let Some((term, former)) = claim_ownership(shared, former_gone).await else {
         return;
     };
-    tokio::task::spawn_local(announce(Rc::clone(shared), Rc::clone(&seat), former_gone));
+    tokio::task::spawn_local(announce_owner(
+        Rc::clone(shared),
+        Rc::clone(&term),
+        former_gone,
+    ));
     let mut after = None;
-    while after.is_none() && !seat.is_over() {
-        after = read_records(shared, &seat, former_gone).await.ok();
+    while after.is_none() && !term.is_over() {
+        after = read_records(shared, &term, former_gone).await.ok();
         if after.is_none() {
-            shared.store.pause().await;
+            shared.store.wait_to_retry().await;
         }
     }
     let Some((jobs, registry_after)) = after else {
         return;
     };
-    seat.loaded.set(true);
-    inform_seat(shared);
+    term.loaded.set(true);
+    configure_dispatcher(shared);
     {
-        let dispatcher = seat.dispatcher.borrow();
+        let dispatcher = term.dispatcher.borrow();
         shared.log.line(
             LogEvent::Owner,
-            TakeOverLine {
+            TakeoverLine {
                 change: "acting",
-                token: seat.token(),
+                token: term.token(),
                 former: &former,
                 former_gone,
-                took_ms: shared.now().saturating_sub(begun).as_secs_f64() * 1000.0,
+                took_ms: shared.now().saturating_sub(started_at).as_secs_f64() * 1000.0,
                 jobs: dispatcher.live_jobs(),
                 workers: dispatcher.worker_count(),
             },
         );
     }
-    tokio::task::spawn_local(act(Rc::clone(shared), seat, jobs, registry_after));
+    tokio::task::spawn_local(run_owner_tasks(
+        Rc::clone(shared),
+        term,
+        jobs,
+        registry_after,
+    ));
 }
 
-async fn claim(shared: &Rc<FleetShared>, former_gone: bool) -> Option<(Rc<OwnerSeat>, String)> {
+async fn claim_ownership(
+    shared: &Rc<SharedState>,
+    former_gone: bool,
+) -> Option<(Rc<OwnerTerm>, String)> {
     let (former, version) = {
         let succession = shared.succession.borrow();
-        (
-            succession.known_record().cloned(),
-            shared.owner_version.get(),
-        )
+        (succession.owner_row().cloned(), shared.owner_version.get())
     };
     let record = OwnerRecord {
         node: shared.settings.node.clone(),
@@ -126,7 +135,7 @@
     let version = match shared.store.commit(commit).await {
         Ok(CommitAnswer::Done(version)) => version,
         Ok(CommitAnswer::Conflict(rows)) => {
-            note_owner(shared, rows.first().filter(|row| row.version > 0));
+            apply_owner_row(shared, rows.first().filter(|row| row.version > 0));
             return None;
         }
         // If the write was applied after all, the watch shows it, and this daemon then replaces its own row.
@@ -134,59 +143,60 @@
     };
     let guard = row.guard(version);
     let written = FleetRow { version, ..row };
-    note_owner(shared, Some(&written));
+    apply_owner_row(shared, Some(&written));
     let dispatcher = Dispatcher::new(record.token, shared.settings.dispatch);
-    let shared_until = match former_gone {
+    let former_owner_until = match former_gone {
         true => Duration::ZERO,
         false => Duration::MAX,
     };
-    let seat = OwnerSeat::new(record, guard, dispatcher, sent).with_shared_until(shared_until);
-    let seat = Rc::new(seat);
-    *shared.seat.borrow_mut() = Some(Rc::clone(&seat));
+    let term =
+        OwnerTerm::new(record, guard, dispatcher, sent).with_former_owner_until(former_owner_until);
+    let term = Rc::new(term);
+    *shared.term.borrow_mut() = Some(Rc::clone(&term));
     let former = former.map_or_else(String::new, |owner| owner.node);
-    Some((seat, former))
+    Some((term, former))
 }
 
 /// Reads workers, jobs and their progress; returns the points from which to watch the jobs and the registry.
 async fn read_records(
-    shared: &Rc<FleetShared>,
-    seat: &Rc<OwnerSeat>,
+    shared: &Rc<SharedState>,
+    term: &Rc<OwnerTerm>,
     former_gone: bool,
-) -> Result<(KnownJobs, u64), StoreError> {
-    let first = seat.token() == 1;
+) -> Result<(JobWatchPosition, u64), StoreError> {
+    let is_first_owner = term.token() == 1;
     let store = &shared.store;
-    let registry = store.call(store.raw().read_registry()).await?;
+    let registry = store.call(store.port().read_registry()).await?;
     let (progress, _) = shared
         .store
         .read_all(FleetTable::Progress, SHARD_PART, "", None)
         .await?;
     let (jobs, known) = read_jobs(shared).await?;
     let now = shared.now();
-    let mut dispatcher = seat.dispatcher.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
     let until = now + dispatcher.inheritance(former_gone);
     // The dispatcher learns the demand of short work, per pool, from the jobs read below; it needs the queues first.
     if let Some(configuration) = shared.configuration() {
         dispatcher.configure(configuration);
     }
     restore_learned(&mut dispatcher, &progress);
-    let (kept, rows) = kept_workers(&progress);
-    seat.kept_rows.set(rows);
-    for worker in kept {
+    let (recorded_workers, rows) = decode_workers(&progress);
+    term.worker_row_count.set(rows);
+    for worker in recorded_workers {
         let id = Arc::clone(&worker.id);
         dispatcher.list_worker(worker, Some(until));
         dispatcher.unlist_worker(&id);
     }
     for change in registry.items {
         if let RegistryChange::Listed(worker) = change {
-            dispatcher.list_worker(worker, (!first).then_some(until));
+            dispatcher.list_worker(worker, (!is_first_owner).then_some(until));
         }
     }
     drop(dispatcher);
     for row in &jobs {
-        note_job_row(shared, seat, row, true);
+        apply_job_row(shared, term, row, true);
     }
-    let mut dispatcher = seat.dispatcher.borrow_mut();
-    let mut versions = seat.progress_versions.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    let mut versions = term.progress_versions.borrow_mut();
     for row in &progress {
         let record = postcard::from_bytes::<ProgressRecord>(&row.value);
         if let (Ok(key), Ok(record)) = (row.key.parse::<JobKey>(), record) {
@@ -198,32 +208,37 @@
 }
 
 /// Runs the owner's tasks until the term is over.
-async fn act(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, jobs: KnownJobs, registry_after: u64) {
+async fn run_owner_tasks(
+    shared: Rc<SharedState>,
+    term: Rc<OwnerTerm>,
+    jobs: JobWatchPosition,
+    registry_after: u64,
+) {
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(follow_jobs(Rc::clone(&shared), Rc::clone(&seat), jobs));
-    tasks.spawn_local(follow_registry(
+    tasks.spawn_local(watch_jobs(Rc::clone(&shared), Rc::clone(&term), jobs));
+    tasks.spawn_local(watch_registry(
         Rc::clone(&shared),
-        Rc::clone(&seat),
+        Rc::clone(&term),
         registry_after,
     ));
-    tasks.spawn_local(plan_orders(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(commit_ends(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(keep_knowledge(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(confirm_seat(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(watch_pools(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(carry_waves(Rc::clone(&shared), Rc::clone(&seat)));
-    tasks.spawn_local(expire_members(Rc::clone(&shared), Rc::clone(&seat)));
-    seat.ended().await;
+    tasks.spawn_local(plan_orders(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(commit_progress(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(write_takeover_records(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(confirm_term(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(report_pool_usage(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(carry_out_waves(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(expire_members(Rc::clone(&shared), Rc::clone(&term)));
+    term.ended().await;
     shared.log.line(
         LogEvent::Owner,
-        TakeOverLine {
+        TakeoverLine {
             change: "over",
-            token: seat.token(),
+            token: term.token(),
             former: "",
             former_gone: false,
             took_ms: 0.0,
-            jobs: seat.dispatcher.borrow().live_jobs(),
-            workers: seat.dispatcher.borrow().worker_count(),
+            jobs: term.dispatcher.borrow().live_jobs(),
+            workers: term.dispatcher.borrow().worker_count(),
         },
     );
     tasks.shutdown().await;
--- a/crates/fleet/src/peer_desk.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -18,75 +18,76 @@
     PeerAnswer,
     PeerCall,
     PeerHealth,
-    admission_desk::decide_here,
+    admission_check::decide_as_owner,
     fleet_log::whole_millis,
-    fleet_shared::FleetShared,
     read_body, //
+    shared_state::SharedState,
 };
 
 /// The largest accepted body of a peer's call, in bytes: a caller's body and its envelope.
-const LARGEST_CALL: usize = 4 << 20;
+const MAX_CALL_BYTES: usize = 4 << 20;
 
 /// The HTTP API for other daemons: probes, forwarded requests of callers, and admission decisions.
-pub(crate) struct PeerDesk {
-    shared: Rc<FleetShared>,
+pub(crate) struct PeerApi {
+    shared: Rc<SharedState>,
     desk: Rc<CallerDesk>,
 }
 
-impl PeerDesk {
-    pub(crate) fn new(shared: Rc<FleetShared>, desk: Rc<CallerDesk>) -> Self {
+impl PeerApi {
+    pub(crate) fn new(shared: Rc<SharedState>, desk: Rc<CallerDesk>) -> Self {
         Self { shared, desk }
     }
 
     async fn answer(&self, call: PeerCall) -> PeerAnswer {
         match call {
             PeerCall::Probe { token } => {
-                let may_tell = self.may_tell(token);
-                self.shared.note_token(token);
-                PeerAnswer::Health(self.health(may_tell))
+                let may_report_token = self.may_report_token(token);
+                self.shared.observe_token(token);
+                PeerAnswer::Health(self.health(may_report_token))
             }
             PeerCall::Serve(call) => PeerAnswer::Served(self.desk.answer_for_peer(call).await),
             PeerCall::Admit { key, queue, graph } => {
-                PeerAnswer::Admission(decide_here(&self.shared, key, &queue, &graph))
+                PeerAnswer::Admission(decide_as_owner(&self.shared, key, &queue, &graph))
             }
         }
     }
 
-    /// Returns whether this daemon may report the highest token it knows in answer to a probe with `token`. A daemon that
-    /// has not read the store since its start may have known a newer owner before, and must not confirm an older one.
-    fn may_tell(&self, token: u64) -> bool {
+    /// Returns whether this daemon may report the highest token it knows in answer to a probe with `token`. A daemon
+    /// that has not read the store since its start may have known a newer owner before, and must not confirm an older
+    /// one.
+    fn may_report_token(&self, token: u64) -> bool {
         self.shared.owner_version.get() > 0 || self.shared.highest_token.get() > token
     }
 
-    fn health(&self, may_tell: bool) -> PeerHealth {
+    fn health(&self, may_report_token: bool) -> PeerHealth {
         PeerHealth {
             incarnation: self.shared.incarnation,
-            acting: self.shared.seat().map(|seat| seat.token()),
-            known_token: match may_tell {
+            acting: self.shared.term().map(|term| term.token()),
+            known_token: match may_report_token {
                 true => self.shared.highest_token.get(),
                 false => 0,
             },
-            without_store_ms: whole_millis(self.shared.store.without()),
+            without_store_ms: whole_millis(self.shared.store.failing_for()),
         }
     }
 }
 
 #[async_trait(?Send)]
-impl HttpHandler for PeerDesk {
+impl HttpHandler for PeerApi {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let body = read_body(request.into_body(), LARGEST_CALL).await;
+        let body = read_body(request.into_body(), MAX_CALL_BYTES).await;
         let call = body.ok().and_then(|body| postcard::from_bytes(&body).ok());
         let Some(call) = call else {
-            return status(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         match postcard::to_stdvec(&self.answer(call).await) {
             Ok(bytes) => Response::new(Full::new(Bytes::from(bytes))),
-            Err(_) => status(StatusCode::INTERNAL_SERVER_ERROR),
+            Err(_) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
         }
     }
 }
 
-fn status(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::new()));
     *response.status_mut() = status;
     response
--- a/crates/fleet/src/peer_client.rs
+++ b/crates/fleet/src/peer_client.rs
@@ -19,17 +19,17 @@
     CallerCall,
     HttpFault,
     HttpPool,
-    OwnerProbe,
     PeerAnswer,
     PeerCall, //
+    ProbeResult,
 };
 
 /// How long a probe waits. An owner is taken for silent after three unanswered probes and the pauses between them.
-const PROBE: Duration = Duration::from_millis(400);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why a call to another daemon failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum PeerFault {
+pub(crate) enum PeerCallError {
     /// The call was not sent.
     Unsent,
     /// The call was sent and may have taken effect.
@@ -47,27 +47,30 @@
         Self { pool }
     }
 
-    pub(crate) async fn probe(&self, address: &str, token: u64) -> OwnerProbe {
-        match self.call(address, &PeerCall::Probe { token }, PROBE).await {
-            Ok(PeerAnswer::Health(health)) => OwnerProbe::Answered(health),
-            Ok(PeerAnswer::Served(_) | PeerAnswer::Admission(_)) => OwnerProbe::Silent,
-            Err(HttpFault::Closed) => OwnerProbe::Gone,
-            Err(HttpFault::Unsent | HttpFault::Unanswered) => OwnerProbe::Silent,
+    pub(crate) async fn probe(&self, address: &str, token: u64) -> ProbeResult {
+        match self
+            .call(address, &PeerCall::Probe { token }, PROBE_TIMEOUT)
+            .await
+        {
+            Ok(PeerAnswer::Health(health)) => ProbeResult::Answered(health),
+            Ok(PeerAnswer::Served(_) | PeerAnswer::Admission(_)) => ProbeResult::Unanswered,
+            Err(HttpFault::Closed) => ProbeResult::ConnectionRefused,
+            Err(HttpFault::Unsent | HttpFault::Unanswered) => ProbeResult::Unanswered,
         }
     }
 
-    pub(crate) async fn serve(
+    pub(crate) async fn forward_request(
         &self,
         address: &str,
         call: CallerCall,
-        patience: Duration,
-    ) -> Result<CallerAnswer, PeerFault> {
-        match self.call(address, &PeerCall::Serve(call), patience).await {
+        timeout: Duration,
+    ) -> Result<CallerAnswer, PeerCallError> {
+        match self.call(address, &PeerCall::Serve(call), timeout).await {
             Ok(PeerAnswer::Served(answer)) => Ok(answer),
             Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpFault::Unanswered) => {
-                Err(PeerFault::Unanswered)
+                Err(PeerCallError::Unanswered)
             }
-            Err(HttpFault::Closed | HttpFault::Unsent) => Err(PeerFault::Unsent),
+            Err(HttpFault::Closed | HttpFault::Unsent) => Err(PeerCallError::Unsent),
         }
     }
 
@@ -78,14 +81,14 @@
         key: JobKey,
         queue: &str,
         graph: &JobGraph,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Admission> {
         let call = PeerCall::Admit {
             key,
             queue: queue.to_owned(),
             graph: graph.clone(),
         };
-        match self.call(address, &call, patience).await {
+        match self.call(address, &call, timeout).await {
             Ok(PeerAnswer::Admission(admission)) => admission,
             Ok(_) | Err(_) => None,
         }
--- a/crates/fleet/src/peer_order.rs
+++ b/crates/fleet/src/peer_order.rs
@@ -6,7 +6,7 @@
 
 /// How long a daemon that left a call unanswered comes after all others. A daemon that was replaced stays listed, and
 /// a call to it delays a caller until the call times out.
-const ASKED_LAST_FOR: Duration = Duration::from_secs(10);
+const DEMOTION_TIME: Duration = Duration::from_secs(10);
 
 /// Orders the daemons to which a caller's request can be forwarded: those that recently left a call unanswered come
 /// last.
@@ -18,15 +18,15 @@
 
 impl PeerOrder {
     /// Records that the daemon at `address` left a call unanswered at `now`.
-    pub fn note_silence(&mut self, address: &str, now: Duration) {
+    pub fn record_silence(&mut self, address: &str, now: Duration) {
         // Expired entries are removed here, so that replaced daemons don't accumulate.
         self.silent
-            .retain(|_, silent| now < *silent + ASKED_LAST_FOR);
+            .retain(|_, silent| now < *silent + DEMOTION_TIME);
         self.silent.insert(address.to_owned(), now);
     }
 
     /// Records that the daemon at `address` answered.
-    pub fn note_answer(&mut self, address: &str) {
+    pub fn record_answer(&mut self, address: &str) {
         self.silent.swap_remove(address);
     }
 
@@ -35,7 +35,7 @@
         addresses.sort_by_key(|address| {
             self.silent
                 .get(address)
-                .is_some_and(|silent| now < *silent + ASKED_LAST_FOR)
+                .is_some_and(|silent| now < *silent + DEMOTION_TIME)
         });
     }
 }
--- a/crates/fleet/src/pool_watch.rs
+++ b/crates/fleet/src/pool_usage_log.rs
@@ -14,16 +14,16 @@
 
 use crate::{
     LogEvent,
-    fleet_shared::FleetShared,
-    owner_seat::OwnerSeat, //
+    owner_term::OwnerTerm, //
+    shared_state::SharedState,
 };
 
 /// The interval between two reports.
-const TELL_EVERY: Duration = Duration::from_millis(1000);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// The CPU amounts of a pool that each kind of work holds and waits for, in thousandths of a core.
 #[derive(Serialize)]
-struct PoolLine<'a> {
+struct PoolUsageLine<'a> {
     pool: &'a str,
     workers: usize,
     capacity: u64,
@@ -37,23 +37,23 @@
 }
 
 /// Reports the usage of the pools at intervals, until the term is over.
-pub(crate) async fn watch_pools(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn report_pool_usage(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
-        time::sleep(TELL_EVERY).await;
-        let pools = seat.dispatcher.borrow().pool_use(shared.now());
+        time::sleep(REPORT_INTERVAL).await;
+        let pools = term.dispatcher.borrow().pool_use(shared.now());
         for pool in &pools {
-            tell(&shared, &seat, pool);
+            report_pool(&shared, &term, pool);
         }
     }
 }
 
-fn tell(shared: &FleetShared, seat: &OwnerSeat, pool: &PoolUse) {
-    gauge(pool, "long_running", pool.long_running);
-    gauge(pool, "short", pool.short);
-    gauge(pool, "filler", pool.filler);
+fn report_pool(shared: &SharedState, term: &OwnerTerm, pool: &PoolUse) {
+    set_gauges(pool, "long_running", pool.long_running);
+    set_gauges(pool, "short", pool.short);
+    set_gauges(pool, "filler", pool.filler);
     shared.log.line(
         LogEvent::Pool,
-        PoolLine {
+        PoolUsageLine {
             pool: &pool.pool,
             workers: pool.workers,
             capacity: pool.capacity,
@@ -63,12 +63,12 @@
             short_wanted: pool.short.wanted,
             filler: pool.filler.held,
             filler_wanted: pool.filler.wanted,
-            owner_token: seat.token(),
+            owner_token: term.token(),
         },
     );
 }
 
-fn gauge(pool: &PoolUse, kind: &'static str, share: WorkShare) {
+fn set_gauges(pool: &PoolUse, kind: &'static str, share: WorkShare) {
     let name = pool.pool.to_string();
     // CAST: Exact up to 2^53 thousandths of a core.
     metrics::gauge!("jasminebend_fleet_pool_held_millis", "pool" => name.clone(), "kind" => kind)
--- a/crates/fleet/src/commit_work.rs
+++ b/crates/fleet/src/progress_commits.rs
@@ -19,21 +19,21 @@
     LogEvent,
     RowCommit,
     fleet_log::whole_millis,
-    fleet_shared::FleetShared,
-    member_watch::note_owner,
-    owner_seat::OwnerSeat,
-    plan_work::progress_row, //
+    member_watch::apply_owner_row,
+    order_planning::progress_row, //
+    owner_term::OwnerTerm,
+    shared_state::SharedState,
 };
 
 /// The most jobs in a commit: each needs a guard and a write, and the store accepts 100 entries.
-const JOBS_AT_ONCE: usize = 45;
+const MAX_JOBS_PER_COMMIT: usize = 45;
 /// How long progress is collected before a commit: callers wait for it, but each commit is an expensive call.
-const GATHER: Duration = Duration::from_millis(6);
+const COMMIT_DELAY: Duration = Duration::from_millis(6);
 /// The longest time between two checks for progress to commit.
-const EVERY: Duration = Duration::from_millis(200);
+const LONGEST_COMMIT_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Serialize)]
-struct JobLine {
+struct JobOutcomeLine {
     job: String,
     outcome: String,
     owner_token: u64,
@@ -42,37 +42,40 @@
 }
 
 /// Commits the progress of jobs until the term is over.
-pub(crate) async fn commit_ends(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn commit_progress(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
         // After the timeout the progress of a failed commit may still have to be committed.
-        drop(time::timeout(EVERY, seat.commit.notified()).await);
-        time::sleep(GATHER).await;
-        let records = seat.dispatcher.borrow_mut().take_commit(JOBS_AT_ONCE);
+        drop(time::timeout(LONGEST_COMMIT_INTERVAL, term.commit.notified()).await);
+        time::sleep(COMMIT_DELAY).await;
+        let records = term
+            .dispatcher
+            .borrow_mut()
+            .take_commit(MAX_JOBS_PER_COMMIT);
         if records.is_empty() {
             continue;
         }
-        let commit = build(&seat, &records);
+        let commit = build_commit(&term, &records);
         let sent = shared.now();
         match shared.store.commit(commit).await {
             Ok(CommitAnswer::Done(version)) => {
-                seat.confirm(sent);
-                note_done(&shared, &seat, &records, version);
+                term.confirm(sent);
+                handle_applied(&shared, &term, &records, version);
             }
-            Ok(CommitAnswer::Conflict(rows)) => note_conflict(&shared, &seat, &rows),
+            Ok(CommitAnswer::Conflict(rows)) => handle_conflict(&shared, &term, &rows),
             Err(_) => {
                 // If the commit was applied after all, the next attempt conflicts with the versions that it wrote.
-                seat.dispatcher.borrow_mut().note_uncommitted();
-                shared.store.pause().await;
-                seat.commit.notify_one();
+                term.dispatcher.borrow_mut().note_uncommitted();
+                shared.store.wait_to_retry().await;
+                term.commit.notify_one();
             }
         }
     }
 }
 
-fn build(seat: &OwnerSeat, records: &[(JobKey, ProgressRecord)]) -> RowCommit {
-    let versions = seat.progress_versions.borrow();
+fn build_commit(term: &OwnerTerm, records: &[(JobKey, ProgressRecord)]) -> RowCommit {
+    let versions = term.progress_versions.borrow();
     let mut commit = RowCommit {
-        guards: vec![seat.guard.clone()],
+        guards: vec![term.guard.clone()],
         writes: Vec::with_capacity(records.len()),
     };
     for (key, record) in records {
@@ -87,15 +90,15 @@
     commit
 }
 
-fn note_done(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+fn handle_applied(
+    shared: &SharedState,
+    term: &OwnerTerm,
     records: &[(JobKey, ProgressRecord)],
     version: u64,
 ) {
-    let mut versions = seat.progress_versions.borrow_mut();
+    let mut versions = term.progress_versions.borrow_mut();
     let now = shared.now();
-    let mut dispatcher = seat.dispatcher.borrow_mut();
+    let mut dispatcher = term.dispatcher.borrow_mut();
     dispatcher.note_committed();
     for (key, record) in records {
         versions.insert(*key, version);
@@ -108,38 +111,38 @@
         }
         shared.log.line(
             LogEvent::Job,
-            JobLine {
+            JobOutcomeLine {
                 job: key.to_string(),
                 outcome: outcome.to_string(),
-                owner_token: seat.token(),
+                owner_token: term.token(),
                 store_version: version,
                 age_ms: age.map(whole_millis),
             },
         );
     }
     drop(dispatcher);
-    seat.committed.send_modify(|count| *count += 1);
-    if seat.dispatcher.borrow().wants_commit() {
-        seat.commit.notify_one();
+    term.committed.send_modify(|count| *count += 1);
+    if term.dispatcher.borrow().wants_commit() {
+        term.commit.notify_one();
     }
 }
 
 /// Handles a guard that did not hold: another daemon has become the owner, or an earlier attempt of this daemon, whose
 /// outcome was unknown, was applied.
-fn note_conflict(shared: &FleetShared, seat: &OwnerSeat, rows: &[FleetRow]) {
-    seat.dispatcher.borrow_mut().note_uncommitted();
-    let owner = rows.iter().find(|row| row.key == seat.guard.key);
-    let replaced = owner.is_none_or(|row| row.version != seat.guard.version);
+fn handle_conflict(shared: &SharedState, term: &OwnerTerm, rows: &[FleetRow]) {
+    term.dispatcher.borrow_mut().note_uncommitted();
+    let owner = rows.iter().find(|row| row.key == term.guard.key);
+    let replaced = owner.is_none_or(|row| row.version != term.guard.version);
     if replaced {
-        note_owner(shared, owner);
-        seat.depose();
+        apply_owner_row(shared, owner);
+        term.depose();
         return;
     }
-    let mut versions = seat.progress_versions.borrow_mut();
+    let mut versions = term.progress_versions.borrow_mut();
     for row in rows.iter().filter(|row| row.table == FleetTable::Progress) {
         if let Ok(key) = row.key.parse() {
             versions.insert(key, row.version);
         }
     }
-    seat.commit.notify_one();
+    term.commit.notify_one();
 }
--- a/crates/fleet/src/owner_registry.rs
+++ b/crates/fleet/src/registry_watch.rs
@@ -15,60 +15,60 @@
     LogEvent,
     RegistryChange,
     StoreError,
-    fleet_shared::{
-        FleetShared,
+    lease_renewal::renew_lease, //
+    monitored_store::WatchedRows,
+    owner_term::OwnerTerm,
+    shared_state::{
+        SharedState,
         WATCH_WAIT, //
     },
-    owner_seat::OwnerSeat,
-    store_link::WatchedRows,
-    worker_work::attend_worker, //
 };
 
 /// The pause between two watches of the registry. Heartbeats change it all the time and each call is expensive, but a
 /// worker that leaves must be known within two seconds.
-const REGISTRY_EVERY: Duration = Duration::from_millis(400);
+const REGISTRY_WATCH_PAUSE: Duration = Duration::from_millis(400);
 
 /// Watches the registry until the future is dropped, and starts renewing the lease of each listed worker.
-pub(crate) async fn follow_registry(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>, after: u64) {
+pub(crate) async fn watch_registry(shared: Rc<SharedState>, term: Rc<OwnerTerm>, after: u64) {
     let mut after = Some(after);
     let mut tasks = JoinSet::new();
     loop {
-        attend_new(&shared, &seat, &mut tasks);
+        start_lease_renewals(&shared, &term, &mut tasks);
         while tasks.try_join_next().is_some() {}
         let store = &shared.store;
         let result = match after {
             Some(after) => {
-                let call = store.raw().watch_registry(after, WATCH_WAIT);
+                let call = store.port().watch_registry(after, WATCH_WAIT);
                 store.watch(WatchedRows::Registry, call).await
             }
-            None => store.call(store.raw().read_registry()).await,
+            None => store.call(store.port().read_registry()).await,
         };
         match result {
             Ok(page) => {
-                let whole = after.is_none();
+                let is_full_read = after.is_none();
                 after = Some(page.version);
-                if note_registry(&shared, &seat, page.items, whole) {
-                    seat.workers_changed.set(true);
-                    seat.plan.notify_one();
+                if apply_registry_changes(&shared, &term, page.items, is_full_read) {
+                    term.workers_changed.set(true);
+                    term.plan.notify_one();
                 }
-                time::sleep(REGISTRY_EVERY).await;
+                time::sleep(REGISTRY_WATCH_PAUSE).await;
             }
             Err(StoreError::Forgotten) => after = None,
-            Err(_) => shared.store.pause().await,
+            Err(_) => shared.store.wait_to_retry().await,
         }
     }
 }
 
 /// Applies changes of the registry; returns whether any was more than a heartbeat.
-fn note_registry(
-    shared: &FleetShared,
-    seat: &OwnerSeat,
+fn apply_registry_changes(
+    shared: &SharedState,
+    term: &OwnerTerm,
     changes: Vec<RegistryChange>,
-    whole: bool,
+    is_full_read: bool,
 ) -> bool {
-    let mut changed = whole;
-    let mut dispatcher = seat.dispatcher.borrow_mut();
-    if whole {
+    let mut changed = is_full_read;
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    if is_full_read {
         dispatcher.unlist_all();
     }
     for change in changes {
@@ -116,12 +116,12 @@
 }
 
 /// Starts a lease renewal task for each worker that has none yet.
-fn attend_new(shared: &Rc<FleetShared>, seat: &Rc<OwnerSeat>, tasks: &mut JoinSet<()>) {
-    let wanted = seat.dispatcher.borrow().attended_workers();
+fn start_lease_renewals(shared: &Rc<SharedState>, term: &Rc<OwnerTerm>, tasks: &mut JoinSet<()>) {
+    let wanted = term.dispatcher.borrow().attended_workers();
     for key in wanted {
-        if !seat.attended.borrow_mut().insert(key) {
+        if !term.renewed_workers.borrow_mut().insert(key) {
             continue;
         }
-        tasks.spawn_local(attend_worker(Rc::clone(shared), Rc::clone(seat), key));
+        tasks.spawn_local(renew_lease(Rc::clone(shared), Rc::clone(term), key));
     }
 }
--- a/crates/fleet/src/fleet_shared.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -33,16 +33,16 @@
     PeerOrder,
     Succession,
     WaveRequest,
-    owner_seat::OwnerSeat,
-    peer_client::PeerFault,
-    store_link::StoreLink, //
+    monitored_store::MonitoredStore, //
+    owner_term::OwnerTerm,
+    peer_client::PeerCallError,
 };
 
 /// The store's part that holds the owner's row and the progress rows; all jobs form one shard.
 pub(crate) const SHARD_PART: &str = "s0";
 /// The number of parts that hold jobs' rows. A part executes its transactions one after another; while the store
 /// is slow, each takes 60 times as long, and a single part would accept only six jobs a second.
-pub(crate) const JOB_PARTS: u8 = 16;
+pub(crate) const JOB_PART_COUNT: u8 = 16;
 /// The part that holds the members' rows.
 pub(crate) const MEMBERS_PART: &str = "members";
 /// The key of the owner's row.
@@ -50,26 +50,26 @@
 /// The key of the row with the learned interference between services and fillers.
 pub(crate) const LEARNED_KEY: &str = "learned";
 /// The prefix of the keys of rows that list the workers an owner has sent orders to.
-pub(crate) const WORKERS_KEY: &str = "workers-";
+pub(crate) const WORKERS_KEY_PREFIX: &str = "workers-";
 /// The suffix that turns a job's key into the key of its cancellation.
-pub(crate) const CANCEL_SUFFIX: &str = ".c";
+pub(crate) const CANCELLATION_SUFFIX: &str = ".c";
 /// How long a watch of the store waits for a change. A silent connection is noticed only when the answer is
 /// overdue, and a configuration must be in force within two seconds.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_millis(1000);
 
 /// The distance between the numbers of the parts that may hold a job's rows.
-const PART_STRIDE: u8 = 5;
+const JOB_PART_STRIDE: u8 = 5;
 
 /// Returns the parts that may hold a job's rows, in the order in which a write tries them: each later part takes the
 /// rows only while the earlier ones can't be written.
-pub(crate) fn parts_of_job(key: JobKey) -> [String; 3] {
-    let first = key.spread(JOB_PARTS);
-    [0, 1, 2].map(|turn| part_name((first + turn * PART_STRIDE) % JOB_PARTS))
+pub(crate) fn job_row_parts(key: JobKey) -> [String; 3] {
+    let first = key.spread(JOB_PART_COUNT);
+    [0, 1, 2].map(|turn| part_name((first + turn * JOB_PART_STRIDE) % JOB_PART_COUNT))
 }
 
 /// Returns all parts that hold jobs' rows.
-pub(crate) fn job_parts() -> impl Iterator<Item = String> {
-    (0..JOB_PARTS).map(part_name)
+pub(crate) fn all_job_parts() -> impl Iterator<Item = String> {
+    (0..JOB_PART_COUNT).map(part_name)
 }
 
 fn part_name(number: u8) -> String {
@@ -78,39 +78,39 @@
 
 /// The operator's configuration and requests, as last read from the store.
 #[derive(Debug, Default)]
-pub(crate) struct OperatorView {
+pub(crate) struct OperatorState {
     pub(crate) configuration: Option<Arc<FleetConfiguration>>,
     pub(crate) closed: BTreeSet<DomainName>,
     pub(crate) waves: IndexMap<u64, WaveRequest>,
     /// When the store last answered a read or a watch of the operator's rows, by the monotonic clock.
-    pub(crate) known_at: Option<Duration>,
+    pub(crate) confirmed_at: Option<Duration>,
 }
 
 /// State that all tasks of a daemon share. One thread runs them all.
-pub(crate) struct FleetShared {
+pub(crate) struct SharedState {
     pub(crate) settings: FleetSettings,
     pub(crate) incarnation: u64,
     pub(crate) clock: Rc<dyn ClockSource>,
-    pub(crate) store: StoreLink,
+    pub(crate) store: MonitoredStore,
     pub(crate) workers: Rc<dyn FleetWorkers>,
     pub(crate) advice: Option<Rc<dyn FleetAdvice>>,
     pub(crate) vms: Option<Rc<dyn FleetVms>>,
     pub(crate) peers: PeerClient,
     pub(crate) peer_order: RefCell<PeerOrder>,
     pub(crate) log: FleetLog,
-    pub(crate) operator: RefCell<OperatorView>,
+    pub(crate) operator: RefCell<OperatorState>,
     pub(crate) succession: RefCell<Succession>,
     pub(crate) members: RefCell<IndexMap<String, MemberRecord>>,
     /// The store's version of the owner's row as last read; 0 before the first read.
     pub(crate) owner_version: Cell<u64>,
     /// The highest fencing token seen in the store or reported by a peer.
     pub(crate) highest_token: Cell<u64>,
-    pub(crate) seat: RefCell<Option<Rc<OwnerSeat>>>,
+    pub(crate) term: RefCell<Option<Rc<OwnerTerm>>>,
     /// Becomes true when the daemon is to stop.
     pub(crate) stop: watch::Receiver<bool>,
 }
 
-impl FleetShared {
+impl SharedState {
     pub(crate) fn now(&self) -> Duration {
         self.clock.monotonic()
     }
@@ -133,24 +133,24 @@
 
     /// Returns the time since the store last confirmed the configuration; `None` before the first read.
     pub(crate) fn configuration_age(&self) -> Option<Duration> {
-        let known_at = self.operator.borrow().known_at?;
-        Some(self.now().saturating_sub(known_at))
+        let confirmed_at = self.operator.borrow().confirmed_at?;
+        Some(self.now().saturating_sub(confirmed_at))
     }
 
     /// Returns the owner's term if this daemon owns the jobs and has not been replaced.
-    pub(crate) fn seat(&self) -> Option<Rc<OwnerSeat>> {
-        let seat = self.seat.borrow();
-        seat.as_ref().filter(|seat| !seat.is_over()).cloned()
+    pub(crate) fn term(&self) -> Option<Rc<OwnerTerm>> {
+        let term = self.term.borrow();
+        term.as_ref().filter(|term| !term.is_over()).cloned()
     }
 
     /// Returns the owner's term once all records were read; before that it would report existing jobs as missing.
-    pub(crate) fn knowing_seat(&self) -> Option<Rc<OwnerSeat>> {
-        self.seat().filter(|seat| seat.loaded.get())
+    pub(crate) fn loaded_term(&self) -> Option<Rc<OwnerTerm>> {
+        self.term().filter(|term| term.loaded.get())
     }
 
     /// Returns whether the owner may send orders: its term was confirmed recently enough.
-    pub(crate) fn may_order(&self, seat: &OwnerSeat) -> bool {
-        !seat.is_over() && seat.unconfirmed(self.now()) < self.settings.dispatch.unconfirmed
+    pub(crate) fn may_order(&self, term: &OwnerTerm) -> bool {
+        !term.is_over() && term.unconfirmed(self.now()) < self.settings.dispatch.unconfirmed
     }
 
     /// Returns the owner's address if the owner is another daemon.
@@ -173,28 +173,28 @@
     }
 
     /// Forwards a caller's request to another daemon and waits for its answer for `timeout` at most.
-    pub(crate) async fn ask_peer(
+    pub(crate) async fn forward_to_peer(
         &self,
         address: &str,
         call: CallerCall,
-        patience: Duration,
-    ) -> Result<CallerAnswer, PeerFault> {
-        let answer = self.peers.serve(address, call, patience).await;
+        timeout: Duration,
+    ) -> Result<CallerAnswer, PeerCallError> {
+        let answer = self.peers.forward_request(address, call, timeout).await;
         let mut order = self.peer_order.borrow_mut();
         match answer {
-            Ok(_) => order.note_answer(address),
-            Err(_) => order.note_silence(address, self.now()),
+            Ok(_) => order.record_answer(address),
+            Err(_) => order.record_silence(address, self.now()),
         }
         answer
     }
 
     /// Records a fencing token; ends this daemon's term as the owner if the token is newer.
-    pub(crate) fn note_token(&self, token: u64) {
+    pub(crate) fn observe_token(&self, token: u64) {
         self.highest_token.set(self.highest_token.get().max(token));
-        if let Some(seat) = self.seat()
-            && seat.token() < token
+        if let Some(term) = self.term()
+            && term.token() < token
         {
-            seat.depose();
+            term.depose();
         }
     }
 }
--- a/crates/fleet/src/store_health.rs
+++ b/crates/fleet/src/store_health.rs
@@ -21,7 +21,7 @@
     }
 
     /// Records the answer to a call sent at `sent`; returns whether it ends an outage.
-    pub fn note_answer(&mut self, sent: Duration) -> bool {
+    pub fn record_answer(&mut self, sent: Duration) -> bool {
         self.answered = self.answered.max(Some(sent));
         let is_back = self.failing_since.is_some_and(|since| sent >= since);
         if is_back {
@@ -32,7 +32,7 @@
     }
 
     /// Records at `now` that a call sent at `sent` failed.
-    pub fn note_failure(&mut self, sent: Duration, now: Duration) {
+    pub fn record_failure(&mut self, sent: Duration, now: Duration) {
         // Only the call's connection was lost: the store answered a later call.
         if self.is_answered_since(sent) {
             return;
@@ -41,8 +41,8 @@
     }
 
     /// Records that a call sent at `sent` was left unanswered for too long.
-    pub fn note_silence(&mut self, sent: Duration) {
-        self.note_failure(sent, sent);
+    pub fn record_silence(&mut self, sent: Duration) {
+        self.record_failure(sent, sent);
     }
 
     /// Returns whether a call sent after `sent` was answered.
@@ -55,8 +55,9 @@
         self.failing_since.is_some()
     }
 
-    /// Returns how long the store has been available at `now`: zero while calls fail, [`Duration::MAX`] if they never did.
-    pub fn with(&self, now: Duration) -> Duration {
+    /// Returns how long the store has been available at `now`: zero while calls fail, [`Duration::MAX`] if they never
+    /// did.
+    pub fn available_for(&self, now: Duration) -> Duration {
         match (self.failing_since, self.back_since) {
             (Some(_), _) => Duration::ZERO,
             (None, Some(since)) => now.saturating_sub(since),
@@ -65,7 +66,7 @@
     }
 
     /// Returns how long calls have failed at `now`; zero while the store is available.
-    pub fn without(&self, now: Duration) -> Duration {
+    pub fn failing_for(&self, now: Duration) -> Duration {
         let since = self.failing_since.unwrap_or(now);
         now.saturating_sub(since)
     }
--- a/crates/fleet/src/succession.rs
+++ b/crates/fleet/src/succession.rs
@@ -11,22 +11,22 @@
 
 /// How long an owner may be silent before it is replaced, from the sending of the first unanswered probe. Three probes
 /// fit into this time.
-const SILENCE: Duration = Duration::from_millis(1300);
+const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(1300);
 /// How long an owner may be without the store while this daemon has it. After an outage the store becomes available to
 /// the daemons one by one.
-const WITHOUT_STORE: Duration = Duration::from_millis(1000);
+const OWNER_WITHOUT_STORE_LIMIT: Duration = Duration::from_millis(1000);
 /// The delay of a daemon's claim for each daemon that ranks before it.
-const RANK_STEP: Duration = Duration::from_millis(120);
+const CLAIM_DELAY_PER_RANK: Duration = Duration::from_millis(120);
 
 /// The result of a probe.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OwnerProbe {
+pub enum ProbeResult {
     /// The daemon answered.
     Answered(PeerHealth),
     /// The VM refused the connection: nothing listens at the address.
-    Gone,
+    ConnectionRefused,
     /// No answer came.
-    Silent,
+    Unanswered,
 }
 
 /// Decides when a daemon takes over the ownership, by what this daemon observes alone. If several claim it, the store
@@ -41,11 +41,11 @@
     /// When the first probe was sent that the owner left unanswered or answered without acting as the owner.
     silent_since: Option<Duration>,
     /// Since when the owner should be replaced; `None` while it is healthy.
-    unfit_since: Option<Duration>,
+    unhealthy_since: Option<Duration>,
     /// Whether the process that held the ownership is known to have ended.
-    gone: bool,
+    former_owner_gone: bool,
     /// How long the store has been available to this daemon.
-    with_store: Duration,
+    store_available_for: Duration,
 }
 
 impl Succession {
@@ -56,31 +56,31 @@
             owner: None,
             members: Vec::new(),
             silent_since: None,
-            unfit_since: None,
-            gone: false,
-            with_store: Duration::MAX,
+            unhealthy_since: None,
+            former_owner_gone: false,
+            store_available_for: Duration::MAX,
         }
     }
 
     /// Records how long the store has been available to this daemon.
-    pub fn note_store(&mut self, with_store: Duration) {
-        self.with_store = with_store;
+    pub fn set_store_available_for(&mut self, store_available_for: Duration) {
+        self.store_available_for = store_available_for;
     }
 
     /// Records the owner's row, or that there is none.
-    pub fn note_owner(&mut self, owner: Option<OwnerRecord>, now: Duration) {
+    pub fn set_owner(&mut self, owner: Option<OwnerRecord>, now: Duration) {
         if self.owner == owner && self.owner.is_some() {
             return;
         }
         let vacant = owner.as_ref().is_none_or(|owner| owner.vacant);
         self.owner = owner;
-        self.gone = false;
+        self.former_owner_gone = false;
         self.silent_since = None;
-        self.unfit_since = vacant.then_some(now);
+        self.unhealthy_since = vacant.then_some(now);
     }
 
     /// Records the daemons that may become the owner.
-    pub fn note_members(&mut self, members: Vec<MemberRecord>) {
+    pub fn set_members(&mut self, members: Vec<MemberRecord>) {
         self.members = members;
     }
 
@@ -90,77 +90,78 @@
     }
 
     /// Returns the owner's row, also if it is vacant.
-    pub fn known_record(&self) -> Option<&OwnerRecord> {
+    pub fn owner_row(&self) -> Option<&OwnerRecord> {
         self.owner.as_ref()
     }
 
     /// Returns whether the former owner certainly no longer acts.
-    pub fn former_is_gone(&self) -> bool {
+    pub fn is_former_owner_gone(&self) -> bool {
         let own = self
             .owner
             .as_ref()
             .is_none_or(|owner| owner.vacant || owner.node == self.node);
-        own || self.gone
+        own || self.former_owner_gone
     }
 
     /// Records the result of a probe of the owner that was sent at `sent`.
-    pub fn note_probe(&mut self, probe: OwnerProbe, sent: Duration, now: Duration) {
+    pub fn record_probe(&mut self, probe: ProbeResult, sent: Duration, now: Duration) {
         let Some(owner) = &self.owner else {
             return;
         };
         match probe {
-            OwnerProbe::Answered(health) => {
-                let other_life = health.incarnation != owner.incarnation;
+            ProbeResult::Answered(health) => {
+                let restarted = health.incarnation != owner.incarnation;
                 let acts = health.acting == Some(owner.token);
-                let cut_off = health.without_store_ms >= whole_millis(WITHOUT_STORE)
-                    && self.with_store >= WITHOUT_STORE;
-                self.gone = other_life;
+                let lacks_store = health.without_store_ms
+                    >= whole_millis(OWNER_WITHOUT_STORE_LIMIT)
+                    && self.store_available_for >= OWNER_WITHOUT_STORE_LIMIT;
+                self.former_owner_gone = restarted;
                 // An owner that has just written its row needs a moment before it acts.
                 match acts {
                     true => self.silent_since = None,
                     false => drop(self.silent_since.get_or_insert(sent)),
                 }
-                let idle = self
+                let silent_too_long = self
                     .silent_since
-                    .is_some_and(|since| now >= since + SILENCE);
-                self.doubt(other_life || idle || cut_off, now);
+                    .is_some_and(|since| now >= since + OWNER_SILENCE_LIMIT);
+                self.set_unhealthy(restarted || silent_too_long || lacks_store, now);
             }
-            OwnerProbe::Gone => {
-                self.gone = true;
-                self.doubt(true, now);
+            ProbeResult::ConnectionRefused => {
+                self.former_owner_gone = true;
+                self.set_unhealthy(true, now);
             }
-            OwnerProbe::Silent => {
+            ProbeResult::Unanswered => {
                 let since = *self.silent_since.get_or_insert(sent);
-                self.doubt(now >= since + SILENCE, now);
+                self.set_unhealthy(now >= since + OWNER_SILENCE_LIMIT, now);
             }
         }
     }
 
-    /// Returns whether this daemon, which does not act as the owner, should take over at `now`. If the owner's row names
-    /// it, either a former incarnation wrote the row, or its own claim was applied without an answer.
+    /// Returns whether this daemon, which does not act as the owner, should take over at `now`. If the owner's row
+    /// names it, either a former incarnation wrote the row, or its own claim was applied without an answer.
     pub fn should_claim(&self, now: Duration) -> bool {
         let owner = self.owner.as_ref();
         if owner.is_some_and(|owner| owner.node == self.node) {
             return true;
         }
-        self.unfit_since
-            .is_some_and(|since| now >= since + RANK_STEP * self.rank())
+        self.unhealthy_since
+            .is_some_and(|since| now >= since + CLAIM_DELAY_PER_RANK * self.rank())
     }
 
     /// Returns whether the owner may have to be replaced soon.
-    pub fn is_in_doubt(&self) -> bool {
-        self.silent_since.is_some() || self.unfit_since.is_some()
+    pub fn may_need_replacement(&self) -> bool {
+        self.silent_since.is_some() || self.unhealthy_since.is_some()
     }
 
-    fn doubt(&mut self, unfit: bool, now: Duration) {
-        match unfit {
-            true => drop(self.unfit_since.get_or_insert(now)),
-            false => self.unfit_since = None,
+    fn set_unhealthy(&mut self, unhealthy: bool, now: Duration) {
+        match unhealthy {
+            true => drop(self.unhealthy_since.get_or_insert(now)),
+            false => self.unhealthy_since = None,
         }
     }
 
-    /// Returns the number of daemons that should claim before this one: those with a larger CPU share, and those with an
-    /// equal share and a smaller name.
+    /// Returns the number of daemons that should claim before this one: those with a larger CPU share, and those with
+    /// an equal share and a smaller name.
     fn rank(&self) -> u32 {
         let own = self.members.iter().find(|member| member.node == self.node);
         let own = own.map_or(0, |member| member.cpu_millis);
--- a/crates/fleet/src/confirm_work.rs
+++ b/crates/fleet/src/term_confirmation.rs
@@ -13,70 +13,70 @@
 use crate::{
     FleetRow,
     FleetTable,
-    OwnerProbe,
-    fleet_shared::{
-        FleetShared,
+    ProbeResult,
+    member_watch::apply_owner_row,
+    owner_term::OwnerTerm, //
+    shared_state::{
         OWNER_KEY,
         SHARD_PART, //
+        SharedState,
     },
-    member_watch::note_owner,
-    owner_seat::OwnerSeat, //
 };
 
 /// The interval between checks of the last confirmation's age.
-const EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The age at which a confirmation is renewed. Commits confirm the term too, so that a busy owner rarely reads its row.
-const RENEWED_AT: Duration = Duration::from_millis(600);
+const CONFIRMATION_RENEWAL_AGE: Duration = Duration::from_millis(600);
 /// How long the store may take to answer before peers are asked.
-const STORE: Duration = Duration::from_millis(400);
+const STORE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Confirms the term until it is over: by the owner's row, or, without the store, by more than half of the members,
 /// this daemon included, that know no newer token.
-pub(crate) async fn confirm_seat(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+pub(crate) async fn confirm_term(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
-        time::sleep(EVERY).await;
+        time::sleep(CHECK_INTERVAL).await;
         let sent = shared.now();
-        if seat.unconfirmed(sent) < RENEWED_AT {
+        if term.unconfirmed(sent) < CONFIRMATION_RENEWAL_AGE {
             continue;
         }
         let read = shared
             .store
             .read_all(FleetTable::Fleet, SHARD_PART, OWNER_KEY, None);
-        match time::timeout(STORE, read).await {
-            Ok(Ok((rows, _))) => judge(&shared, &seat, &rows, sent),
-            Ok(Err(_)) | Err(_) => ask_peers(&shared, &seat).await,
+        match time::timeout(STORE_TIMEOUT, read).await {
+            Ok(Ok((rows, _))) => check_owner_row(&shared, &term, &rows, sent),
+            Ok(Err(_)) | Err(_) => confirm_by_peers(&shared, &term).await,
         }
     }
 }
 
-fn judge(shared: &FleetShared, seat: &OwnerSeat, rows: &[FleetRow], sent: Duration) {
+fn check_owner_row(shared: &SharedState, term: &OwnerTerm, rows: &[FleetRow], sent: Duration) {
     let owner = rows.iter().find(|row| row.key == OWNER_KEY);
-    if owner.is_some_and(|row| row.version == seat.guard.version) {
-        seat.confirm(sent);
+    if owner.is_some_and(|row| row.version == term.guard.version) {
+        term.confirm(sent);
         return;
     }
-    note_owner(shared, owner);
-    seat.depose();
+    apply_owner_row(shared, owner);
+    term.depose();
 }
 
-async fn ask_peers(shared: &Rc<FleetShared>, seat: &OwnerSeat) {
+async fn confirm_by_peers(shared: &Rc<SharedState>, term: &OwnerTerm) {
     let sent = shared.now();
-    let token = seat.token();
+    let token = term.token();
     let mut probes = JoinSet::new();
     for address in shared.peer_addresses() {
         let peers = shared.peers.clone();
         probes.spawn_local(async move { peers.probe(&address, token).await });
     }
-    let mut vouching = 1;
+    let mut confirming = 1;
     while let Some(probe) = probes.join_next().await {
-        let Ok(OwnerProbe::Answered(health)) = probe else {
+        let Ok(ProbeResult::Answered(health)) = probe else {
             continue;
         };
-        shared.note_token(health.known_token);
-        vouching += usize::from(health.known_token == token);
+        shared.observe_token(health.known_token);
+        confirming += usize::from(health.known_token == token);
     }
     let members = shared.members.borrow().len();
-    if vouching * 2 > members && !seat.is_over() {
-        seat.confirm(sent);
+    if confirming * 2 > members && !term.is_over() {
+        term.confirm(sent);
     }
 }
--- a/crates/fleet/tests/daemons/admission.rs
+++ b/crates/fleet/tests/daemons/admission.rs
@@ -18,14 +18,14 @@
 
 use crate::test_fleet::{
     TestFleet,
-    ask,
     job,
-    play_paused,
+    run_simulated,
+    send_request,
     submit, //
 };
 
 /// The longest time a caller may wait for the answer.
-const HELD: Duration = Duration::from_millis(500);
+const ANSWER_LIMIT: Duration = Duration::from_millis(500);
 
 fn long_running(count: u32) -> JobGraph {
     let graph = job(&[(count, &[])]);
@@ -39,21 +39,25 @@
     }
 }
 
-async fn hand_in(fleet: &TestFleet, number: u64, graph: &JobGraph) -> [CallerAnswer; 2] {
+async fn submit_to_two_daemons(
+    fleet: &TestFleet,
+    number: u64,
+    graph: &JobGraph,
+) -> [CallerAnswer; 2] {
     let (first, second) = (fleet.daemon(), fleet.daemon());
     time::sleep(Duration::from_secs(3)).await;
     [
-        ask(&first.desk, number, CallerVerb::Submit(graph.clone())).await,
-        ask(&second.desk, number, CallerVerb::Submit(graph.clone())).await,
+        send_request(&first.desk, number, CallerVerb::Submit(graph.clone())).await,
+        send_request(&second.desk, number, CallerVerb::Submit(graph.clone())).await,
     ]
 }
 
 /// Guards against a refused job that is recorded, and against different decisions at different daemons.
 #[test]
-fn a_job_without_room_is_refused_at_every_daemon_and_leaves_nothing() {
-    play_paused(async {
+fn a_job_without_free_capacity_is_refused_at_every_daemon_and_not_recorded() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
-        let answers = hand_in(&fleet, 1, &long_running(20)).await;
+        let answers = submit_to_two_daemons(&fleet, 1, &long_running(20)).await;
         for answer in answers {
             assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
         }
@@ -62,10 +66,10 @@
 }
 
 #[test]
-fn a_job_with_room_is_taken_in_at_every_daemon() {
-    play_paused(async {
+fn a_job_with_free_capacity_is_admitted_at_every_daemon() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
-        let answers = hand_in(&fleet, 1, &long_running(6)).await;
+        let answers = submit_to_two_daemons(&fleet, 1, &long_running(6)).await;
         assert_eq!(answers, [CallerAnswer::Done, CallerAnswer::Done]);
     });
 }
@@ -73,7 +77,7 @@
 /// Guards against a refusal of a job that an earlier attempt recorded and the owner has not read yet.
 #[test]
 fn a_job_on_record_is_not_refused() {
-    play_paused(async {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = fleet.daemon();
         time::sleep(Duration::from_secs(3)).await;
@@ -88,31 +92,31 @@
         let part = format!("j{}", key.spread(16));
         let row = FleetRow::new(FleetTable::Jobs, &part, key.to_string(), value);
         fleet.store.write(vec![row]);
-        let answer = ask(&daemon.desk, 1, CallerVerb::Submit(graph)).await;
+        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(graph)).await;
         assert_eq!(answer, CallerAnswer::Done);
     });
 }
 
 /// Guards against callers that wait for an owner that does not answer.
 #[test]
-fn without_an_answer_of_the_owner_a_job_is_taken_in() {
-    play_paused(async {
+fn without_an_answer_from_the_owner_a_job_is_admitted() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
-        fleet.own_elsewhere();
+        fleet.set_unreachable_owner();
         let daemon = fleet.daemon();
         time::sleep(Duration::from_secs(3)).await;
         let begun = time::Instant::now();
-        let answer = ask(&daemon.desk, 1, CallerVerb::Submit(long_running(20))).await;
+        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(long_running(20))).await;
         assert_eq!(answer, CallerAnswer::Done);
-        assert!(begun.elapsed() < HELD, "{:?}", begun.elapsed());
+        assert!(begun.elapsed() < ANSWER_LIMIT, "{:?}", begun.elapsed());
     });
 }
 
 /// Guards against a successor that grants long-running jobs the capacity that short work needs, because it saw no short
 /// jobs arrive itself.
 #[test]
-fn a_successor_knows_from_the_records_what_short_work_needs() {
-    play_paused(async {
+fn a_successor_learns_the_demand_of_short_work_from_the_records() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = fleet.daemon();
         for number in 10..40 {
@@ -122,7 +126,7 @@
         daemon.kill();
         let next = fleet.daemon();
         time::sleep(Duration::from_secs(6)).await;
-        let answer = ask(&next.desk, 1, CallerVerb::Submit(long_running(8))).await;
+        let answer = send_request(&next.desk, 1, CallerVerb::Submit(long_running(8))).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
     });
 }
--- a/crates/fleet/tests/daemons/main.rs
+++ b/crates/fleet/tests/daemons/main.rs
@@ -1,5 +1,5 @@
-//! Tests of whole daemons that share a store, through crashes and outages: jobs from a caller's request to the outcome of
-//! their last task.
+//! Tests of whole daemons that share a store, through crashes and outages: jobs from a caller's request to the
+//! outcome of their last task.
 
 mod admission;
 mod jobs;
@@ -7,6 +7,6 @@
 mod memory_store;
 mod partial_outage;
 mod store_silence;
-mod take_over;
+mod takeover;
 mod test_fleet;
 mod worker_silence;
--- a/crates/fleet/tests/daemons/members.rs
+++ b/crates/fleet/tests/daemons/members.rs
@@ -10,24 +10,24 @@
 use crate::test_fleet::{
     TestFleet,
     free_address,
-    play_paused, //
+    run_simulated, //
 };
 
 /// Longer than a member may stay without answering.
-const LONG: Duration = Duration::from_secs(600);
-const A_MOMENT: Duration = Duration::from_secs(10);
+const BEYOND_EXPIRY: Duration = Duration::from_secs(600);
+const SETTLING_TIME: Duration = Duration::from_secs(10);
 
 /// Guards against an owner that can't act without the store: daemons that were replaced long ago still counted as
 /// members, so that no majority answered.
 #[test]
-fn members_that_are_gone_for_long_count_no_more() {
-    play_paused(async {
+fn members_that_are_silent_for_long_are_removed() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(0);
         fleet.enroll(free_address(), 2);
         let _daemons = [fleet.daemon(), fleet.daemon(), fleet.daemon()];
-        time::sleep(A_MOMENT).await;
+        time::sleep(SETTLING_TIME).await;
         assert_eq!(fleet.store.members(), 5);
-        time::sleep(LONG).await;
+        time::sleep(BEYOND_EXPIRY).await;
         assert_eq!(fleet.store.members(), 3);
     });
 }
@@ -35,12 +35,12 @@
 /// Guards against two owners at a time: an owner that reached no majority of the members removed the others.
 #[test]
 fn a_minority_removes_no_member() {
-    play_paused(async {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(0);
         let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
         fleet.enroll(silent.local_addr().expect("it is bound"), 3);
         let _daemons = [fleet.daemon(), fleet.daemon(), fleet.daemon()];
-        time::sleep(LONG).await;
+        time::sleep(BEYOND_EXPIRY).await;
         assert_eq!(fleet.store.members(), 6);
     });
 }
@@ -48,12 +48,12 @@
 /// Guards against a daemon that stays removed: it was unreachable for long enough to be removed as a member.
 #[test]
 fn a_removed_member_enrolls_again() {
-    play_paused(async {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(0);
         let _daemon = fleet.daemon();
-        time::sleep(A_MOMENT).await;
+        time::sleep(SETTLING_TIME).await;
         fleet.store.remove_members();
-        time::sleep(A_MOMENT).await;
+        time::sleep(SETTLING_TIME).await;
         assert_eq!(fleet.store.members(), 1);
     });
 }
--- a/crates/fleet/tests/daemons/memory_store.rs
+++ b/crates/fleet/tests/daemons/memory_store.rs
@@ -60,26 +60,26 @@
 }
 
 /// One daemon's client of the store, with the faults injected for this daemon.
-pub(crate) struct StoreWay {
+pub(crate) struct StoreClient {
     pub(crate) store: Rc<MemoryStore>,
     /// Whether every call is refused.
-    pub(crate) down: Cell<bool>,
+    pub(crate) refuses_calls: Cell<bool>,
     /// The parts whose calls all fail with an unknown outcome.
-    pub(crate) broken_parts: RefCell<Vec<String>>,
+    pub(crate) failing_parts: RefCell<Vec<String>>,
     /// How many of the next commits are applied but not answered.
     pub(crate) lost_answers: Cell<u32>,
     /// Whether calls are lost on their way to the store.
     silent: Cell<bool>,
     /// The latency of a read, except of jobs.
-    pub(crate) read_takes: Cell<Duration>,
+    pub(crate) read_latency: Cell<Duration>,
     /// The latency of a read of jobs.
-    pub(crate) jobs_take: Cell<Duration>,
+    pub(crate) job_read_latency: Cell<Duration>,
     /// The latency of a commit.
-    pub(crate) commit_takes: Cell<Duration>,
+    pub(crate) commit_latency: Cell<Duration>,
     /// How many times all open connections went silent for good.
-    losses: Cell<u32>,
+    connection_losses: Cell<u32>,
     /// The version up to which the store no longer keeps changes.
-    forgotten: Cell<u64>,
+    forgotten_version: Cell<u64>,
 }
 
 impl MemoryStore {
@@ -205,29 +205,29 @@
     }
 }
 
-impl StoreWay {
+impl StoreClient {
     pub(crate) fn new(store: Rc<MemoryStore>) -> Self {
         Self {
             store,
-            down: Cell::new(false),
-            broken_parts: RefCell::new(Vec::new()),
+            refuses_calls: Cell::new(false),
+            failing_parts: RefCell::new(Vec::new()),
             lost_answers: Cell::new(0),
             silent: Cell::new(false),
-            read_takes: Cell::new(Duration::from_millis(2)),
-            jobs_take: Cell::new(Duration::from_millis(2)),
-            commit_takes: Cell::new(Duration::from_millis(2)),
-            losses: Cell::new(0),
-            forgotten: Cell::new(0),
+            read_latency: Cell::new(Duration::from_millis(2)),
+            job_read_latency: Cell::new(Duration::from_millis(2)),
+            commit_latency: Cell::new(Duration::from_millis(2)),
+            connection_losses: Cell::new(0),
+            forgotten_version: Cell::new(0),
         }
     }
 
     /// Drops the history: a watch after an earlier version fails with [`StoreError::Forgotten`].
     pub(crate) fn forget_history(&self) {
-        self.forgotten.set(self.store.raise_version());
+        self.forgotten_version.set(self.store.raise_version());
     }
 
     /// Leaves all calls unanswered from now on; their connections stay open.
-    pub(crate) fn fall_silent(&self) {
+    pub(crate) fn go_silent(&self) {
         self.silent.set(true);
         self.lose_connections();
     }
@@ -239,19 +239,23 @@
 
     /// Lets all open connections go silent for good; new ones work.
     pub(crate) fn lose_connections(&self) {
-        self.losses.set(self.losses.get() + 1);
+        self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
     /// Makes a call; if the call or its answer is lost, fails with an unknown outcome after `timeout`.
-    async fn carry<Answer, Call>(&self, timeout: Duration, call: Call) -> Result<Answer, StoreError>
+    async fn deliver<Answer, Call>(
+        &self,
+        timeout: Duration,
+        call: Call,
+    ) -> Result<Answer, StoreError>
     where
         Call: Future<Output = Result<Answer, StoreError>>,
     {
         let deadline = time::Instant::now() + timeout;
-        let losses = self.losses.get();
+        let connection_losses = self.connection_losses.get();
         if !self.silent.get() {
             let answer = call.await;
-            if self.losses.get() == losses {
+            if self.connection_losses.get() == connection_losses {
                 return answer;
             }
         }
@@ -260,7 +264,7 @@
     }
 
     /// Waits until `rows` returns changes, or `wait` has passed.
-    async fn follow<Item, Rows>(
+    async fn wait_for_changes<Item, Rows>(
         &self,
         after: u64,
         wait: Duration,
@@ -271,8 +275,8 @@
     {
         let until = time::Instant::now() + wait;
         loop {
-            self.reach()?;
-            if after < self.forgotten.get() {
+            self.check_reachable()?;
+            if after < self.forgotten_version.get() {
                 return Err(StoreError::Forgotten);
             }
             let changed = self.store.changed.notified();
@@ -293,20 +297,20 @@
         }
     }
 
-    fn reach_part(&self, part: &str) -> Result<(), StoreError> {
+    fn check_part_reachable(&self, part: &str) -> Result<(), StoreError> {
         match self
-            .broken_parts
+            .failing_parts
             .borrow()
             .iter()
             .any(|broken| broken == part)
         {
             true => Err(StoreError::Unknown),
-            false => self.reach(),
+            false => self.check_reachable(),
         }
     }
 
-    fn reach(&self) -> Result<(), StoreError> {
-        match self.down.get() {
+    fn check_reachable(&self) -> Result<(), StoreError> {
+        match self.refuses_calls.get() {
             true => Err(StoreError::Refused),
             false => Ok(()),
         }
@@ -314,12 +318,12 @@
 }
 
 #[async_trait(?Send)]
-impl FleetStore for StoreWay {
+impl FleetStore for StoreClient {
     async fn commit(&self, commit: RowCommit) -> Result<CommitAnswer, StoreError> {
         let call = async {
-            time::sleep(self.commit_takes.get()).await;
+            time::sleep(self.commit_latency.get()).await;
             for row in &commit.writes {
-                self.reach_part(&row.part)?;
+                self.check_part_reachable(&row.part)?;
             }
             let answer = self.store.commit(commit);
             if self.lost_answers.get() > 0 {
@@ -328,7 +332,7 @@
             }
             Ok(answer)
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn read(
@@ -340,11 +344,11 @@
     ) -> Result<RowPage<FleetRow>, StoreError> {
         let call = async {
             let takes = match table {
-                FleetTable::Jobs => &self.jobs_take,
-                _ => &self.read_takes,
+                FleetTable::Jobs => &self.job_read_latency,
+                _ => &self.read_latency,
             };
             time::sleep(takes.get()).await;
-            self.reach_part(part)?;
+            self.check_part_reachable(part)?;
             let rows = self.store.rows.borrow();
             let mut items: Vec<FleetRow> = rows
                 .iter()
@@ -355,7 +359,7 @@
             items.sort_by(|left, right| left.key.cmp(&right.key));
             Ok(self.page(items))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch(
@@ -364,7 +368,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RowChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             let rows = self.store.rows.borrow();
             let rows = rows.iter().map(|(_, row)| row);
             rows.filter(|row| row.table == table && row.version > after)
@@ -375,15 +379,15 @@
                 })
                 .collect()
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     async fn read_operator(&self) -> Result<RowPage<OperatorChange>, StoreError> {
         let call = async {
-            self.reach()?;
+            self.check_reachable()?;
             Ok(self.page(self.store.operator_rows()))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch_operator(
@@ -391,21 +395,21 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<OperatorChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             match self.store.configuration.borrow().version > after {
                 true => self.store.operator_rows(),
                 false => Vec::new(),
             }
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     async fn read_registry(&self) -> Result<RowPage<RegistryChange>, StoreError> {
         let call = async {
-            self.reach()?;
+            self.check_reachable()?;
             Ok(self.page(self.store.registry_rows()))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch_registry(
@@ -413,13 +417,13 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RegistryChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             match self.store.workers.borrow().version > after {
                 true => self.store.registry_rows(),
                 false => Vec::new(),
             }
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     fn forget_connections(&self) {}
--- a/crates/fleet/tests/daemons/partial_outage.rs
+++ b/crates/fleet/tests/daemons/partial_outage.rs
@@ -18,17 +18,17 @@
 use crate::test_fleet::{
     TestDaemon,
     TestFleet,
-    ask,
     job,
-    play_paused,
-    reach,
+    run_simulated,
+    send_request,
     submit, //
+    wait_for_progress,
 };
 
 const COMPLETED: JobProgress = JobProgress::Ended(JobOutcome::Completed);
 const CANCELLED: JobProgress = JobProgress::Ended(JobOutcome::Cancelled);
 /// Shorter than a job's run.
-const SOON: Duration = Duration::from_millis(50);
+const DURING_RUN: Duration = Duration::from_millis(50);
 
 /// Makes all calls to the first part for a job's rows fail with an unknown outcome.
 fn break_part(daemon: &TestDaemon, number: u64) {
@@ -39,127 +39,128 @@
 fn break_parts(daemon: &TestDaemon, number: u64, count: u8) {
     let first = JobKey::new(number).spread(16);
     let parts = (0..count).map(|turn| format!("j{}", (first + turn * 5) % 16));
-    daemon.way.broken_parts.borrow_mut().extend(parts);
+    daemon.store_client.failing_parts.borrow_mut().extend(parts);
 }
 
-fn mend(daemon: &TestDaemon) {
-    daemon.way.broken_parts.borrow_mut().clear();
+fn mend_parts(daemon: &TestDaemon) {
+    daemon.store_client.failing_parts.borrow_mut().clear();
 }
 
 async fn serving_daemon(fleet: &TestFleet) -> TestDaemon {
     let daemon = fleet.daemon();
     submit(&daemon.desk, 99, &job(&[(1, &[])])).await;
-    reach(&daemon.desk, 99, COMPLETED).await;
+    wait_for_progress(&daemon.desk, 99, COMPLETED).await;
     daemon
 }
 
 /// Guards against callers that get no answer while a part of the store is unavailable.
 #[test]
-fn a_job_is_taken_in_while_its_part_of_the_store_is_away() {
-    play_paused(async {
+fn a_job_is_accepted_while_its_part_of_the_store_is_unavailable() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
         for count in 1..=2 {
             let number = u64::from(count);
             break_parts(&daemon, number, count);
             let graph = job(&[(3, &[])]);
-            let answer = ask(&daemon.desk, number, CallerVerb::Submit(graph)).await;
+            let answer = send_request(&daemon.desk, number, CallerVerb::Submit(graph)).await;
             assert_eq!(answer, CallerAnswer::Done, "{count} parts are away");
-            reach(&daemon.desk, number, COMPLETED).await;
-            mend(&daemon);
+            wait_for_progress(&daemon.desk, number, COMPLETED).await;
+            mend_parts(&daemon);
         }
-        assert_eq!(fleet.workers.begins(), 7);
+        assert_eq!(fleet.workers.started_runs(), 7);
     });
 }
 
 /// Guards against a refusal of a job that may have been recorded: every write had an unknown outcome.
 #[test]
-fn without_any_of_its_parts_a_jobs_outcome_is_unknown() {
-    play_paused(async {
+fn without_any_of_its_parts_the_outcome_of_a_submission_is_unknown() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
         break_parts(&daemon, 1, 3);
-        let answer = ask(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
+        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Unknown);
     });
 }
 
-/// Guards against a job that runs twice: its row is in two parts, because the first write was applied without an answer.
+/// Guards against a job that runs twice: its row is in two parts, because the first write was applied without an
+/// answer.
 #[test]
-fn a_job_whose_row_lies_in_two_parts_runs_once() {
-    play_paused(async {
+fn a_job_whose_row_is_in_two_parts_runs_once() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
-        daemon.way.lost_answers.set(1);
-        let answer = ask(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
+        daemon.store_client.lost_answers.set(1);
+        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Done);
         assert_eq!(fleet.store.count(FleetTable::Jobs), 3);
-        reach(&daemon.desk, 1, COMPLETED).await;
+        wait_for_progress(&daemon.desk, 1, COMPLETED).await;
         daemon.kill();
         let next = fleet.daemon();
-        reach(&next.desk, 1, COMPLETED).await;
+        wait_for_progress(&next.desk, 1, COMPLETED).await;
         time::sleep(Duration::from_secs(10)).await;
-        assert_eq!(fleet.workers.begins(), 4);
+        assert_eq!(fleet.workers.started_runs(), 4);
     });
 }
 
 /// Guards against a successor that runs a cancelled job: the cancellation is in another part than the job.
 #[test]
-fn a_cancellation_in_the_second_part_holds_after_a_take_over() {
+fn a_cancellation_in_the_second_part_holds_after_a_takeover() {
     for number in 1..9 {
-        play_paused(async move {
+        run_simulated(async move {
             let fleet = TestFleet::with_runtime_clock(0);
             let daemon = fleet.daemon();
             submit(&daemon.desk, number, &job(&[(3, &[])])).await;
             break_part(&daemon, number);
             // The daemon knows the job from memory, but can't read its row.
-            let answer = ask(&daemon.desk, number, CallerVerb::Cancel).await;
+            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
             assert_ne!(answer, CallerAnswer::NoJob, "it is on record");
-            mend(&daemon);
-            let answer = ask(&daemon.desk, number, CallerVerb::Cancel).await;
+            mend_parts(&daemon);
+            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
             assert_eq!(answer, CallerAnswer::Done);
             daemon.kill();
             let next = fleet.daemon();
-            reach(&next.desk, number, CANCELLED).await;
+            wait_for_progress(&next.desk, number, CANCELLED).await;
         });
     }
 }
 
-/// Guards against a lost cancellation: the first part for the job's rows was unavailable, so that the job was recorded in
-/// the second.
+/// Guards against a lost cancellation: the first part for the job's rows was unavailable, so that the job was
+/// recorded in the second.
 #[test]
 fn a_job_in_the_second_part_is_cancelled_there() {
     for number in 1..9 {
-        play_paused(async move {
+        run_simulated(async move {
             let fleet = TestFleet::with_runtime_clock(2);
             let daemon = serving_daemon(&fleet).await;
             break_part(&daemon, number);
             submit(&daemon.desk, number, &job(&[(1, &[]), (1, &[0])])).await;
-            time::sleep(SOON).await;
-            let answer = ask(&daemon.desk, number, CallerVerb::Cancel).await;
+            time::sleep(DURING_RUN).await;
+            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
             assert_eq!(answer, CallerAnswer::Done);
-            reach(&daemon.desk, number, CANCELLED).await;
-            mend(&daemon);
+            wait_for_progress(&daemon.desk, number, CANCELLED).await;
+            mend_parts(&daemon);
             daemon.kill();
             let next = fleet.daemon();
-            reach(&next.desk, number, CANCELLED).await;
+            wait_for_progress(&next.desk, number, CANCELLED).await;
         });
     }
 }
 
 /// Guards against "no such job" for a job whose row is in a part that can't be read.
 #[test]
-fn a_job_that_cannot_be_read_is_not_called_unknown() {
-    play_paused(async {
+fn a_job_that_cannot_be_read_is_not_reported_as_missing() {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
         submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
         daemon.kill();
-        fleet.own_elsewhere();
+        fleet.set_unreachable_owner();
         let other = fleet.daemon();
         time::sleep(Duration::from_secs(3)).await;
         break_part(&other, 1);
-        let answer = ask(&other.desk, 1, CallerVerb::Read).await;
+        let answer = send_request(&other.desk, 1, CallerVerb::Read).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
     });
 }
@@ -167,7 +168,7 @@
 /// Guards against a successor that runs a cancelled job because it reads the cancellation before the job.
 #[test]
 fn a_successor_reads_jobs_before_their_cancellations() {
-    play_paused(async {
+    run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(0);
         let daemon = fleet.daemon();
         submit(&daemon.desk, 1, &job(&[(3, &[])])).await;
@@ -179,6 +180,6 @@
         let next = fleet.daemon();
         // Before it owns the jobs it would answer from the rows alone.
         time::sleep(Duration::from_secs(10)).await;
-        reach(&next.desk, 1, CANCELLED).await;
+        wait_for_progress(&next.desk, 1, CANCELLED).await;
     });
 }
--- /dev/null
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -0,0 +1,179 @@
+//! Takeover from a former owner that does not know yet that it was replaced. Time is simulated: it advances only while
+//! all tasks wait.
+
+use std::{
+    net::TcpListener,
+    time::Duration, //
+};
+
+use jasminebend_base::ResourceAmount;
+use jasminebend_dispatch::{
+    DispatchSettings,
+    Dispatcher,
+    OrderEnd,
+    RunNumber,
+    StartOrder, //
+};
+use jasminebend_fleet::{
+    FleetRow,
+    FleetTable,
+    JobRecord, //
+};
+use jasminebend_standins::TaskWork;
+use tokio::time;
+
+use crate::{
+    memory_store::StoreClient,
+    test_fleet::{
+        TestDaemon,
+        TestFleet,
+        job,
+        run_simulated, //
+    }, //
+};
+
+const PARTITIONED_WORKER: &str = "worker-0";
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long the task's run takes.
+const RUN_TIME: Duration = Duration::from_secs(4);
+/// After this time the successor knows the job, and the lease of a partitioned worker has not lapsed yet.
+const JOB_KNOWN_AFTER: Duration = Duration::from_secs(3);
+/// After this time the run has ended, or the lease of a partitioned worker has lapsed.
+const RUN_ENDED_AFTER: Duration = Duration::from_secs(10);
+
+/// Starts the only task of job 7 on the partitioned worker, as the former owner would.
+fn start_as_former_owner(fleet: &TestFleet, lasts: Duration) {
+    let started = fleet
+        .workers
+        .with_worker(PARTITIONED_WORKER, |worker, now| {
+            let mut former = Dispatcher::new(1, DispatchSettings::default());
+            let order = StartOrder {
+                worker: former.list_worker(worker.record().clone(), None),
+                task: "0000000000000007.0.0.0".parse().expect("a task"),
+                run: RunNumber::new(1),
+                payload: "payload".into(),
+                checkpoint: None,
+                ticket: None,
+            };
+            let work = TaskWork {
+                lasts,
+                fails: false,
+                size: ResourceAmount::new(1000, 100),
+            };
+            worker.start(now, 1, &order, now * 2, work)
+        });
+    assert_eq!(started, Some(OrderEnd::Taken));
+}
+
+/// Lets a successor take over from a silent owner, with `silent_members` further silent members. One of the two workers
+/// is partitioned from all daemons.
+async fn fleet_after_takeover(silent_members: u32) -> (TestFleet, TestDaemon, TcpListener) {
+    let fleet = TestFleet::with_runtime_clock(2);
+    // This listener accepts connections and answers nothing.
+    let silent = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    fleet.set_owner(silent.local_addr().expect("it is bound"), silent_members);
+    fleet.workers.partition(PARTITIONED_WORKER);
+    let successor = fleet.daemon();
+    while fleet.store.owner().is_none_or(|owner| owner.token < 2) {
+        time::sleep(POLL_INTERVAL).await;
+    }
+    (fleet, successor, silent)
+}
+
+/// Records job 7, which has one task, as another daemon would.
+fn record_job(fleet: &TestFleet) {
+    let record = JobRecord {
+        queue: "queue".to_owned(),
+        accepted_ms: 0,
+        graph: job(&[(1, &[])]),
+    };
+    let value = postcard::to_stdvec(&record).expect("a record can be encoded");
+    let row = FleetRow::new(FleetTable::Jobs, "j0", "0000000000000007", value);
+    fleet.store.write(vec![row]);
+}
+
+/// Runs a takeover from a silent owner that acts for another 2 s. `after` the takeover, the former owner starts a
+/// task on a worker that the successor can't reach; then the task's job is recorded, while `disturb` delays the
+/// successor's watch of the jobs.
+fn run_takeover<Disturb>(after: Duration, disturb: Disturb)
+where
+    Disturb: Fn(&StoreClient),
+{
+    run_simulated(async {
+        let (fleet, successor, _silent) = fleet_after_takeover(1).await;
+        time::sleep(after).await;
+        disturb(&successor.store_client);
+        start_as_former_owner(&fleet, RUN_TIME);
+        record_job(&fleet);
+        time::sleep(JOB_KNOWN_AFTER).await;
+        assert_eq!(fleet.workers.started_runs(), 1, "it runs twice");
+        fleet.workers.heal();
+        time::sleep(RUN_ENDED_AFTER).await;
+        assert_eq!(fleet.workers.started_runs(), 1, "it ran and runs again");
+    });
+}
+
+/// Guards against a task that runs twice: the former owner had started it, and the successor learned of its job only by
+/// reading all jobs again, because the store had dropped its history.
+#[test]
+fn a_job_read_again_after_a_takeover_may_already_run() {
+    run_takeover(Duration::from_millis(200), StoreClient::forget_history);
+}
+
+/// Guards against a task that runs twice: the former owner had started it just before it stopped acting, and the
+/// successor learned of its job after that, because the connection of its watch had gone silent.
+#[test]
+fn a_job_learned_late_after_a_takeover_may_already_run() {
+    run_takeover(Duration::from_millis(1800), StoreClient::lose_connections);
+}
+
+/// Guards against a task that runs twice: without the store the former owner was confirmed by most daemons, which the
+/// successor could not reach, and renewed the lease of a worker for longer than the successor waited.
+#[test]
+fn a_worker_is_not_given_up_while_most_daemons_may_confirm_the_former_owner() {
+    run_simulated(async {
+        let (fleet, _successor, _silent) = fleet_after_takeover(4).await;
+        start_as_former_owner(&fleet, Duration::from_secs(60));
+        record_job(&fleet);
+        for _ in 0..20 {
+            time::sleep(Duration::from_secs(1)).await;
+            fleet.workers.renew(PARTITIONED_WORKER, 1);
+        }
+        assert_eq!(fleet.workers.started_runs(), 1, "it runs twice");
+        fleet.workers.heal();
+        time::sleep(RUN_ENDED_AFTER).await;
+        assert_eq!(fleet.workers.started_runs(), 1, "it ran and runs again");
+    });
+}
+
+/// Guards against tasks that wait for ever: once half of the daemons know the successor, no majority can confirm the
+/// former owner.
+#[test]
+fn a_worker_is_given_up_once_half_of_the_daemons_know_the_successor() {
+    run_simulated(async {
+        let (fleet, _successor, _silent) = fleet_after_takeover(2).await;
+        let _other = fleet.daemon();
+        start_as_former_owner(&fleet, Duration::from_secs(60));
+        record_job(&fleet);
+        time::sleep(RUN_ENDED_AFTER).await;
+        assert_eq!(fleet.workers.started_runs(), 2);
+    });
+}
+
+/// Guards against two owners at a time: a daemon that had known the successor was restarted while the store was lost,
+/// and confirmed the former owner.
+#[test]
+fn a_daemon_that_never_reached_the_store_confirms_no_owner() {
+    run_simulated(async {
+        let fleet = TestFleet::with_runtime_clock(0);
+        fleet.set_unreachable_owner();
+        let daemon = fleet.daemon();
+        daemon.store_client.refuses_calls.set(true);
+        time::sleep(RUN_ENDED_AFTER).await;
+        assert_eq!(daemon.known_token(1).await, 0);
+        assert_eq!(daemon.known_token(1).await, 0);
+        daemon.store_client.refuses_calls.set(false);
+        time::sleep(RUN_ENDED_AFTER).await;
+        assert_eq!(daemon.known_token(1).await, 1);
+    });
+}
