--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -92,19 +92,19 @@
 
 use crate::memory_store::{
     MemoryStore,
-    StoreWay, //
+    StoreClient, //
 };
 
 /// Runs a test on a runtime with simulated time, which advances only while all tasks wait.
-pub(crate) fn play_paused<Story>(story: Story)
+pub(crate) fn run_simulated<Test>(test: Test)
 where
-    Story: Future<Output = ()>,
+    Test: Future<Output = ()>,
 {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.unwrap(), story);
+    LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
 /// In-memory workers, and the calls to them.
@@ -114,11 +114,11 @@
     /// How long a run takes.
     pub(crate) lasts: Cell<Duration>,
     /// Whether a lease renewal is answered only when a run ends or its wait is over.
-    pub(crate) waits: Cell<bool>,
+    pub(crate) delays_answers: Cell<bool>,
     /// How many times all open connections went silent for good.
-    losses: Cell<u32>,
+    connection_losses: Cell<u32>,
     /// The workers that no daemon can reach.
-    unreached: RefCell<BTreeSet<String>>,
+    partitioned: RefCell<BTreeSet<String>>,
 }
 
 impl MemoryWorkers {
@@ -127,19 +127,19 @@
         self.clock.monotonic() + Duration::from_secs(10)
     }
 
-    fn with<Answer>(
+    fn with_reachable_worker<Answer>(
         &self,
         address: &WorkerAddress,
         act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
     ) -> Option<Answer> {
-        match self.unreached.borrow().contains(address.id.as_ref()) {
+        match self.partitioned.borrow().contains(address.id.as_ref()) {
             true => None,
-            false => self.act_on(address.id.as_ref(), act),
+            false => self.with_worker(address.id.as_ref(), act),
         }
     }
 
     /// Calls `act` with a worker, also with one that no daemon can reach.
-    pub(crate) fn act_on<Answer>(
+    pub(crate) fn with_worker<Answer>(
         &self,
         id: &str,
         act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
@@ -151,12 +151,12 @@
 
     /// Partitions a worker from all daemons.
     pub(crate) fn partition(&self, id: &str) {
-        self.unreached.borrow_mut().insert(id.to_owned());
+        self.partitioned.borrow_mut().insert(id.to_owned());
     }
 
     /// Renews a worker's lease as the owner with this token would.
     pub(crate) fn renew(&self, id: &str, token: u64) {
-        self.act_on(id, |worker, now| {
+        self.with_worker(id, |worker, now| {
             let order = HoldOrder {
                 deadline: Some(now + Duration::from_secs(5)),
                 acknowledged: 0,
@@ -168,36 +168,37 @@
 
     /// Lets daemons reach all workers again.
     pub(crate) fn heal(&self) {
-        self.unreached.borrow_mut().clear();
+        self.partitioned.borrow_mut().clear();
     }
 
     /// Lets all open connections go silent for good; new ones work.
     pub(crate) fn lose_connections(&self) {
-        self.losses.set(self.losses.get() + 1);
+        self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
-    fn hear(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
-        let report = self.with(worker, |state, now| state.hold(now, worker.token, order));
-        report.unwrap_or(Err(LOST))
+    fn renew_now(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+        let report =
+            self.with_reachable_worker(worker, |state, now| state.hold(now, worker.token, order));
+        report.unwrap_or(Err(UNANSWERED))
     }
 
     async fn wait_for_end(&self, worker: &WorkerAddress, order: &HoldOrder) {
-        let look = HoldOrder {
+        let probe_order = HoldOrder {
             deadline: None,
             ..*order
         };
         let until = time::Instant::now() + order.wait;
-        let works_on = || {
-            self.hear(worker, look)
+        let nothing_ended = || {
+            self.renew_now(worker, probe_order)
                 .is_ok_and(|seen| seen.ended.is_empty())
         };
-        while time::Instant::now() < until && works_on() {
-            time::sleep(LOOK_EVERY).await;
+        while time::Instant::now() < until && nothing_ended() {
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Returns how many runs all workers have started.
-    pub(crate) fn begins(&self) -> usize {
+    pub(crate) fn started_runs(&self) -> usize {
         let workers = self.workers.borrow();
         let deeds = workers.values().flat_map(|worker| worker.deeds());
         deeds
@@ -208,30 +209,30 @@
 
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The network latency of a lease renewal.
-const WAY: Duration = Duration::from_millis(20);
+const RENEWAL_LATENCY: Duration = Duration::from_millis(20);
 /// The interval at which a worker that delays its answer checks for a run that has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// How long a daemon waits for the answer to a renewal, beyond the renewal's own wait.
-const HOLD_TIMEOUT: Duration = Duration::from_millis(700);
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The outcome of a call to a worker that is partitioned or does not exist.
-const LOST: OrderEnd = OrderEnd::Unknown;
+const UNANSWERED: OrderEnd = OrderEnd::Unknown;
 
 #[async_trait(?Send)]
 impl FleetWorkers for MemoryWorkers {
     async fn hold(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
-        let losses = self.losses.get();
-        let timeout = time::Instant::now() + order.wait + HOLD_TIMEOUT;
-        time::sleep(WAY).await;
+        let connection_losses = self.connection_losses.get();
+        let timeout = time::Instant::now() + order.wait + RENEWAL_TIMEOUT;
+        time::sleep(RENEWAL_LATENCY).await;
         let mut answer = Err(OrderEnd::Unknown);
-        if self.losses.get() == losses {
-            answer = self.hear(worker, order);
-            if self.waits.get() {
+        if self.connection_losses.get() == connection_losses {
+            answer = self.renew_now(worker, order);
+            if self.delays_answers.get() {
                 self.wait_for_end(worker, &order).await;
-                answer = self.hear(worker, order);
+                answer = self.renew_now(worker, order);
             }
         }
-        if self.losses.get() != losses {
+        if self.connection_losses.get() != connection_losses {
             time::sleep_until(timeout).await;
             return Err(OrderEnd::Unknown);
         }
@@ -250,17 +251,17 @@
             fails: false,
             size: ResourceAmount::new(1000, 100),
         };
-        let answer = self.with(worker, |state, now| {
+        let answer = self.with_reachable_worker(worker, |state, now| {
             state.start(now, worker.token, order, deadline, work)
         });
-        answer.unwrap_or(LOST)
+        answer.unwrap_or(UNANSWERED)
     }
 
     async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd {
-        let answer = self.with(worker, |state, now| {
+        let answer = self.with_reachable_worker(worker, |state, now| {
             state.stop(now, worker.token, task, run)
         });
-        answer.unwrap_or(LOST)
+        answer.unwrap_or(UNANSWERED)
     }
 
     async fn pace(
@@ -279,7 +280,7 @@
 /// A running daemon.
 pub(crate) struct TestDaemon {
     pub(crate) desk: Rc<CallerDesk>,
-    pub(crate) way: Rc<StoreWay>,
+    pub(crate) store_client: Rc<StoreClient>,
     peers: SocketAddr,
     stop: watch::Sender<bool>,
     running: JoinHandle<()>,
@@ -288,7 +289,7 @@
 impl TestDaemon {
     /// Ends the daemon as a loss of power would.
     pub(crate) fn kill(&self) {
-        self.way.down.set(true);
+        self.store_client.refuses_calls.set(true);
         self.running.abort();
     }
 
@@ -348,9 +349,9 @@
                 clock: Rc::clone(&clock),
                 workers: RefCell::new(all),
                 lasts: Cell::new(lasts),
-                waits: Cell::new(false),
-                losses: Cell::new(0),
-                unreached: RefCell::default(),
+                delays_answers: Cell::new(false),
+                connection_losses: Cell::new(0),
+                partitioned: RefCell::default(),
             }),
             clock,
             count: Cell::new(0),
@@ -358,12 +359,13 @@
     }
 
     /// Makes an unreachable daemon the owner, with so many members that no daemon of the test takes over soon.
-    pub(crate) fn own_elsewhere(&self) {
-        self.own_at(free_address(), MEMBERS_BEFORE);
+    pub(crate) fn set_unreachable_owner(&self) {
+        self.set_owner(free_address(), EARLIER_CLAIMANTS);
     }
 
-    /// Makes a daemon at `address` the owner, with `members` members that claim the ownership before a daemon of the test.
-    pub(crate) fn own_at(&self, address: SocketAddr, members: u32) {
+    /// Makes a daemon at `address` the owner, with `members` members that claim the ownership before a daemon of the
+    /// test.
+    pub(crate) fn set_owner(&self, address: SocketAddr, members: u32) {
         let owner = OwnerRecord {
             node: "elsewhere".to_owned(),
             incarnation: 1,
@@ -406,10 +408,10 @@
             dispatch: DispatchSettings::default(),
         };
         let peers = settings.peers;
-        let way = Rc::new(StoreWay::new(Rc::clone(&self.store)));
+        let store_client = Rc::new(StoreClient::new(Rc::clone(&self.store)));
         let edges = FleetEdges {
             clock: Rc::clone(&self.clock),
-            store: Rc::clone(&way) as Rc<dyn FleetStore>,
+            store: Rc::clone(&store_client) as Rc<dyn FleetStore>,
             workers: Rc::clone(&self.workers) as Rc<dyn FleetWorkers>,
             advice: None,
             vms: None,
@@ -421,13 +423,13 @@
         let desk = daemon.desk();
         let running = tokio::task::spawn_local(async move {
             daemon
-                .run(Rc::new(Nothing), Rc::new(Nothing))
+                .run(Rc::new(EmptyResponder), Rc::new(EmptyResponder))
                 .await
                 .unwrap();
         });
         TestDaemon {
             desk,
-            way,
+            store_client,
             peers,
             stop,
             running,
@@ -436,7 +438,7 @@
 }
 
 /// The number of members that claim the ownership before a daemon of the test.
-const MEMBERS_BEFORE: u32 = 500;
+const EARLIER_CLAIMANTS: u32 = 500;
 
 /// The runtime's clock, which is simulated on a runtime that was started paused.
 struct RuntimeClock(time::Instant);
@@ -459,10 +461,10 @@
 }
 
 /// Answers every request with an empty body; the tests call the daemon's caller API directly.
-struct Nothing;
+struct EmptyResponder;
 
 #[async_trait(?Send)]
-impl HttpHandler for Nothing {
+impl HttpHandler for EmptyResponder {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
         Response::new(Full::new(Bytes::new()))
     }
@@ -484,7 +486,7 @@
     }
 }
 
-pub(crate) async fn ask(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
+pub(crate) async fn send_request(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
     let call = CallerCall {
         host: "host".to_owned(),
         path: format!("/queue/{}", JobKey::new(number)),
@@ -493,7 +495,7 @@
     desk.answer(call).await
 }
 
-pub(crate) async fn count(desk: &CallerDesk, path: &str) -> CallerAnswer {
+pub(crate) async fn count_waiting(desk: &CallerDesk, path: &str) -> CallerAnswer {
     let call = CallerCall {
         host: "host".to_owned(),
         path: path.to_owned(),
@@ -506,7 +508,7 @@
 pub(crate) async fn submit(desk: &CallerDesk, number: u64, graph: &JobGraph) {
     for _ in 0..200 {
         let verb = CallerVerb::Submit(graph.clone());
-        if ask(desk, number, verb).await == CallerAnswer::Done {
+        if send_request(desk, number, verb).await == CallerAnswer::Done {
             return;
         }
         time::sleep(Duration::from_millis(50)).await;
@@ -515,10 +517,10 @@
 }
 
 /// Reads a job's progress until it is the expected one.
-pub(crate) async fn reach(desk: &CallerDesk, number: u64, wanted: JobProgress) {
+pub(crate) async fn wait_for_progress(desk: &CallerDesk, number: u64, wanted: JobProgress) {
     let mut last = CallerAnswer::NoJob;
     for _ in 0..400 {
-        last = ask(desk, number, CallerVerb::Read).await;
+        last = send_request(desk, number, CallerVerb::Read).await;
         if last == CallerAnswer::Progress(wanted) {
             return;
         }
--- a/crates/fleet/tests/daemons/worker_silence.rs
+++ b/crates/fleet/tests/daemons/worker_silence.rs
@@ -1,4 +1,5 @@
-//! Runs on workers after connections to the workers went silent. Time is simulated: it advances only while all tasks wait.
+//! Runs on workers after connections to the workers went silent. Time is simulated: it advances only while all tasks
+//! wait.
 
 use std::time::Duration;
 
@@ -7,23 +8,23 @@
 use crate::test_fleet::{
     TestFleet,
     job,
-    play_paused,
+    run_simulated,
     submit, //
 };
 
 /// Longer than the longest interval between lease renewals, so that connections are lost in every phase of a renewal.
-const ROUND_MS: u64 = 2100;
-const PHASE_MS: usize = 20;
-const TASKS: usize = 4;
+const RENEWAL_ROUND_MS: u64 = 2100;
+const PHASE_STEP_MS: usize = 20;
+const TASK_COUNT: usize = 4;
 
 /// Guards against lost tasks while daemons and workers are healthy: the lease lapsed because its renewal was sent on a
 /// connection that had gone silent.
 #[test]
-fn tasks_outlive_the_silence_of_the_connections_to_their_workers() {
-    for phase in (0..ROUND_MS).step_by(PHASE_MS) {
-        play_paused(async {
+fn tasks_survive_silent_connections_to_their_workers() {
+    for phase in (0..RENEWAL_ROUND_MS).step_by(PHASE_STEP_MS) {
+        run_simulated(async {
             let fleet = TestFleet::with_runtime_clock(2);
-            fleet.workers.waits.set(true);
+            fleet.workers.delays_answers.set(true);
             fleet.workers.lasts.set(Duration::from_secs(30));
             let owner = fleet.daemon();
             let mut service = job(&[(4, &[])]);
@@ -31,10 +32,14 @@
             service.steps[0].target = Some(Duration::from_millis(100));
             submit(&owner.desk, 1, &service).await;
             time::sleep(Duration::from_secs(5) + Duration::from_millis(phase)).await;
-            assert_eq!(fleet.workers.begins(), TASKS);
+            assert_eq!(fleet.workers.started_runs(), TASK_COUNT);
             fleet.workers.lose_connections();
             time::sleep(Duration::from_secs(20)).await;
-            assert_eq!(fleet.workers.begins(), TASKS, "lost after {phase} ms");
+            assert_eq!(
+                fleet.workers.started_runs(),
+                TASK_COUNT,
+                "lost after {phase} ms"
+            );
         });
     }
 }
--- a/crates/fleet/tests/http_pool.rs
+++ b/crates/fleet/tests/http_pool.rs
@@ -32,12 +32,12 @@
     time, //
 };
 
-const TIMEOUT: Duration = Duration::from_secs(5);
-const LONGEST: Duration = Duration::from_secs(600);
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const BEYOND_IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
 /// Accepts a connection, answers one request on it, and returns the connection.
-async fn answer(listener: &TcpListener) -> io::Result<TcpStream> {
+async fn answer_one(listener: &TcpListener) -> io::Result<TcpStream> {
     let (mut stream, _) = listener.accept().await?;
     // The request is small enough to arrive in one read.
     let read = stream.read(&mut [0; 1024]).await?;
@@ -50,41 +50,44 @@
     let address = listener.local_addr().expect("it is bound").to_string();
     let request = Request::get("/").header("host", &address);
     let request = request.body(Full::new(Bytes::new())).expect("a request");
-    let (reply, stream) = tokio::join!(pool.call(&address, request, TIMEOUT), answer(listener));
+    let (reply, stream) = tokio::join!(
+        pool.call(&address, request, CALL_TIMEOUT),
+        answer_one(listener)
+    );
     reply.expect("the server answers");
     stream.expect("the connection is open")
 }
 
 /// Guards against a daemon that runs out of file descriptors: connections to VMs that lost power stayed open for ever.
 #[tokio::test(start_paused = true)]
-async fn connections_that_no_call_uses_are_closed() {
+async fn idle_connections_are_closed() {
     let calls = async {
         let gone = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let other = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let pool = HttpPool::new();
         let mut unused = call(&pool, &gone).await;
-        time::sleep(LONGEST).await;
+        time::sleep(BEYOND_IDLE_TIMEOUT).await;
         let _used = call(&pool, &other).await;
-        let end = time::timeout(LONGEST, unused.read(&mut [0; 16])).await;
+        let end = time::timeout(BEYOND_IDLE_TIMEOUT, unused.read(&mut [0; 16])).await;
         assert_eq!(end.expect("it is closed").expect("it is closed well"), 0);
     };
     LocalSet::new().run_until(calls).await;
 }
 
 /// Starts a server that answers each request after a delay, or never without one; returns its count of connections.
-fn serve(listener: TcpListener, after: Option<Duration>) -> Rc<Cell<usize>> {
+fn start_server(listener: TcpListener, after: Option<Duration>) -> Rc<Cell<usize>> {
     let made = Rc::new(Cell::new(0));
     let count = Rc::clone(&made);
     task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
             count.set(count.get() + 1);
-            task::spawn_local(answer_all(stream, after));
+            task::spawn_local(answer_requests(stream, after));
         }
     });
     made
 }
 
-async fn answer_all(mut stream: TcpStream, after: Option<Duration>) {
+async fn answer_requests(mut stream: TcpStream, after: Option<Duration>) {
     while let Ok(1..) = stream.read(&mut [0; 1024]).await {
         let Some(after) = after else {
             continue;
@@ -108,7 +111,7 @@
         calls.spawn_local(async move {
             let request = Request::get("/").header("host", &address);
             let request = request.body(Full::new(Bytes::new())).expect("a request");
-            pool.call(&address, request, TIMEOUT).await
+            pool.call(&address, request, CALL_TIMEOUT).await
         });
     }
     calls.join_all().await
@@ -116,11 +119,11 @@
 
 /// Guards against an owner that runs out of file descriptors: each order of a burst opened a connection of its own.
 #[tokio::test(start_paused = true)]
-async fn a_burst_of_calls_shares_the_connections_that_a_pool_may_have() {
+async fn a_burst_of_calls_stays_within_the_limit_of_connections() {
     let calls = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("it is bound").to_string();
-        let made = serve(listener, Some(Duration::from_millis(5)));
+        let made = start_server(listener, Some(Duration::from_millis(5)));
         let pool = Rc::new(HttpPool::with_most(2));
         for _ in 0..3 {
             let replies = call_at_once(Rc::clone(&pool), &address, 20).await;
@@ -133,11 +136,11 @@
 
 /// Guards against an unknown outcome for orders that only waited for a connection to a silent worker.
 #[tokio::test(start_paused = true)]
-async fn calls_that_waited_in_vain_for_their_turn_were_not_sent() {
+async fn calls_that_time_out_while_they_wait_for_the_limit_are_not_sent() {
     let calls = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("it is bound").to_string();
-        let made = serve(listener, None);
+        let made = start_server(listener, None);
         let pool = Rc::new(HttpPool::with_most(2));
         let replies = call_at_once(pool, &address, 20).await;
         let faults = replies
--- a/crates/fleet/tests/http_server.rs
+++ b/crates/fleet/tests/http_server.rs
@@ -31,18 +31,18 @@
     time, //
 };
 
-const LONGEST: Duration = Duration::from_secs(600);
+const CLOSE_LIMIT: Duration = Duration::from_secs(600);
 /// Shorter than the time for which a connection may transfer no byte.
-const TRICKLE: Duration = Duration::from_secs(5);
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const TRICKLE_INTERVAL: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// More than the sockets buffer.
 const ANSWER_BYTES: usize = 64 << 20;
 
 /// Reads each request's body, and returns a large answer.
-struct Verbose;
+struct LargeAnswerHandler;
 
 #[async_trait(?Send)]
-impl HttpHandler for Verbose {
+impl HttpHandler for LargeAnswerHandler {
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         drop(read_body(request.into_body(), 1000).await);
         Response::new(Full::new(Bytes::from(vec![0; ANSWER_BYTES])))
@@ -50,7 +50,7 @@
 }
 
 /// Sends bytes, calls `then` with the connection, reads nothing, and waits until the server closes the connection.
-async fn stop_after<Then>(sent: &[u8], then: Then)
+async fn expect_close_after<Then>(sent: &[u8], then: Then)
 where
     Then: AsyncFnOnce(&mut TcpStream),
 {
@@ -58,30 +58,35 @@
     let address = listener.local_addr().expect("it is bound");
     let count = ConnectionCount::default();
     let (_stop, stopping) = watch::channel(false);
-    serve_on(listener, Rc::new(Verbose), stopping, count.clone());
+    serve_on(
+        listener,
+        Rc::new(LargeAnswerHandler),
+        stopping,
+        count.clone(),
+    );
     let mut caller = TcpStream::connect(address).await.expect("it listens");
     caller.write_all(sent).await.expect("it is open");
     while count.open() == 0 {
-        time::sleep(LOOK_EVERY).await;
+        time::sleep(POLL_INTERVAL).await;
     }
     then(&mut caller).await;
     let closed = async {
         while count.open() > 0 {
-            time::sleep(LOOK_EVERY).await;
+            time::sleep(POLL_INTERVAL).await;
         }
     };
-    let closed = time::timeout(LONGEST, closed).await;
+    let closed = time::timeout(CLOSE_LIMIT, closed).await;
     assert!(closed.is_ok(), "the connection is kept");
     drop(caller);
 }
 
-/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that had stopped
-/// in the middle of a request's body.
+/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that had
+/// stopped in the middle of a request's body.
 #[tokio::test(start_paused = true)]
 async fn a_body_that_stops_ends_its_connection() {
     let sent = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 100\r\n\r\nhalf";
     LocalSet::new()
-        .run_until(stop_after(sent, async |_| ()))
+        .run_until(expect_close_after(sent, async |_| ()))
         .await;
 }
 
@@ -92,34 +97,36 @@
     let sent = b"POST / HTTP/1.1\r\nhost: h\r\ncontent-length: 100\r\n\r\n";
     let trickle = async |caller: &mut TcpStream| {
         for _ in 0..99 {
-            time::sleep(TRICKLE).await;
+            time::sleep(TRICKLE_INTERVAL).await;
             if caller.write_all(b"x").await.is_err() {
                 return;
             }
         }
         panic!("it waits for the whole body");
     };
-    LocalSet::new().run_until(stop_after(sent, trickle)).await;
+    LocalSet::new()
+        .run_until(expect_close_after(sent, trickle))
+        .await;
 }
 
-/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that did not read
-/// their answers.
+/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that did not
+/// read their answers.
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_nobody_reads_ends_its_connection() {
+async fn an_answer_that_is_not_read_ends_its_connection() {
     let sent = b"GET / HTTP/1.1\r\nhost: h\r\n\r\n";
     LocalSet::new()
-        .run_until(stop_after(sent, async |_| ()))
+        .run_until(expect_close_after(sent, async |_| ()))
         .await;
 }
 
 /// Guards against an error that does not say which of a daemon's addresses is in use.
 #[tokio::test]
-async fn an_address_that_is_taken_is_named() {
+async fn an_error_names_the_address_in_use() {
     let taken = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = taken.local_addr().expect("it is bound");
     let (_stop, stopping) = watch::channel(false);
     let count = ConnectionCount::default();
-    let error = serve(address, Rc::new(Verbose), stopping, count)
+    let error = serve(address, Rc::new(LargeAnswerHandler), stopping, count)
         .await
         .expect_err("it is taken");
     assert!(error.to_string().contains(&address.to_string()), "{error}");
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -4,9 +4,9 @@
 
 use jasminebend_fleet::{
     MemberRecord,
-    OwnerProbe,
     OwnerRecord,
     PeerHealth,
+    ProbeResult,
     Succession, //
 };
 
@@ -45,30 +45,30 @@
 /// Returns the state of the daemon `b`, with the owner `a` and the member `c`, which has a smaller CPU share than `b`.
 fn succession() -> Succession {
     let mut succession = Succession::new("b");
-    succession.note_members(vec![member("a", 100), member("b", 100), member("c", 60)]);
-    succession.note_owner(Some(owner("a", 1)), ms(0));
+    succession.set_members(vec![member("a", 100), member("b", 100), member("c", 60)]);
+    succession.set_owner(Some(owner("a", 1)), ms(0));
     succession
 }
 
 #[test]
-fn an_owner_that_answers_is_left_alone() {
+fn an_owner_that_answers_is_not_replaced() {
     let mut succession = succession();
     for second in 0..60 {
         let now = ms(second * 1000);
-        succession.note_probe(OwnerProbe::Answered(health()), now, now);
+        succession.record_probe(ProbeResult::Answered(health()), now, now);
         assert!(!succession.should_claim(now));
     }
 }
 
-/// Guards against a late takeover: the silence was counted from the timeout of the first unanswered probe instead of from
-/// its sending.
+/// Guards against a late takeover: the silence was counted from the timeout of the first unanswered probe instead of
+/// from its sending.
 #[test]
-fn silence_counts_from_the_first_probe_that_was_sent_in_vain() {
+fn silence_counts_from_the_sending_of_the_first_unanswered_probe() {
     let mut succession = succession();
-    succession.note_probe(OwnerProbe::Silent, ms(1000), ms(1400));
-    succession.note_probe(OwnerProbe::Silent, ms(1460), ms(1860));
+    succession.record_probe(ProbeResult::Unanswered, ms(1000), ms(1400));
+    succession.record_probe(ProbeResult::Unanswered, ms(1460), ms(1860));
     assert!(!succession.should_claim(ms(1860)));
-    succession.note_probe(OwnerProbe::Silent, ms(1920), ms(2320));
+    succession.record_probe(ProbeResult::Unanswered, ms(1920), ms(2320));
     assert!(succession.should_claim(ms(2320)));
 }
 
@@ -76,63 +76,67 @@
 #[test]
 fn a_silent_owner_is_replaced_after_its_time() {
     let mut succession = succession();
-    succession.note_probe(OwnerProbe::Silent, ms(1000), ms(1000));
+    succession.record_probe(ProbeResult::Unanswered, ms(1000), ms(1000));
     assert!(!succession.should_claim(ms(1900)));
-    succession.note_probe(OwnerProbe::Silent, ms(2400), ms(2400));
+    succession.record_probe(ProbeResult::Unanswered, ms(2400), ms(2400));
     assert!(succession.should_claim(ms(2400)));
-    assert!(!succession.former_is_gone(), "silence is not being gone");
-    succession.note_probe(OwnerProbe::Answered(health()), ms(2500), ms(2500));
+    assert!(
+        !succession.is_former_owner_gone(),
+        "silence is not being gone"
+    );
+    succession.record_probe(ProbeResult::Answered(health()), ms(2500), ms(2500));
     assert!(!succession.should_claim(ms(2500)));
 }
 
 #[test]
-fn an_owner_whose_address_refuses_is_gone() {
+fn an_owner_whose_address_refuses_connections_is_gone() {
     let mut succession = succession();
-    succession.note_probe(OwnerProbe::Gone, ms(1000), ms(1000));
+    succession.record_probe(ProbeResult::ConnectionRefused, ms(1000), ms(1000));
     assert!(succession.should_claim(ms(1000)));
-    assert!(succession.former_is_gone());
+    assert!(succession.is_former_owner_gone());
 }
 
 #[test]
-fn another_life_of_the_owner_is_not_the_owner() {
+fn a_restarted_owner_is_replaced() {
     let mut succession = succession();
-    let reborn = PeerHealth {
+    let restarted = PeerHealth {
         incarnation: 2,
         acting: None,
         ..health()
     };
-    succession.note_probe(OwnerProbe::Answered(reborn), ms(1000), ms(1000));
+    succession.record_probe(ProbeResult::Answered(restarted), ms(1000), ms(1000));
     assert!(succession.should_claim(ms(1000)));
-    assert!(succession.former_is_gone());
+    assert!(succession.is_former_owner_gone());
 }
 
-/// Guards against an owner that learns of no new jobs: the store refuses the owner's calls and serves the other daemons.
+/// Guards against an owner that learns of no new jobs: the store refuses the owner's calls and serves the other
+/// daemons.
 #[test]
 fn an_owner_without_the_store_is_replaced_by_one_that_has_it() {
     let mut succession = succession();
-    let blind = PeerHealth {
+    let without_store = PeerHealth {
         without_store_ms: 1200,
         ..health()
     };
-    succession.note_probe(OwnerProbe::Answered(blind), ms(1000), ms(1000));
+    succession.record_probe(ProbeResult::Answered(without_store), ms(1000), ms(1000));
     assert!(succession.should_claim(ms(1000)));
-    assert!(!succession.former_is_gone());
+    assert!(!succession.is_former_owner_gone());
 }
 
-/// Guards against replacing a healthy owner as an outage for all daemons ends: the store became available to this daemon
-/// a moment before it did to the owner.
+/// Guards against replacing a healthy owner as an outage for all daemons ends: the store became available to this
+/// daemon a moment before it did to the owner.
 #[test]
-fn an_owner_is_left_alone_as_the_store_comes_back_to_all() {
+fn an_owner_is_not_replaced_as_the_store_comes_back_to_all() {
     let mut succession = succession();
-    let blind = PeerHealth {
+    let without_store = PeerHealth {
         without_store_ms: 4200,
         ..health()
     };
-    succession.note_store(ms(100));
-    succession.note_probe(OwnerProbe::Answered(blind), ms(1000), ms(1000));
+    succession.set_store_available_for(ms(100));
+    succession.record_probe(ProbeResult::Answered(without_store), ms(1000), ms(1000));
     assert!(!succession.should_claim(ms(1000)));
-    succession.note_store(ms(1000));
-    succession.note_probe(OwnerProbe::Answered(blind), ms(1900), ms(1900));
+    succession.set_store_available_for(ms(1000));
+    succession.record_probe(ProbeResult::Answered(without_store), ms(1900), ms(1900));
     assert!(succession.should_claim(ms(1900)));
 }
 
@@ -140,28 +144,28 @@
 #[test]
 fn the_larger_daemons_go_first() {
     let mut succession = succession();
-    succession.note_members(vec![member("a", 100), member("b", 100), member("d", 500)]);
-    succession.note_probe(OwnerProbe::Gone, ms(1000), ms(1000));
+    succession.set_members(vec![member("a", 100), member("b", 100), member("d", 500)]);
+    succession.record_probe(ProbeResult::ConnectionRefused, ms(1000), ms(1000));
     assert!(!succession.should_claim(ms(1000)));
     assert!(succession.should_claim(ms(1200)));
 }
 
 #[test]
-fn a_daemon_takes_over_from_its_own_former_life_at_once() {
+fn a_daemon_takes_over_from_its_own_former_incarnation_at_once() {
     let mut succession = succession();
-    succession.note_owner(Some(owner("b", 6)), ms(0));
+    succession.set_owner(Some(owner("b", 6)), ms(0));
     assert!(succession.should_claim(ms(0)));
-    assert!(succession.former_is_gone());
+    assert!(succession.is_former_owner_gone());
 }
 
 #[test]
-fn a_seat_that_was_given_back_is_taken_at_once() {
+fn a_vacant_ownership_is_taken_over_at_once() {
     let mut succession = succession();
     let vacant = OwnerRecord {
         vacant: true,
         ..owner("a", 1)
     };
-    succession.note_owner(Some(vacant), ms(500));
+    succession.set_owner(Some(vacant), ms(500));
     assert!(succession.should_claim(ms(500)));
-    assert!(succession.former_is_gone());
+    assert!(succession.is_former_owner_gone());
 }
