--- a/crates/fleet/src/admission_check.rs
+++ b/crates/fleet/src/admission_check.rs
@@ -65,7 +65,7 @@
     graph: &JobGraph,
 ) -> Option<Admission> {
     let term = shared.loaded_term()?;
-    if !shared.may_order(&term) {
+    if !shared.may_send_orders(&term) {
         return None;
     }
     let now = shared.now();
--- a/crates/fleet/src/caller_desk.rs
+++ b/crates/fleet/src/caller_desk.rs
@@ -16,19 +16,11 @@
 use serde::Serialize;
 
 use crate::{
-    CallerAnswer,
-    CallerCall,
-    CallerVerb,
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
-    JobRecord,
-    LogEvent,
-    RowCommit,
-    StoreError,
+    CallerAnswer, CallerCall, CallerVerb, CommitAnswer, FleetRow, FleetTable, JobRecord, LogEvent,
+    RowCommit, StoreError,
     admission_check::check_admission,
     fleet_log::whole_millis,
-    peer_client::PeerCallError, //
+    peer_client::PeerCallError,
     shared_state::{
         CANCELLATION_SUFFIX,
         SHARD_PART,
@@ -92,6 +84,7 @@
     outcome: String,
 }
 
+/// The answer to a caller's request, with the state that it was based on.
 #[derive(Serialize)]
 struct RequestLine<'a> {
     request: &'a str,
@@ -174,7 +167,7 @@
         if rest.is_empty() {
             return match call.verb {
                 CallerVerb::Read => self.count_waiting(&queue, call, forwarding).await,
-                _ => CallerAnswer::Malformed("a job's identity is missing".to_owned()),
+                _ => CallerAnswer::Malformed("the path lacks a job identifier".to_owned()),
             };
         }
         let key = match rest.parse::<JobKey>() {
@@ -213,7 +206,7 @@
             graph,
         };
         let Ok(value) = postcard::to_stdvec(&record) else {
-            return CallerAnswer::Malformed("the job can't be kept".to_owned());
+            return CallerAnswer::Malformed("the job can't be encoded".to_owned());
         };
         if !self.shared.store.is_lost()
             && let Some(retry_after) =
--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -50,8 +50,8 @@
     fleet_log::FLUSH_INTERVAL,
     http_server::serve,
     member_watch::{
-        run_succession, //
-        watch_members,
+        run_succession,
+        watch_members, //
     },
     monitored_store::MonitoredStore,
     operator_watch::watch_operator,
@@ -59,8 +59,8 @@
     shared_state::{
         OWNER_KEY,
         OperatorState,
-        SHARD_PART, //
-        SharedState,
+        SHARD_PART,
+        SharedState, //
     },
     store_probe::probe_store, //
 };
@@ -100,6 +100,7 @@
     finish: watch::Sender<bool>,
 }
 
+/// The daemon started, is stopping or has stopped.
 #[derive(Serialize)]
 struct DaemonLine<'a> {
     change: &'static str,
@@ -233,7 +234,7 @@
     let Some(term) = shared.term() else {
         return;
     };
-    term.depose();
+    term.end();
     let record = OwnerRecord {
         vacant: true,
         ..term.record.clone()
--- a/crates/fleet/src/http_pool.rs
+++ b/crates/fleet/src/http_pool.rs
@@ -54,10 +54,10 @@
     #[display("the connection was refused")]
     Closed,
     /// No byte of the request was sent.
-    #[display("no connection")]
+    #[display("the request was not sent")]
     Unsent,
     /// The request may have been sent, but the connection broke or the call timed out.
-    #[display("no answer")]
+    #[display("no answer was received")]
     Unanswered,
 }
 
--- a/crates/fleet/src/job_watch.rs
+++ b/crates/fleet/src/job_watch.rs
@@ -13,11 +13,8 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    FleetRow,
-    FleetTable,
-    JobRecord,
-    StoreError,
-    monitored_store::WatchedRows, //
+    FleetRow, FleetTable, JobRecord, StoreError,
+    monitored_store::WatchedRows,
     owner_term::OwnerTerm,
     shared_state::{
         CANCELLATION_SUFFIX,
@@ -128,7 +125,7 @@
                     version: page.version,
                     sent_at,
                 };
-                term.plan.notify_one();
+                term.plan_wakeup.notify_one();
             }
             Err(StoreError::Forgotten) => match read_jobs_again(&shared, &term, position).await {
                 Ok(read) => position = read,
--- a/crates/fleet/src/lease_renewal.rs
+++ b/crates/fleet/src/lease_renewal.rs
@@ -16,9 +16,9 @@
 
 use crate::{
     LogEvent,
-    order_planning::worker_address, //
+    order_planning::worker_address,
     owner_term::OwnerTerm,
-    shared_state::SharedState,
+    shared_state::SharedState, //
 };
 
 /// The pause after the first failed call; each further failure doubles it.
@@ -29,6 +29,7 @@
 /// would answer at once with the same outcomes.
 const COMMIT_WAIT: Duration = Duration::from_millis(100);
 
+/// The end of a run, as a worker reported it.
 #[derive(Serialize)]
 struct RunEndLine<'a> {
     task: String,
@@ -39,6 +40,7 @@
     owner_token: u64,
 }
 
+/// Contact with a worker was lost or regained, after `failures` failed calls in a row.
 #[derive(Serialize)]
 struct ContactLine<'a> {
     worker: &'a str,
@@ -52,7 +54,7 @@
     loop {
         let address = worker_address(&term, key);
         let sent = shared.now();
-        let confirmed = shared.may_order(&term);
+        let confirmed = shared.may_send_orders(&term);
         let order = term
             .dispatcher
             .borrow_mut()
@@ -73,11 +75,11 @@
                 term.dispatcher
                     .borrow_mut()
                     .hold_answered(key, sent, report, now);
-                term.plan.notify_one();
+                term.plan_wakeup.notify_one();
                 wait_for_commit(&term, key).await;
             }
             Err(OrderEnd::Refused(OrderRefusal::Fenced)) => {
-                term.depose();
+                term.end();
                 return;
             }
             Err(end) => {
@@ -102,7 +104,7 @@
     if !term.dispatcher.borrow().owes_acknowledgement(key) {
         return;
     }
-    term.commit.notify_one();
+    term.commit_wakeup.notify_one();
     // After the timeout the worker is called without the acknowledgement: its lease must not lapse.
     drop(time::timeout(COMMIT_WAIT, committed.changed()).await);
 }
--- a/crates/fleet/src/maintenance_waves.rs
+++ b/crates/fleet/src/maintenance_waves.rs
@@ -19,8 +19,8 @@
     LogEvent,
     UpkeepEnd,
     WaveRequest,
-    owner_term::OwnerTerm, //
-    shared_state::SharedState,
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
 };
 
 /// The interval between two steps of an active wave; each step reads the list of VMs, which is an expensive call.
@@ -42,6 +42,7 @@
     written_status: Option<bool>,
 }
 
+/// The outcome of a call that sends a VM into maintenance.
 #[derive(Serialize)]
 struct WaveLine<'a> {
     wave: u64,
@@ -55,7 +56,7 @@
 /// Carries out maintenance waves until the term is over.
 pub(crate) async fn carry_out_waves(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let Some(vms) = shared.vms.clone() else {
-        return term.ended().await;
+        return term.until_over().await;
     };
     if term.token() > 1 {
         // The platform counts calls of two owners within this time as two concurrent lease holders.
@@ -69,7 +70,7 @@
             let state = states.get(&wave.wave);
             state.is_none_or(|state| state.written_status != Some(true))
         });
-        if !open || !shared.may_order(&term) {
+        if !open || !shared.may_send_orders(&term) {
             time::sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
@@ -116,8 +117,8 @@
             let mut dispatcher = term.dispatcher.borrow_mut();
             dispatcher.prepare_upkeep(worker, now)
         });
-        term.plan.notify_one();
-        if ready && shared.may_order(term) {
+        term.plan_wakeup.notify_one();
+        if ready && shared.may_send_orders(term) {
             start_maintenance(shared, term, vms, wave, state, vm, down).await;
         }
         // Workers are drained one VM at a time, so that the others keep running tasks.
@@ -170,7 +171,7 @@
         }
         UpkeepEnd::Never => drop(state.handled.insert(Arc::clone(vm))),
         UpkeepEnd::Unknown => drop(state.maybe_down.insert(Arc::clone(vm), sent)),
-        UpkeepEnd::Fenced => term.depose(),
+        UpkeepEnd::Fenced => term.end(),
         UpkeepEnd::Busy | UpkeepEnd::Refused => {}
     }
 }
--- a/crates/fleet/src/member_expiry.rs
+++ b/crates/fleet/src/member_expiry.rs
@@ -13,17 +13,11 @@
 };
 
 use crate::{
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
-    LogEvent,
-    MemberRecord,
-    ProbeResult,
-    RowCommit,
-    owner_term::OwnerTerm, //
+    CommitAnswer, FleetRow, FleetTable, LogEvent, MemberRecord, ProbeResult, RowCommit,
+    owner_term::OwnerTerm,
     shared_state::{
-        MEMBERS_PART, //
-        SharedState,
+        MEMBERS_PART,
+        SharedState, //
     },
 };
 
@@ -32,6 +26,7 @@
 /// How long a member must have left every probe unanswered to be removed. A daemon that is back enrolls again.
 const MEMBER_EXPIRY_TIME: Duration = Duration::from_secs(300);
 
+/// A member was removed.
 #[derive(Serialize)]
 struct ExpiryLine<'a> {
     change: &'static str,
@@ -54,7 +49,7 @@
         for member in &silent {
             let since = *silent_since.entry(member.node.clone()).or_insert(now);
             let is_expired = now >= since + MEMBER_EXPIRY_TIME;
-            if is_expired && has_majority && shared.may_order(&term) {
+            if is_expired && has_majority && shared.may_send_orders(&term) {
                 remove_member(&shared, &term, member).await;
             }
         }
--- a/crates/fleet/src/member_watch.rs
+++ b/crates/fleet/src/member_watch.rs
@@ -9,15 +9,8 @@
 use tokio::time;
 
 use crate::{
-    FleetRow,
-    FleetTable,
-    LogEvent,
-    MemberRecord,
-    OwnerRecord,
-    ProbeResult,
-    RowCommit,
-    StoreError,
-    monitored_store::WatchedRows, //
+    FleetRow, FleetTable, LogEvent, MemberRecord, OwnerRecord, ProbeResult, RowCommit, StoreError,
+    monitored_store::WatchedRows,
     ownership_takeover::take_over,
     shared_state::{
         MEMBERS_PART,
@@ -33,6 +26,7 @@
 /// The pause between two probes while the owner may have to be replaced.
 const DOUBTED_PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
+/// A new version of the owner's row was read.
 #[derive(Serialize)]
 struct OwnerLine<'a> {
     change: &'static str,
--- a/crates/fleet/src/monitored_store.rs
+++ b/crates/fleet/src/monitored_store.rs
@@ -79,8 +79,11 @@
     lost: Cell<bool>,
     /// How long the latest answered call took, watches excluded.
     latency: Cell<Duration>,
+    /// Signals that a call failed or was left unanswered, so that the store should be probed.
     suspected_notify: Notify,
+    /// Signals that the store was lost, so that calls in progress are given up.
     lost_notify: Notify,
+    /// Signals that the store is available again.
     available_notify: Notify,
 }
 
@@ -103,6 +106,8 @@
         }
     }
 
+    /// Returns the store itself, to make calls that are then passed to [`MonitoredStore::call`] or
+    /// [`MonitoredStore::watch`].
     pub(crate) fn port(&self) -> &dyn FleetStore {
         &*self.store
     }
@@ -117,6 +122,7 @@
         self.health.get().available_for(self.clock.monotonic())
     }
 
+    /// Returns whether calls have failed for at least [`STORE_LOST_AFTER`].
     pub(crate) fn is_lost(&self) -> bool {
         self.failing_for() >= STORE_LOST_AFTER
     }
@@ -345,6 +351,7 @@
     }
 }
 
+/// A watch failed after `waited_ms`.
 #[derive(Serialize)]
 struct WatchLine {
     rows: WatchedRows,
@@ -352,6 +359,7 @@
     waited_ms: u64,
 }
 
+/// The store was lost or regained.
 #[derive(Serialize)]
 struct DependencyLine {
     dependency: &'static str,
--- a/crates/fleet/src/operator_watch.rs
+++ b/crates/fleet/src/operator_watch.rs
@@ -8,18 +8,16 @@
 use serde::Serialize;
 
 use crate::{
-    LogEvent,
-    OperatorChange,
-    RowPage,
-    StoreError,
+    LogEvent, OperatorChange, RowPage, StoreError,
     fleet_log::whole_millis,
-    monitored_store::WatchedRows, //
+    monitored_store::WatchedRows,
     shared_state::{
         SharedState,
         WATCH_WAIT, //
     },
 };
 
+/// A change of the operator's rows.
 #[derive(Serialize)]
 struct OperatorLine {
     change: &'static str,
@@ -123,5 +121,5 @@
         dispatcher.configure(configuration.clone());
     }
     dispatcher.close_domains(operator.closed.clone());
-    term.plan.notify_one();
+    term.plan_wakeup.notify_one();
 }
--- a/crates/fleet/src/order_planning.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -22,15 +22,12 @@
 };
 
 use crate::{
-    FleetRow,
-    FleetTable,
-    LogEvent,
-    WorkerAddress,
+    FleetRow, FleetTable, LogEvent, WorkerAddress,
     fleet_log::whole_millis,
-    owner_term::OwnerTerm, //
+    owner_term::OwnerTerm,
     shared_state::{
-        SHARD_PART, //
-        SharedState,
+        SHARD_PART,
+        SharedState, //
     },
 };
 
@@ -42,6 +39,7 @@
 /// The pause of the process (suspended VM, starved CPU) after which its knowledge of workers counts as stale.
 const STALE_AFTER_PAUSE: Duration = Duration::from_millis(900);
 
+/// The outcome of an order to a worker.
 #[derive(Serialize)]
 struct OrderLine<'a> {
     order: &'static str,
@@ -75,6 +73,7 @@
     other: usize,
 }
 
+/// The decision to throttle or move the fillers beside a service that misses its target, and the measurements behind it.
 #[derive(Serialize)]
 struct FillerDecisionLine<'a> {
     order: &'static str,
@@ -92,7 +91,7 @@
     let mut planned = shared.now();
     loop {
         // After the timeout a plan is made without an event.
-        drop(time::timeout(LONGEST_PLAN_INTERVAL, term.plan.notified()).await);
+        drop(time::timeout(LONGEST_PLAN_INTERVAL, term.plan_wakeup.notified()).await);
         let woken_at = shared.now();
         time::sleep(PLAN_DELAY).await;
         let now = shared.now();
@@ -101,7 +100,7 @@
             term.dispatcher.borrow_mut().note_pause();
         }
         planned = now;
-        if !shared.may_order(&term) {
+        if !shared.may_send_orders(&term) {
             continue;
         }
         let outcome = {
@@ -128,7 +127,7 @@
             ));
         }
         if term.dispatcher.borrow().wants_commit() {
-            term.commit.notify_one();
+            term.commit_wakeup.notify_one();
         }
     }
 }
@@ -146,7 +145,7 @@
 
 async fn send_order(shared: Rc<SharedState>, term: Rc<OwnerTerm>, order: WorkerOrder) {
     // The process may have been paused since the order was planned.
-    if !shared.may_order(&term) || !is_still_wanted(&term, &order) {
+    if !shared.may_send_orders(&term) || !is_still_wanted(&term, &order) {
         report_unsent(&shared, &term, &order);
         return;
     }
@@ -179,10 +178,10 @@
     };
     log_order(&shared, &term, &order, outcome);
     if outcome == OrderEnd::Refused(OrderRefusal::Fenced) {
-        term.depose();
+        term.end();
     }
     if outcome != OrderEnd::Taken || term.dispatcher.borrow().holds_back() {
-        term.plan.notify_one();
+        term.plan_wakeup.notify_one();
     }
 }
 
@@ -241,7 +240,7 @@
     term.dispatcher
         .borrow_mut()
         .advice_answered(request.step, answer.tickets, until);
-    term.plan.notify_one();
+    term.plan_wakeup.notify_one();
 }
 
 fn log_order(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder, outcome: OrderEnd) {
--- a/crates/fleet/src/owner_announcement.rs
+++ b/crates/fleet/src/owner_announcement.rs
@@ -16,13 +16,14 @@
     LogEvent,
     ProbeResult,
     fleet_log::whole_millis,
-    owner_term::OwnerTerm, //
-    shared_state::SharedState,
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
 };
 
 /// The pause before the announcement is repeated to daemons that did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
+/// How far the announcement of a new owner has got.
 #[derive(Serialize)]
 struct AnnouncementLine {
     change: &'static str,
@@ -34,8 +35,8 @@
 
 /// Announces the new owner's token to the other daemons until half of the members know it.
 ///
-/// A former owner that has lost the store stays in office while more than half of the members confirm that they know
-/// no newer token. Until half know the new token, workers that have not reported yet may still run its orders.
+/// A former owner that has lost the store goes on acting while more than half of the members confirm that they know no
+/// newer token. Until half know the new token, workers that have not reported yet may still run its orders.
 pub(crate) async fn announce_owner(
     shared: Rc<SharedState>,
     term: Rc<OwnerTerm>,
--- a/crates/fleet/src/owner_term.rs
+++ b/crates/fleet/src/owner_term.rs
@@ -9,7 +9,7 @@
         HashMap,
         HashSet, //
     },
-    time::Duration,
+    time::Duration, //
 };
 
 use jasminebend_dispatch::{
@@ -40,9 +40,9 @@
     /// The workers whose leases are being renewed.
     pub(crate) renewed_workers: RefCell<HashSet<WorkerKey>>,
     /// Wakes the task that plans orders.
-    pub(crate) plan: Notify,
+    pub(crate) plan_wakeup: Notify,
     /// Wakes the task that commits progress.
-    pub(crate) commit: Notify,
+    pub(crate) commit_wakeup: Notify,
     /// The number of progress commits so far.
     pub(crate) committed: watch::Sender<u64>,
     /// The number of rows in which the former owner recorded its workers.
@@ -71,8 +71,8 @@
             dispatcher: RefCell::new(dispatcher),
             progress_versions: RefCell::new(HashMap::new()),
             renewed_workers: RefCell::new(HashSet::new()),
-            plan: Notify::new(),
-            commit: Notify::new(),
+            plan_wakeup: Notify::new(),
+            commit_wakeup: Notify::new(),
             committed: watch::Sender::new(0),
             worker_row_count: Cell::new(0),
             workers_changed: Cell::new(true),
@@ -98,7 +98,7 @@
     }
 
     /// Returns the time since the term was last confirmed.
-    pub(crate) fn unconfirmed(&self, now: Duration) -> Duration {
+    pub(crate) fn time_since_confirmation(&self, now: Duration) -> Duration {
         now.saturating_sub(self.confirmed.get())
     }
 
@@ -107,14 +107,14 @@
     }
 
     /// Ends the term and wakes its tasks.
-    pub(crate) fn depose(&self) {
+    pub(crate) fn end(&self) {
         self.over.send_replace(true);
-        self.plan.notify_one();
-        self.commit.notify_one();
+        self.plan_wakeup.notify_one();
+        self.commit_wakeup.notify_one();
     }
 
     /// Waits until the term is over.
-    pub(crate) async fn ended(&self) {
+    pub(crate) async fn until_over(&self) {
         let mut over = self.over.subscribe();
         // `wait_for` can't fail: `self` owns the sender.
         drop(over.wait_for(|over| *over).await);
--- a/crates/fleet/src/ownership_takeover.rs
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -26,10 +26,10 @@
     job_watch::{
         JobWatchPosition,
         apply_job_row,
-        read_jobs, //
-        watch_jobs,
+        read_jobs,
+        watch_jobs, //
     },
-    maintenance_waves::carry_out_waves, //
+    maintenance_waves::carry_out_waves,
     member_expiry::expire_members,
     member_watch::apply_owner_row,
     operator_watch::configure_dispatcher,
@@ -41,17 +41,18 @@
     registry_watch::watch_registry,
     shared_state::{
         OWNER_KEY,
-        SHARD_PART, //
-        SharedState,
+        SHARD_PART,
+        SharedState, //
     },
     takeover_records::{
         decode_workers,
-        restore_learned, //
-        write_takeover_records,
+        restore_learned,
+        write_takeover_records, //
     },
-    term_confirmation::confirm_term,
+    term_confirmation::confirm_term, //
 };
 
+/// This daemon began to act as the owner, or its term is over.
 #[derive(Serialize)]
 struct TakeoverLine<'a> {
     change: &'static str,
@@ -228,7 +229,7 @@
     tasks.spawn_local(report_pool_usage(Rc::clone(&shared), Rc::clone(&term)));
     tasks.spawn_local(carry_out_waves(Rc::clone(&shared), Rc::clone(&term)));
     tasks.spawn_local(expire_members(Rc::clone(&shared), Rc::clone(&term)));
-    term.ended().await;
+    term.until_over().await;
     shared.log.line(
         LogEvent::Owner,
         TakeoverLine {
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -20,8 +20,8 @@
     PeerHealth,
     admission_check::decide_as_owner,
     fleet_log::whole_millis,
-    read_body, //
-    shared_state::SharedState,
+    read_body,
+    shared_state::SharedState, //
 };
 
 /// The largest accepted body of a peer's call, in bytes: a caller's body and its envelope.
--- a/crates/fleet/src/peer_client.rs
+++ b/crates/fleet/src/peer_client.rs
@@ -20,8 +20,8 @@
     HttpFault,
     HttpPool,
     PeerAnswer,
-    PeerCall, //
-    ProbeResult,
+    PeerCall,
+    ProbeResult, //
 };
 
 /// How long a probe waits. An owner is taken for silent after three unanswered probes and the pauses between them.
--- a/crates/fleet/src/pool_usage_log.rs
+++ b/crates/fleet/src/pool_usage_log.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     LogEvent,
-    owner_term::OwnerTerm, //
-    shared_state::SharedState,
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
 };
 
 /// The interval between two reports.
--- a/crates/fleet/src/progress_commits.rs
+++ b/crates/fleet/src/progress_commits.rs
@@ -20,9 +20,9 @@
     RowCommit,
     fleet_log::whole_millis,
     member_watch::apply_owner_row,
-    order_planning::progress_row, //
+    order_planning::progress_row,
     owner_term::OwnerTerm,
-    shared_state::SharedState,
+    shared_state::SharedState, //
 };
 
 /// The most jobs in a commit: each needs a guard and a write, and the store accepts 100 entries.
@@ -32,6 +32,7 @@
 /// The longest time between two checks for progress to commit.
 const LONGEST_COMMIT_INTERVAL: Duration = Duration::from_millis(200);
 
+/// The outcome of a job, once it is committed.
 #[derive(Serialize)]
 struct JobOutcomeLine {
     job: String,
@@ -45,7 +46,7 @@
 pub(crate) async fn commit_progress(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
         // After the timeout the progress of a failed commit may still have to be committed.
-        drop(time::timeout(LONGEST_COMMIT_INTERVAL, term.commit.notified()).await);
+        drop(time::timeout(LONGEST_COMMIT_INTERVAL, term.commit_wakeup.notified()).await);
         time::sleep(COMMIT_DELAY).await;
         let records = term
             .dispatcher
@@ -66,7 +67,7 @@
                 // If the commit was applied after all, the next attempt conflicts with the versions that it wrote.
                 term.dispatcher.borrow_mut().note_uncommitted();
                 shared.store.wait_to_retry().await;
-                term.commit.notify_one();
+                term.commit_wakeup.notify_one();
             }
         }
     }
@@ -123,7 +124,7 @@
     drop(dispatcher);
     term.committed.send_modify(|count| *count += 1);
     if term.dispatcher.borrow().wants_commit() {
-        term.commit.notify_one();
+        term.commit_wakeup.notify_one();
     }
 }
 
@@ -135,7 +136,7 @@
     let replaced = owner.is_none_or(|row| row.version != term.guard.version);
     if replaced {
         apply_owner_row(shared, owner);
-        term.depose();
+        term.end();
         return;
     }
     let mut versions = term.progress_versions.borrow_mut();
@@ -144,5 +145,5 @@
             versions.insert(key, row.version);
         }
     }
-    term.commit.notify_one();
+    term.commit_wakeup.notify_one();
 }
--- a/crates/fleet/src/registry_watch.rs
+++ b/crates/fleet/src/registry_watch.rs
@@ -12,10 +12,8 @@
 };
 
 use crate::{
-    LogEvent,
-    RegistryChange,
-    StoreError,
-    lease_renewal::renew_lease, //
+    LogEvent, RegistryChange, StoreError,
+    lease_renewal::renew_lease,
     monitored_store::WatchedRows,
     owner_term::OwnerTerm,
     shared_state::{
@@ -49,7 +47,7 @@
                 after = Some(page.version);
                 if apply_registry_changes(&shared, &term, page.items, is_full_read) {
                     term.workers_changed.set(true);
-                    term.plan.notify_one();
+                    term.plan_wakeup.notify_one();
                 }
                 time::sleep(REGISTRY_WATCH_PAUSE).await;
             }
@@ -108,6 +106,7 @@
     changed
 }
 
+/// A worker was listed, began to drain or was unlisted.
 #[derive(Serialize)]
 struct WorkerLine<'a> {
     worker: &'a str,
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -33,9 +33,9 @@
     PeerOrder,
     Succession,
     WaveRequest,
-    monitored_store::MonitoredStore, //
+    monitored_store::MonitoredStore,
     owner_term::OwnerTerm,
-    peer_client::PeerCallError,
+    peer_client::PeerCallError, //
 };
 
 /// The store's part that holds the owner's row and the progress rows; all jobs form one shard.
@@ -149,8 +149,9 @@
     }
 
     /// Returns whether the owner may send orders: its term was confirmed recently enough.
-    pub(crate) fn may_order(&self, term: &OwnerTerm) -> bool {
-        !term.is_over() && term.unconfirmed(self.now()) < self.settings.dispatch.unconfirmed
+    pub(crate) fn may_send_orders(&self, term: &OwnerTerm) -> bool {
+        !term.is_over()
+            && term.time_since_confirmation(self.now()) < self.settings.dispatch.unconfirmed
     }
 
     /// Returns the owner's address if the owner is another daemon.
@@ -194,7 +195,7 @@
         if let Some(term) = self.term()
             && term.token() < token
         {
-            term.depose();
+            term.end();
         }
     }
 }
--- a/crates/fleet/src/takeover_records.rs
+++ b/crates/fleet/src/takeover_records.rs
@@ -14,12 +14,9 @@
 use tokio::time;
 
 use crate::{
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
-    RowCommit,
+    CommitAnswer, FleetRow, FleetTable, RowCommit,
     member_watch::apply_owner_row,
-    owner_term::OwnerTerm, //
+    owner_term::OwnerTerm,
     shared_state::{
         LEARNED_KEY,
         SHARD_PART,
@@ -65,7 +62,7 @@
             Ok(CommitAnswer::Done(_)) => {}
             Ok(CommitAnswer::Conflict(rows)) => {
                 apply_owner_row(&shared, rows.first());
-                term.depose();
+                term.end();
             }
             Err(_) if workers_changed => term.workers_changed.set(true),
             Err(_) => {}
--- a/crates/fleet/src/term_confirmation.rs
+++ b/crates/fleet/src/term_confirmation.rs
@@ -11,15 +11,13 @@
 };
 
 use crate::{
-    FleetRow,
-    FleetTable,
-    ProbeResult,
+    FleetRow, FleetTable, ProbeResult,
     member_watch::apply_owner_row,
-    owner_term::OwnerTerm, //
+    owner_term::OwnerTerm,
     shared_state::{
         OWNER_KEY,
-        SHARD_PART, //
-        SharedState,
+        SHARD_PART,
+        SharedState, //
     },
 };
 
@@ -36,7 +34,7 @@
     loop {
         time::sleep(CHECK_INTERVAL).await;
         let sent = shared.now();
-        if term.unconfirmed(sent) < CONFIRMATION_RENEWAL_AGE {
+        if term.time_since_confirmation(sent) < CONFIRMATION_RENEWAL_AGE {
             continue;
         }
         let read = shared
@@ -56,7 +54,7 @@
         return;
     }
     apply_owner_row(shared, owner);
-    term.depose();
+    term.end();
 }
 
 async fn confirm_by_peers(shared: &Rc<SharedState>, term: &OwnerTerm) {
--- a/crates/fleet/tests/daemons/jobs.rs
+++ b/crates/fleet/tests/daemons/jobs.rs
@@ -25,8 +25,8 @@
     count_waiting,
     job,
     send_request,
-    submit, //
-    wait_for_progress,
+    submit,
+    wait_for_progress, //
 };
 
 const COMPLETED: JobProgress = JobProgress::Ended(JobOutcome::Completed);
--- a/crates/fleet/tests/daemons/partial_outage.rs
+++ b/crates/fleet/tests/daemons/partial_outage.rs
@@ -21,8 +21,8 @@
     job,
     run_simulated,
     send_request,
-    submit, //
-    wait_for_progress,
+    submit,
+    wait_for_progress, //
 };
 
 const COMPLETED: JobProgress = JobProgress::Ended(JobOutcome::Completed);
