--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -95,8 +95,11 @@
 pub struct FleetDaemon {
     shared: Rc<SharedState>,
     desk: Rc<CallerDesk>,
+    /// The open connections of callers.
     connections: ConnectionCount,
+    /// Becomes true when the daemon is to stop.
     stop: watch::Receiver<bool>,
+    /// Becomes true when the daemon's servers are to close their connections.
     finish: watch::Sender<bool>,
 }
 
@@ -115,7 +118,7 @@
 impl FleetDaemon {
     /// Creates a daemon that runs until `stop` is true.
     pub fn new(settings: FleetSettings, edges: FleetEdges, stop: watch::Receiver<bool>) -> Self {
-        let incarnation = incarnation(&*edges.clock);
+        let incarnation = new_incarnation(&*edges.clock);
         let succession = Succession::new(&settings.node);
         let store = MonitoredStore::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
         let shared = Rc::new(SharedState {
@@ -258,7 +261,7 @@
 }
 
 /// Returns a number that differs after each start of the daemon: the wall-clock time in nanoseconds since 1970.
-fn incarnation(clock: &dyn ClockSource) -> u64 {
+fn new_incarnation(clock: &dyn ClockSource) -> u64 {
     clock
         .wall()
         .duration_since(std::time::UNIX_EPOCH)
--- a/crates/fleet/src/fleet_log.rs
+++ b/crates/fleet/src/fleet_log.rs
@@ -112,7 +112,7 @@
     }
 
     /// Creates a log that discards all lines.
-    pub fn silent(node: &str) -> Self {
+    pub fn discarding(node: &str) -> Self {
         Self::with_writer(node, None)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Returns how many lines were dropped.
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_lines(&self) -> u64 {
         self.inner.dropped.get()
     }
 
--- a/crates/fleet/src/http_server.rs
+++ b/crates/fleet/src/http_server.rs
@@ -53,7 +53,7 @@
 
 /// Why reading a request's body failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// The body is larger than allowed, or the connection ended.
     #[display("the body is too large or ends early")]
     Broken,
@@ -66,13 +66,13 @@
 ///
 /// # Errors
 ///
-/// Any [`BodyFault`].
-pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
+/// Any [`BodyError`].
+pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
     let collected = time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
     match collected {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
-        Ok(Err(_)) => Err(BodyFault::Broken),
-        Err(_) => Err(BodyFault::Late),
+        Ok(Err(_)) => Err(BodyError::Broken),
+        Err(_) => Err(BodyError::Late),
     }
 }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -88,7 +88,7 @@
         HttpReply, //
     },
     http_server::{
-        BodyFault,
+        BodyError,
         ConnectionCount,
         HttpHandler,
         read_body,
@@ -102,8 +102,8 @@
     },
     peer_message::{
         PeerAnswer,
-        PeerCall,
         PeerHealth, //
+        PeerRequest,
     },
     peer_order::PeerOrder,
     store_health::StoreHealth,
--- a/crates/fleet/src/member_watch.rs
+++ b/crates/fleet/src/member_watch.rs
@@ -24,7 +24,7 @@
 /// The pause between two probes of the owner.
 const PROBE_INTERVAL: Duration = Duration::from_millis(350);
 /// The pause between two probes while the owner may have to be replaced.
-const DOUBTED_PROBE_INTERVAL: Duration = Duration::from_millis(60);
+const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// A new version of the owner's row was read.
 #[derive(Serialize)]
@@ -70,7 +70,7 @@
             take_over(&shared).await;
         }
         let pause = match shared.succession.borrow().may_need_replacement() {
-            true => DOUBTED_PROBE_INTERVAL,
+            true => SUSPECT_PROBE_INTERVAL,
             false => PROBE_INTERVAL,
         };
         time::sleep(pause).await;
--- a/crates/fleet/src/order_planning.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -73,7 +73,7 @@
     other: usize,
 }
 
-/// The decision to throttle or move the fillers beside a service that misses its target, and the measurements behind it.
+/// The decision to throttle or move the fillers beside a service that answers too slowly, with its measurements.
 #[derive(Serialize)]
 struct FillerDecisionLine<'a> {
     order: &'static str,
--- a/crates/fleet/src/ownership_takeover.rs
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -76,14 +76,14 @@
         Rc::clone(&term),
         former_gone,
     ));
-    let mut after = None;
-    while after.is_none() && !term.is_over() {
-        after = read_records(shared, &term, former_gone).await.ok();
-        if after.is_none() {
+    let mut positions = None;
+    while positions.is_none() && !term.is_over() {
+        positions = read_records(shared, &term, former_gone).await.ok();
+        if positions.is_none() {
             shared.store.wait_to_retry().await;
         }
     }
-    let Some((jobs, registry_after)) = after else {
+    let Some((job_position, registry_version)) = positions else {
         return;
     };
     term.loaded.set(true);
@@ -106,8 +106,8 @@
     tokio::task::spawn_local(run_owner_tasks(
         Rc::clone(shared),
         term,
-        jobs,
-        registry_after,
+        job_position,
+        registry_version,
     ));
 }
 
@@ -171,7 +171,7 @@
         .store
         .read_all(FleetTable::Progress, SHARD_PART, "", None)
         .await?;
-    let (jobs, known) = read_jobs(shared).await?;
+    let (jobs, job_position) = read_jobs(shared).await?;
     let now = shared.now();
     let mut dispatcher = term.dispatcher.borrow_mut();
     let until = now + dispatcher.inheritance(former_gone);
@@ -205,22 +205,26 @@
             dispatcher.restore(key, &record);
         }
     }
-    Ok((known, registry.version))
+    Ok((job_position, registry.version))
 }
 
 /// Runs the owner's tasks until the term is over.
 async fn run_owner_tasks(
     shared: Rc<SharedState>,
     term: Rc<OwnerTerm>,
-    jobs: JobWatchPosition,
-    registry_after: u64,
+    job_position: JobWatchPosition,
+    registry_version: u64,
 ) {
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(watch_jobs(Rc::clone(&shared), Rc::clone(&term), jobs));
+    tasks.spawn_local(watch_jobs(
+        Rc::clone(&shared),
+        Rc::clone(&term),
+        job_position,
+    ));
     tasks.spawn_local(watch_registry(
         Rc::clone(&shared),
         Rc::clone(&term),
-        registry_after,
+        registry_version,
     ));
     tasks.spawn_local(plan_orders(Rc::clone(&shared), Rc::clone(&term)));
     tasks.spawn_local(commit_progress(Rc::clone(&shared), Rc::clone(&term)));
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -16,8 +16,8 @@
     CallerDesk,
     HttpHandler,
     PeerAnswer,
-    PeerCall,
     PeerHealth,
+    PeerRequest,
     admission_check::decide_as_owner,
     fleet_log::whole_millis,
     read_body,
@@ -38,15 +38,15 @@
         Self { shared, desk }
     }
 
-    async fn answer(&self, call: PeerCall) -> PeerAnswer {
+    async fn answer(&self, call: PeerRequest) -> PeerAnswer {
         match call {
-            PeerCall::Probe { token } => {
+            PeerRequest::Probe { token } => {
                 let may_report_token = self.may_report_token(token);
                 self.shared.observe_token(token);
                 PeerAnswer::Health(self.health(may_report_token))
             }
-            PeerCall::Serve(call) => PeerAnswer::Served(self.desk.answer_for_peer(call).await),
-            PeerCall::Admit { key, queue, graph } => {
+            PeerRequest::Serve(call) => PeerAnswer::Served(self.desk.answer_for_peer(call).await),
+            PeerRequest::Admit { key, queue, graph } => {
                 PeerAnswer::Admission(decide_as_owner(&self.shared, key, &queue, &graph))
             }
         }
--- a/crates/fleet/src/peer_client.rs
+++ b/crates/fleet/src/peer_client.rs
@@ -20,7 +20,7 @@
     HttpFault,
     HttpPool,
     PeerAnswer,
-    PeerCall,
+    PeerRequest,
     ProbeResult, //
 };
 
@@ -49,7 +49,7 @@
 
     pub(crate) async fn probe(&self, address: &str, token: u64) -> ProbeResult {
         match self
-            .call(address, &PeerCall::Probe { token }, PROBE_TIMEOUT)
+            .call(address, &PeerRequest::Probe { token }, PROBE_TIMEOUT)
             .await
         {
             Ok(PeerAnswer::Health(health)) => ProbeResult::Answered(health),
@@ -65,7 +65,7 @@
         call: CallerCall,
         timeout: Duration,
     ) -> Result<CallerAnswer, PeerCallError> {
-        match self.call(address, &PeerCall::Serve(call), timeout).await {
+        match self.call(address, &PeerRequest::Serve(call), timeout).await {
             Ok(PeerAnswer::Served(answer)) => Ok(answer),
             Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpFault::Unanswered) => {
                 Err(PeerCallError::Unanswered)
@@ -83,7 +83,7 @@
         graph: &JobGraph,
         timeout: Duration,
     ) -> Option<Admission> {
-        let call = PeerCall::Admit {
+        let call = PeerRequest::Admit {
             key,
             queue: queue.to_owned(),
             graph: graph.clone(),
@@ -97,7 +97,7 @@
     async fn call(
         &self,
         address: &str,
-        call: &PeerCall,
+        call: &PeerRequest,
         timeout: Duration,
     ) -> Result<PeerAnswer, HttpFault> {
         let body = postcard::to_stdvec(call).map_err(|_| HttpFault::Unsent)?;
--- a/crates/fleet/src/peer_message.rs
+++ b/crates/fleet/src/peer_message.rs
@@ -17,7 +17,7 @@
 
 /// A daemon's request to another daemon.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum PeerCall {
+pub enum PeerRequest {
     /// Asks for the daemon's health.
     Probe {
         /// The highest fencing token that the sender knows.
--- a/crates/fleet/tests/daemons/memory_store.rs
+++ b/crates/fleet/tests/daemons/memory_store.rs
@@ -116,7 +116,7 @@
             let current = commit.guards.iter().filter_map(|guard| find(&rows, guard));
             return CommitAnswer::Conflict(current.collect());
         }
-        let version = self.raise_version();
+        let version = self.next_version();
         for row in commit.writes {
             let name = (row.table, row.part.clone(), row.key.clone());
             rows.retain(|(known, _)| *known != name);
@@ -133,7 +133,7 @@
         new.queues.insert(name.into(), queue(name));
         *known = Versioned {
             value: Arc::new(new),
-            version: self.raise_version(),
+            version: self.next_version(),
         };
     }
 
@@ -143,7 +143,7 @@
         for worker in &mut known.value {
             worker.draining = true;
         }
-        known.version = self.raise_version();
+        known.version = self.next_version();
     }
 
     /// Writes rows without guards, as another daemon would.
@@ -152,18 +152,19 @@
         self.commit(RowCommit { guards, writes });
     }
 
-    fn raise_version(&self) -> u64 {
+    /// Increments the store's version, wakes all watches, and returns the new version.
+    fn next_version(&self) -> u64 {
         self.version.set(self.version.get() + 1);
         self.changed.notify_waiters();
         self.version.get()
     }
 
-    fn operator_rows(&self) -> Vec<OperatorChange> {
+    fn operator_changes(&self) -> Vec<OperatorChange> {
         let configuration = Arc::clone(&self.configuration.borrow().value);
         vec![OperatorChange::Configured(configuration)]
     }
 
-    fn registry_rows(&self) -> Vec<RegistryChange> {
+    fn registry_changes(&self) -> Vec<RegistryChange> {
         let workers = self.workers.borrow();
         let workers = workers.value.iter().cloned();
         workers.map(RegistryChange::Listed).collect()
@@ -223,7 +224,7 @@
 
     /// Drops the history: a watch after an earlier version fails with [`StoreError::Forgotten`].
     pub(crate) fn forget_history(&self) {
-        self.forgotten_version.set(self.store.raise_version());
+        self.forgotten_version.set(self.store.next_version());
     }
 
     /// Leaves all calls unanswered from now on; their connections stay open.
@@ -385,7 +386,7 @@
     async fn read_operator(&self) -> Result<RowPage<OperatorChange>, StoreError> {
         let call = async {
             self.check_reachable()?;
-            Ok(self.page(self.store.operator_rows()))
+            Ok(self.page(self.store.operator_changes()))
         };
         self.deliver(CALL_TIMEOUT, call).await
     }
@@ -397,7 +398,7 @@
     ) -> Result<RowPage<OperatorChange>, StoreError> {
         let call = self.wait_for_changes(after, wait, || {
             match self.store.configuration.borrow().version > after {
-                true => self.store.operator_rows(),
+                true => self.store.operator_changes(),
                 false => Vec::new(),
             }
         });
@@ -407,7 +408,7 @@
     async fn read_registry(&self) -> Result<RowPage<RegistryChange>, StoreError> {
         let call = async {
             self.check_reachable()?;
-            Ok(self.page(self.store.registry_rows()))
+            Ok(self.page(self.store.registry_changes()))
         };
         self.deliver(CALL_TIMEOUT, call).await
     }
@@ -419,7 +420,7 @@
     ) -> Result<RowPage<RegistryChange>, StoreError> {
         let call = self.wait_for_changes(after, wait, || {
             match self.store.workers.borrow().version > after {
-                true => self.store.registry_rows(),
+                true => self.store.registry_changes(),
                 false => Vec::new(),
             }
         });
--- a/crates/fleet/tests/daemons/partial_outage.rs
+++ b/crates/fleet/tests/daemons/partial_outage.rs
@@ -64,7 +64,7 @@
             break_parts(&daemon, number, count);
             let graph = job(&[(3, &[])]);
             let answer = send_request(&daemon.desk, number, CallerVerb::Submit(graph)).await;
-            assert_eq!(answer, CallerAnswer::Done, "{count} parts are away");
+            assert_eq!(answer, CallerAnswer::Done, "{count} parts are unavailable");
             wait_for_progress(&daemon.desk, number, COMPLETED).await;
             mend_parts(&daemon);
         }
--- a/crates/fleet/tests/daemons/takeover.rs
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -42,7 +42,7 @@
 const RUN_ENDED_AFTER: Duration = Duration::from_secs(10);
 
 /// Starts the only task of job 7 on the partitioned worker, as the former owner would.
-fn start_as_former_owner(fleet: &TestFleet, lasts: Duration) {
+fn start_as_former_owner(fleet: &TestFleet, run_time: Duration) {
     let started = fleet
         .workers
         .with_worker(PARTITIONED_WORKER, |worker, now| {
@@ -56,7 +56,7 @@
                 ticket: None,
             };
             let work = TaskWork {
-                lasts,
+                lasts: run_time,
                 fails: false,
                 size: ResourceAmount::new(1000, 100),
             };
@@ -106,10 +106,14 @@
         start_as_former_owner(&fleet, RUN_TIME);
         record_job(&fleet);
         time::sleep(JOB_KNOWN_AFTER).await;
-        assert_eq!(fleet.workers.started_runs(), 1, "it runs twice");
+        assert_eq!(fleet.workers.started_runs(), 1, "the task runs twice");
         fleet.workers.heal();
         time::sleep(RUN_ENDED_AFTER).await;
-        assert_eq!(fleet.workers.started_runs(), 1, "it ran and runs again");
+        assert_eq!(
+            fleet.workers.started_runs(),
+            1,
+            "the task ran and was started again"
+        );
     });
 }
 
@@ -139,10 +143,14 @@
             time::sleep(Duration::from_secs(1)).await;
             fleet.workers.renew(PARTITIONED_WORKER, 1);
         }
-        assert_eq!(fleet.workers.started_runs(), 1, "it runs twice");
+        assert_eq!(fleet.workers.started_runs(), 1, "the task runs twice");
         fleet.workers.heal();
         time::sleep(RUN_ENDED_AFTER).await;
-        assert_eq!(fleet.workers.started_runs(), 1, "it ran and runs again");
+        assert_eq!(
+            fleet.workers.started_runs(),
+            1,
+            "the task ran and was started again"
+        );
     });
 }
 
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -67,7 +67,7 @@
     MemberRecord,
     OwnerRecord,
     PeerAnswer,
-    PeerCall,
+    PeerRequest,
     WorkerAddress, //
 };
 use jasminebend_ports::{
@@ -112,7 +112,7 @@
     clock: Rc<dyn ClockSource>,
     workers: RefCell<BTreeMap<String, StepWorker>>,
     /// How long a run takes.
-    pub(crate) lasts: Cell<Duration>,
+    pub(crate) run_time: Cell<Duration>,
     /// Whether a lease renewal is answered only when a run ends or its wait is over.
     pub(crate) delays_answers: Cell<bool>,
     /// How many times all open connections went silent for good.
@@ -183,13 +183,14 @@
     }
 
     async fn wait_for_end(&self, worker: &WorkerAddress, order: &HoldOrder) {
-        let probe_order = HoldOrder {
+        // Without a deadline the order reads the report and renews nothing.
+        let report_request = HoldOrder {
             deadline: None,
             ..*order
         };
         let until = time::Instant::now() + order.wait;
         let nothing_ended = || {
-            self.renew_now(worker, probe_order)
+            self.renew_now(worker, report_request)
                 .is_ok_and(|seen| seen.ended.is_empty())
         };
         while time::Instant::now() < until && nothing_ended() {
@@ -247,7 +248,7 @@
     ) -> OrderEnd {
         time::sleep(Duration::from_millis(1)).await;
         let work = TaskWork {
-            lasts: self.lasts.get(),
+            lasts: self.run_time.get(),
             fails: false,
             size: ResourceAmount::new(1000, 100),
         };
@@ -295,7 +296,7 @@
 
     /// Probes the daemon as the owner with this token would, and returns the token that it reports.
     pub(crate) async fn known_token(&self, token: u64) -> u64 {
-        let body = postcard::to_stdvec(&PeerCall::Probe { token }).unwrap();
+        let body = postcard::to_stdvec(&PeerRequest::Probe { token }).unwrap();
         let request = Request::post("/peer").header("host", "daemon");
         let request = request.body(Full::new(Bytes::from(body))).unwrap();
         let address = self.peers.to_string();
@@ -332,7 +333,7 @@
     }
 
     fn with_clock(workers: usize, clock: Rc<dyn ClockSource>) -> Self {
-        let lasts = Duration::from_millis(150);
+        let run_time = Duration::from_millis(150);
         let mut all = BTreeMap::new();
         for number in 0..workers {
             let id = format!("worker-{number}");
@@ -348,7 +349,7 @@
             workers: Rc::new(MemoryWorkers {
                 clock: Rc::clone(&clock),
                 workers: RefCell::new(all),
-                lasts: Cell::new(lasts),
+                run_time: Cell::new(run_time),
                 delays_answers: Cell::new(false),
                 connection_losses: Cell::new(0),
                 partitioned: RefCell::default(),
@@ -416,7 +417,7 @@
             advice: None,
             vms: None,
             pool: Rc::new(HttpPool::new()),
-            log: FleetLog::silent("test"),
+            log: FleetLog::discarding("test"),
         };
         let (stop, stopping) = watch::channel(false);
         let daemon = FleetDaemon::new(settings, edges, stopping);
--- a/crates/fleet/tests/daemons/worker_silence.rs
+++ b/crates/fleet/tests/daemons/worker_silence.rs
@@ -25,7 +25,7 @@
         run_simulated(async {
             let fleet = TestFleet::with_runtime_clock(2);
             fleet.workers.delays_answers.set(true);
-            fleet.workers.lasts.set(Duration::from_secs(30));
+            fleet.workers.run_time.set(Duration::from_secs(30));
             let owner = fleet.daemon();
             let mut service = job(&[(4, &[])]);
             service.steps[0].lasting = true;
--- a/crates/fleet/tests/http_pool.rs
+++ b/crates/fleet/tests/http_pool.rs
@@ -41,7 +41,7 @@
     let (mut stream, _) = listener.accept().await?;
     // The request is small enough to arrive in one read.
     let read = stream.read(&mut [0; 1024]).await?;
-    assert!(read > 0, "it ended before its call");
+    assert!(read > 0, "the connection ended before its request");
     stream.write_all(ANSWER).await?;
     Ok(stream)
 }
@@ -69,7 +69,11 @@
         time::sleep(BEYOND_IDLE_TIMEOUT).await;
         let _used = call(&pool, &other).await;
         let end = time::timeout(BEYOND_IDLE_TIMEOUT, unused.read(&mut [0; 16])).await;
-        assert_eq!(end.expect("it is closed").expect("it is closed well"), 0);
+        assert_eq!(
+            end.expect("it is closed")
+                .expect("it is closed without an error"),
+            0
+        );
     };
     LocalSet::new().run_until(calls).await;
 }
--- a/crates/fleet/tests/http_server.rs
+++ b/crates/fleet/tests/http_server.rs
@@ -76,7 +76,7 @@
         }
     };
     let closed = time::timeout(CLOSE_LIMIT, closed).await;
-    assert!(closed.is_ok(), "the connection is kept");
+    assert!(closed.is_ok(), "the connection is still open");
     drop(caller);
 }
 
--- a/crates/fleet/tests/succession.rs
+++ b/crates/fleet/tests/succession.rs
@@ -82,7 +82,7 @@
     assert!(succession.should_claim(ms(2400)));
     assert!(
         !succession.is_former_owner_gone(),
-        "silence is not being gone"
+        "a silent owner may still act"
     );
     succession.record_probe(ProbeResult::Answered(health()), ms(2500), ms(2500));
     assert!(!succession.should_claim(ms(2500)));
