--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -85,7 +85,7 @@
     pub advice: Option<Rc<dyn FleetAdvice>>,
     /// The platform's VMs, if the daemon may send them into maintenance.
     pub vms: Option<Rc<dyn FleetVms>>,
-    /// The connection pool for calls to other daemons.
+    /// The connection pool for calls to other daemons, which the adapters of the other ports may share.
     pub pool: Rc<HttpPool>,
     /// The log.
     pub log: FleetLog,
