--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon on the platform: all its parts, from start to stop.
+//! The daemon: starts its servers and tasks, and stops them.
 
 use std::{
     cell::{
@@ -47,33 +47,33 @@
     PeerClient,
     RowCommit,
     Succession,
-    fleet_log::FLUSH_EVERY,
-    fleet_shared::{
-        FleetShared,
-        OWNER_KEY,
-        OperatorView,
-        SHARD_PART, //
-    },
+    fleet_log::FLUSH_INTERVAL,
     http_server::serve,
     member_watch::{
-        follow_members,
-        guard_succession, //
+        run_succession,
+        watch_members, //
+    },
+    monitored_store::MonitoredStore,
+    operator_watch::watch_operator,
+    peer_api::PeerApi,
+    shared_state::{
+        OWNER_KEY,
+        OperatorState,
+        SHARD_PART,
+        SharedState, //
     },
-    operator_watch::follow_operator,
-    peer_desk::PeerDesk,
-    store_link::StoreLink,
     store_probe::probe_store, //
 };
 
-/// How long the balancer may go on sending new connections after the daemon says that it is not ready:
-/// two looks, a second apart, and their way.
-const BALANCER_LAG: Duration = Duration::from_millis(2200);
-/// What is kept of the time to stop for the last answers' way.
-const LAST_ANSWERS: Duration = Duration::from_millis(700);
-/// How often it is looked whether the connections are closed.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// How long the load balancer may send new connections after the readiness check begins to fail: two checks, a second
+/// apart, and the network delay.
+const LOAD_BALANCER_DELAY: Duration = Duration::from_millis(2200);
+/// The part of the time to stop that is reserved for delivering the last answers.
+const LAST_ANSWERS_RESERVE: Duration = Duration::from_millis(700);
+/// The interval between checks whether all connections are closed.
+const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a daemon reaches the outside by.
+/// The ports by which a daemon reaches the platform.
 pub struct FleetEdges {
     /// The clock.
     pub clock: Rc<dyn ClockSource>,
@@ -81,32 +81,36 @@
     pub store: Rc<dyn FleetStore>,
     /// The workers.
     pub workers: Rc<dyn FleetWorkers>,
-    /// The advice service, if there is one.
+    /// The advice service, if one is configured.
     pub advice: Option<Rc<dyn FleetAdvice>>,
-    /// The platform's machines, if they may be asked for.
+    /// The platform's VMs, if the daemon may send them into maintenance.
     pub vms: Option<Rc<dyn FleetVms>>,
-    /// The connections that all calls share.
+    /// The connection pool for calls to other daemons, which the adapters of the other ports may share.
     pub pool: Rc<HttpPool>,
     /// The log.
     pub log: FleetLog,
 }
 
-/// A daemon on the platform.
+/// A daemon that accepts jobs and, while it is the owner, dispatches them.
 pub struct FleetDaemon {
-    shared: Rc<FleetShared>,
+    shared: Rc<SharedState>,
     desk: Rc<CallerDesk>,
+    /// The open connections of callers.
     connections: ConnectionCount,
+    /// Becomes true when the daemon is to stop.
     stop: watch::Receiver<bool>,
+    /// Becomes true when the daemon's servers are to close their connections.
     finish: watch::Sender<bool>,
 }
 
+/// The daemon started, is stopping or has stopped.
 #[derive(Serialize)]
 struct DaemonLine<'a> {
     change: &'static str,
     incarnation: u64,
     domain: &'a str,
     version: &'static str,
-    /// The parts of the policy that a trial does without.
+    /// The parts of the dispatch policy that are switched off.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     without: Vec<String>,
 }
@@ -114,10 +118,10 @@
 impl FleetDaemon {
     /// Creates a daemon that runs until `stop` is true.
     pub fn new(settings: FleetSettings, edges: FleetEdges, stop: watch::Receiver<bool>) -> Self {
-        let incarnation = incarnation(&*edges.clock);
+        let incarnation = new_incarnation(&*edges.clock);
         let succession = Succession::new(&settings.node);
-        let store = StoreLink::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
-        let shared = Rc::new(FleetShared {
+        let store = MonitoredStore::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
+        let shared = Rc::new(SharedState {
             settings,
             incarnation,
             clock: edges.clock,
@@ -128,12 +132,12 @@
             peers: PeerClient::new(edges.pool),
             peer_order: RefCell::default(),
             log: edges.log,
-            operator: RefCell::new(OperatorView::default()),
+            operator: RefCell::new(OperatorState::default()),
             succession: RefCell::new(succession),
             members: RefCell::new(IndexMap::new()),
             owner_version: Cell::new(0),
             highest_token: Cell::new(0),
-            seat: RefCell::new(None),
+            term: RefCell::new(None),
             stop: stop.clone(),
         });
         Self {
@@ -145,16 +149,16 @@
         }
     }
 
-    /// Returns what answers callers.
+    /// Returns the API for callers.
     pub fn desk(&self) -> Rc<CallerDesk> {
         Rc::clone(&self.desk)
     }
 
-    /// Runs the daemon; `front` puts callers' requests to [`FleetDaemon::desk`].
+    /// Runs the daemon until it is stopped; `front` passes callers' requests to [`FleetDaemon::desk`].
     ///
     /// # Errors
     ///
-    /// Any error of binding an address.
+    /// Any error from binding one of the addresses.
     pub async fn run<Front, Metrics>(self, front: Rc<Front>, metrics: Rc<Metrics>) -> io::Result<()>
     where
         Front: HttpHandler + 'static,
@@ -162,12 +166,12 @@
     {
         let shared = &self.shared;
         let settings = &shared.settings;
-        self.tell("started");
+        self.log_change("started");
         let finish = self.finish.subscribe();
         let uncounted = ConnectionCount::default();
-        let peers = Rc::new(PeerDesk::new(Rc::clone(shared), self.desk()));
+        let peers = Rc::new(PeerApi::new(Rc::clone(shared), self.desk()));
         serve(settings.peers, peers, finish.clone(), uncounted.clone()).await?;
-        let ready = Rc::new(ReadyDesk {
+        let ready = Rc::new(ReadinessCheck {
             shared: Rc::clone(shared),
         });
         serve(settings.ready, ready, finish.clone(), uncounted.clone()).await?;
@@ -176,39 +180,44 @@
         let log = shared.log.clone();
         task::spawn_local(async move {
             loop {
-                time::sleep(FLUSH_EVERY).await;
+                time::sleep(FLUSH_INTERVAL).await;
                 log.flush();
             }
         });
-        task::spawn_local(follow_operator(Rc::clone(shared)));
-        task::spawn_local(follow_members(Rc::clone(shared)));
-        task::spawn_local(guard_succession(Rc::clone(shared)));
+        task::spawn_local(watch_operator(Rc::clone(shared)));
+        task::spawn_local(watch_members(Rc::clone(shared)));
+        task::spawn_local(run_succession(Rc::clone(shared)));
         task::spawn_local(probe_store(Rc::clone(shared)));
         let mut stop = self.stop.clone();
-        crate::http_server::stopped(&mut stop).await;
-        self.wind_down().await;
+        crate::http_server::until_stopped(&mut stop).await;
+        self.shut_down().await;
         Ok(())
     }
 
-    /// Gives the ownership back, waits until the balancer sends no more, and ends the connections after
-    /// the requests that they carry.
-    async fn wind_down(&self) {
-        self.tell("stopping");
-        let begun = self.shared.now();
-        resign(&self.shared).await;
-        let spent = self.shared.now().saturating_sub(begun);
-        time::sleep(BALANCER_LAG.saturating_sub(spent)).await;
+    /// Gives up the ownership, waits until the load balancer sends no more connections, and closes each connection
+    /// after its current request.
+    async fn shut_down(&self) {
+        self.log_change("stopping");
+        let started_at = self.shared.now();
+        release_ownership(&self.shared).await;
+        let spent = self.shared.now().saturating_sub(started_at);
+        time::sleep(LOAD_BALANCER_DELAY.saturating_sub(spent)).await;
         self.finish.send_replace(true);
-        let longest = self.shared.settings.grace.saturating_sub(LAST_ANSWERS);
-        while self.connections.open() > 0 && self.shared.now().saturating_sub(begun) < longest {
-            time::sleep(LOOK_EVERY).await;
+        let longest = self
+            .shared
+            .settings
+            .grace
+            .saturating_sub(LAST_ANSWERS_RESERVE);
+        while self.connections.open() > 0 && self.shared.now().saturating_sub(started_at) < longest
+        {
+            time::sleep(CONNECTION_CHECK_INTERVAL).await;
         }
-        self.tell("stopped");
+        self.log_change("stopped");
         self.shared.log.flush();
-        time::sleep(LOOK_EVERY).await;
+        time::sleep(CONNECTION_CHECK_INTERVAL).await;
     }
 
-    fn tell(&self, change: &'static str) {
+    fn log_change(&self, change: &'static str) {
         let switches = self.shared.settings.dispatch.switches;
         self.shared.log.line(
             LogEvent::Daemon,
@@ -223,21 +232,21 @@
     }
 }
 
-/// Marks the owner's row as vacant, so that another daemon takes over at once.
-async fn resign(shared: &FleetShared) {
-    let Some(seat) = shared.seat() else {
+/// Marks the owner's row as vacant if this daemon is the owner, so that another daemon takes over at once.
+async fn release_ownership(shared: &SharedState) {
+    let Some(term) = shared.term() else {
         return;
     };
-    seat.depose();
+    term.end();
     let record = OwnerRecord {
         vacant: true,
-        ..seat.record.clone()
+        ..term.record.clone()
     };
     let Ok(value) = postcard::to_stdvec(&record) else {
         return;
     };
     let commit = RowCommit {
-        guards: vec![seat.guard.clone()],
+        guards: vec![term.guard.clone()],
         writes: vec![FleetRow::new(
             FleetTable::Fleet,
             SHARD_PART,
@@ -245,14 +254,14 @@
             value,
         )],
     };
-    // Without the store the others notice that this daemon does not act.
+    // If the store does not answer, the other daemons notice by probes that this one no longer acts.
     if let Ok(CommitAnswer::Conflict(rows)) = shared.store.commit(commit).await {
-        crate::member_watch::note_owner(shared, rows.first());
+        crate::member_watch::apply_owner_row(shared, rows.first());
     }
 }
 
-/// Returns a number that no other life of the daemon had: the time of day in nanoseconds.
-fn incarnation(clock: &dyn ClockSource) -> u64 {
+/// Returns a number that differs after each start of the daemon: the wall-clock time in nanoseconds since 1970.
+fn new_incarnation(clock: &dyn ClockSource) -> u64 {
     clock
         .wall()
         .duration_since(std::time::UNIX_EPOCH)
@@ -261,13 +270,13 @@
         })
 }
 
-/// Tells the balancer whether callers may come.
-struct ReadyDesk {
-    shared: Rc<FleetShared>,
+/// The readiness check for the load balancer.
+struct ReadinessCheck {
+    shared: Rc<SharedState>,
 }
 
 #[async_trait(?Send)]
-impl HttpHandler for ReadyDesk {
+impl HttpHandler for ReadinessCheck {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
         let ready = !self.shared.is_stopping() && self.shared.configuration().is_some();
         let mut response = Response::new(Full::new(Bytes::new()));
--- a/crates/fleet/src/http_server.rs
+++ b/crates/fleet/src/http_server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP requests on one address.
+//! An HTTP/1.1 server.
 
 use std::{
     cell::Cell,
@@ -42,22 +42,22 @@
 };
 use tokio_io_timeout::TimeoutStream;
 
-/// How long to wait after an accept that failed, for want of descriptors most likely.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// How long a request's head may take to arrive.
-const HEAD: Duration = Duration::from_secs(10);
-/// How long a request's body may take to arrive.
-const BODY: Duration = Duration::from_secs(10);
-/// How long a caller may send nothing of a request's body, or take nothing of its answer.
-const STALL: Duration = Duration::from_secs(10);
+/// The pause after a failed accept, which is most likely due to a lack of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The timeout for a request's head to arrive.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// The timeout for a request's whole body to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+/// The timeout after which a connection ends whose client sends no byte of a request, or reads no byte of an answer.
+const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why a request's body was not read.
+/// Why reading a request's body failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum BodyFault {
-    /// It is larger than allowed, or its connection ended.
+pub enum BodyError {
+    /// The body is larger than allowed, or the connection ended.
     #[display("the body is too large or ends early")]
     Broken,
-    /// It did not come in time.
+    /// The body did not arrive in time.
     #[display("the body took too long")]
     Late,
 }
@@ -66,42 +66,41 @@
 ///
 /// # Errors
 ///
-/// Any [`BodyFault`].
-pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyFault> {
-    let whole = time::timeout(BODY, Limited::new(body, limit).collect()).await;
-    match whole {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(_)) => Err(BodyFault::Broken),
-        Err(_) => Err(BodyFault::Late),
+/// Any [`BodyError`].
+pub async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
+    let collected = time::timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
+    match collected {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(_)) => Err(BodyError::Broken),
+        Err(_) => Err(BodyError::Late),
     }
 }
 
-/// What answers requests.
+/// Answers HTTP requests.
 #[async_trait(?Send)]
 pub trait HttpHandler {
     /// Answers a request.
     async fn handle(&self, request: Request<Incoming>) -> Response<Full<Bytes>>;
 }
 
-/// Counts the connections that are open.
+/// The number of a server's open connections; clones share the count.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectionCount {
     open: Rc<Cell<usize>>,
 }
 
 impl ConnectionCount {
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 }
 
-/// Serves requests on an address until `stop` is true; connections then end after the request that
-/// they carry.
+/// Serves requests on an address until `stop` is true; each connection then ends after its current request.
 ///
 /// # Errors
 ///
-/// Any error of binding the address, which its text names.
+/// Any error from binding the address, with a text that names the address.
 pub async fn serve<Handler>(
     address: SocketAddr,
     handler: Rc<Handler>,
@@ -127,10 +126,10 @@
 ) where
     Handler: HttpHandler + 'static,
 {
-    task::spawn_local(accept(listener, handler, stop, count));
+    task::spawn_local(accept_connections(listener, handler, stop, count));
 }
 
-async fn accept<Handler>(
+async fn accept_connections<Handler>(
     listener: TcpListener,
     handler: Rc<Handler>,
     stop: watch::Receiver<bool>,
@@ -141,15 +140,16 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let serving = connection(stream, Rc::clone(&handler), stop.clone(), count.clone());
+                let serving =
+                    serve_connection(stream, Rc::clone(&handler), stop.clone(), count.clone());
                 task::spawn_local(serving);
             }
-            Err(_) => time::sleep(ACCEPT_AGAIN).await,
+            Err(_) => time::sleep(ACCEPT_RETRY_PAUSE).await,
         }
     }
 }
 
-async fn connection<Handler>(
+async fn serve_connection<Handler>(
     stream: TcpStream,
     handler: Rc<Handler>,
     mut stop: watch::Receiver<bool>,
@@ -157,11 +157,11 @@
 ) where
     Handler: HttpHandler + 'static,
 {
-    // Without it a small answer could wait for the acknowledgement of the one before.
+    // With Nagle's algorithm a small answer could wait for the acknowledgement of the previous one.
     drop(stream.set_nodelay(true));
     let mut stream = TimeoutStream::new(stream);
-    stream.set_read_timeout(Some(STALL));
-    stream.set_write_timeout(Some(STALL));
+    stream.set_read_timeout(Some(STALL_TIMEOUT));
+    stream.set_write_timeout(Some(STALL_TIMEOUT));
     count.open.set(count.open.get() + 1);
     let service = service_fn(|request| {
         let handler = Rc::clone(&handler);
@@ -169,22 +169,22 @@
     });
     let serving = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     let mut serving = pin!(serving);
     tokio::select! {
         _ = serving.as_mut() => {}
-        () = stopped(&mut stop) => {
+        () = until_stopped(&mut stop) => {
             serving.as_mut().graceful_shutdown();
-            // How it ended is the caller's to see.
+            // The client sees an error on its connection; there is no one else to report it to.
             drop(serving.await);
         }
     }
     count.open.set(count.open.get().saturating_sub(1));
 }
 
-/// Waits until `stop` is true. A sender that is gone stops nothing.
-pub(crate) async fn stopped(stop: &mut watch::Receiver<bool>) {
+/// Waits until `stop` is true, for ever if the sender is dropped before.
+pub(crate) async fn until_stopped(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
     }
--- a/crates/fleet/src/member_expiry.rs
+++ b/crates/fleet/src/member_expiry.rs
@@ -1,4 +1,4 @@
-//! Removes daemons that are gone from the members.
+//! Removes members that have not answered for long.
 
 use std::{
     collections::HashMap,
@@ -13,25 +13,20 @@
 };
 
 use crate::{
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
-    LogEvent,
-    MemberRecord,
-    OwnerProbe,
-    RowCommit,
-    fleet_shared::{
-        FleetShared,
-        MEMBERS_PART, //
+    CommitAnswer, FleetRow, FleetTable, LogEvent, MemberRecord, ProbeResult, RowCommit,
+    owner_term::OwnerTerm,
+    shared_state::{
+        MEMBERS_PART,
+        SharedState, //
     },
-    owner_seat::OwnerSeat, //
 };
 
-/// How often the owner looks which members answer.
-const LOOK_EVERY: Duration = Duration::from_secs(30);
-/// How long a member must have left every look unanswered. One that is back enrolls again.
-const EXPIRY: Duration = Duration::from_secs(300);
+/// The interval at which the owner probes all members.
+const PROBE_INTERVAL: Duration = Duration::from_secs(30);
+/// How long a member must have left every probe unanswered to be removed. A daemon that is back enrolls again.
+const MEMBER_EXPIRY_TIME: Duration = Duration::from_secs(300);
 
+/// A member was removed.
 #[derive(Serialize)]
 struct ExpiryLine<'a> {
     change: &'static str,
@@ -39,28 +34,29 @@
     members: usize,
 }
 
-/// Removes members that were silent for long, until the seat is over. Ownership rests on a majority of the members, so that
-/// daemons that are gone for good must not count for ever; only a majority may change them.
-pub(crate) async fn expire_members(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+/// Removes members that have not answered for long, until the term is over. Without the store the ownership depends on
+/// a majority of the members, so that daemons that are gone for good must not be counted for ever. A member is removed
+/// only while a majority answers.
+pub(crate) async fn expire_members(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let mut silent_since: HashMap<String, Duration> = HashMap::new();
-    while !seat.is_over() {
-        time::sleep(LOOK_EVERY).await;
-        let silent = silent_members(&shared, seat.token()).await;
+    while !term.is_over() {
+        time::sleep(PROBE_INTERVAL).await;
+        let silent = find_silent_members(&shared, term.token()).await;
         let now = shared.now();
         silent_since.retain(|node, _| silent.iter().any(|member| member.node == *node));
         let members = shared.members.borrow().len();
         let has_majority = members.saturating_sub(silent.len()) * 2 > members;
         for member in &silent {
             let since = *silent_since.entry(member.node.clone()).or_insert(now);
-            let is_expired = now >= since + EXPIRY;
-            if is_expired && has_majority && shared.may_order(&seat) {
-                remove_member(&shared, &seat, member).await;
+            let is_expired = now >= since + MEMBER_EXPIRY_TIME;
+            if is_expired && has_majority && shared.may_send_orders(&term) {
+                remove_member(&shared, &term, member).await;
             }
         }
     }
 }
 
-async fn silent_members(shared: &FleetShared, token: u64) -> Vec<MemberRecord> {
+async fn find_silent_members(shared: &SharedState, token: u64) -> Vec<MemberRecord> {
     let members: Vec<MemberRecord> = shared.members.borrow().values().cloned().collect();
     let mut probes = JoinSet::new();
     for member in members {
@@ -70,14 +66,14 @@
         let peers = shared.peers.clone();
         probes.spawn_local(async move {
             let probe = peers.probe(&member.address, token).await;
-            (!matches!(probe, OwnerProbe::Answered(_))).then_some(member)
+            (!matches!(probe, ProbeResult::Answered(_))).then_some(member)
         });
     }
     probes.join_all().await.into_iter().flatten().collect()
 }
 
-/// Writes the member's row without a record, unless it has enrolled again.
-async fn remove_member(shared: &FleetShared, seat: &OwnerSeat, member: &MemberRecord) {
+/// Clears the member's row, unless the member has enrolled again.
+async fn remove_member(shared: &SharedState, term: &OwnerTerm, member: &MemberRecord) {
     let read = shared
         .store
         .read_few(FleetTable::Fleet, MEMBERS_PART, &member.node, None)
@@ -97,7 +93,7 @@
     }
     let empty = FleetRow::new(FleetTable::Fleet, MEMBERS_PART, row.key.clone(), Vec::new());
     let commit = RowCommit {
-        guards: vec![seat.guard.clone(), row.guard(row.version)],
+        guards: vec![term.guard.clone(), row.guard(row.version)],
         writes: vec![empty],
     };
     if let Ok(CommitAnswer::Done(_)) = shared.store.commit(commit).await {
--- a/crates/fleet/src/member_watch.rs
+++ b/crates/fleet/src/member_watch.rs
@@ -1,4 +1,4 @@
-//! Follows who the owner and the members are, and takes over where it is this daemon's turn.
+//! Watches the owner and the members, and takes over the ownership when this daemon should.
 
 use std::{
     rc::Rc,
@@ -9,30 +9,24 @@
 use tokio::time;
 
 use crate::{
-    FleetRow,
-    FleetTable,
-    LogEvent,
-    MemberRecord,
-    OwnerProbe,
-    OwnerRecord,
-    RowCommit,
-    StoreError,
-    fleet_shared::{
-        FleetShared,
+    FleetRow, FleetTable, LogEvent, MemberRecord, OwnerRecord, ProbeResult, RowCommit, StoreError,
+    monitored_store::WatchedRows,
+    ownership_takeover::take_over,
+    shared_state::{
         MEMBERS_PART,
         OWNER_KEY,
         SHARD_PART,
+        SharedState,
         WATCH_WAIT, //
     },
-    owner_work::take_over,
-    store_link::WatchedRows, //
 };
 
 /// The pause between two probes of the owner.
-const PROBE_EVERY: Duration = Duration::from_millis(350);
-/// The pause while the owner is in doubt.
-const DOUBT_EVERY: Duration = Duration::from_millis(60);
+const PROBE_INTERVAL: Duration = Duration::from_millis(350);
+/// The pause between two probes while the owner may have to be replaced.
+const SUSPECT_PROBE_INTERVAL: Duration = Duration::from_millis(60);
 
+/// A new version of the owner's row was read.
 #[derive(Serialize)]
 struct OwnerLine<'a> {
     change: &'static str,
@@ -40,14 +34,14 @@
     token: u64,
 }
 
-/// Writes the daemon's own row, then follows the owner and the members for as long as it runs.
-pub(crate) async fn follow_members(shared: Rc<FleetShared>) {
+/// Enrolls this daemon as a member, then watches the owner and the members for as long as the daemon runs.
+pub(crate) async fn watch_members(shared: Rc<SharedState>) {
     enroll(&shared).await;
     let mut after: Option<u64> = None;
     loop {
         let result = match after {
-            None => read_whole(&shared).await,
-            Some(version) => watch(&shared, version).await,
+            None => read_all_rows(&shared).await,
+            Some(version) => watch_once(&shared, version).await,
         };
         match result {
             Ok(version) => {
@@ -57,33 +51,34 @@
                 }
             }
             Err(StoreError::Forgotten) => after = None,
-            Err(_) => shared.store.pause().await,
+            Err(_) => shared.store.wait_to_retry().await,
         }
     }
 }
 
-/// Probes the owner and takes over where it is this daemon's turn, for as long as it runs.
-pub(crate) async fn guard_succession(shared: Rc<FleetShared>) {
+/// Probes the owner, and takes over the ownership when this daemon should, for as long as the daemon runs.
+pub(crate) async fn run_succession(shared: Rc<SharedState>) {
     loop {
         probe_owner(&shared).await;
         let now = shared.now();
         let claims = shared.succession.borrow().should_claim(now)
             && shared.configuration().is_some()
-            && shared.seat().is_none()
+            && shared.term().is_none()
             && !shared.is_stopping()
             && !shared.store.is_lost();
         if claims {
             take_over(&shared).await;
         }
-        let pause = match shared.succession.borrow().is_in_doubt() {
-            true => DOUBT_EVERY,
-            false => PROBE_EVERY,
+        let pause = match shared.succession.borrow().may_need_replacement() {
+            true => SUSPECT_PROBE_INTERVAL,
+            false => PROBE_INTERVAL,
         };
         time::sleep(pause).await;
     }
 }
 
-async fn enroll(shared: &FleetShared) {
+/// Writes this daemon's member row, with retries until the store accepts it.
+async fn enroll(shared: &SharedState) {
     let member = MemberRecord {
         node: shared.settings.node.clone(),
         incarnation: shared.incarnation,
@@ -104,15 +99,15 @@
             guards: Vec::new(),
             writes: vec![row],
         };
-        // Written twice, the row is the same.
+        // The write is idempotent, so that an unknown outcome can be retried.
         if shared.store.commit(commit).await.is_ok() {
             return;
         }
-        shared.store.pause().await;
+        shared.store.wait_to_retry().await;
     }
 }
 
-async fn read_whole(shared: &FleetShared) -> Result<u64, StoreError> {
+async fn read_all_rows(shared: &SharedState) -> Result<u64, StoreError> {
     let (members, version) = shared
         .store
         .read_all(FleetTable::Fleet, MEMBERS_PART, "", None)
@@ -123,51 +118,52 @@
         .await?;
     shared.members.borrow_mut().clear();
     for row in &members {
-        note_member(shared, row);
+        apply_member_row(shared, row);
     }
     let owner = rows.iter().find(|row| row.key == OWNER_KEY);
-    note_owner(shared, owner);
+    apply_owner_row(shared, owner);
     Ok(version)
 }
 
-async fn watch(shared: &FleetShared, after: u64) -> Result<u64, StoreError> {
+async fn watch_once(shared: &SharedState, after: u64) -> Result<u64, StoreError> {
     let store = &shared.store;
-    let call = store.raw().watch(FleetTable::Fleet, after, WATCH_WAIT);
+    let call = store.port().watch(FleetTable::Fleet, after, WATCH_WAIT);
     let page = store.watch(WatchedRows::Members, call).await?;
     for change in page.items {
         match (change.part.as_str(), &change.row) {
-            (MEMBERS_PART, Some(row)) => note_member(shared, row),
+            (MEMBERS_PART, Some(row)) => apply_member_row(shared, row),
             (MEMBERS_PART, None) => {
                 shared.members.borrow_mut().shift_remove(&change.key);
             }
-            (SHARD_PART, row) if change.key == OWNER_KEY => note_owner(shared, row.as_ref()),
+            (SHARD_PART, row) if change.key == OWNER_KEY => apply_owner_row(shared, row.as_ref()),
             _ => {}
         }
     }
     Ok(page.version)
 }
 
-fn note_member(shared: &FleetShared, row: &FleetRow) {
+fn apply_member_row(shared: &SharedState, row: &FleetRow) {
     if row.value.is_empty() {
         shared.members.borrow_mut().shift_remove(&row.key);
-        tell_succession(shared);
+        update_succession(shared);
         return;
     }
-    // A row of another release's is left out.
+    // A row that a different release encoded is ignored.
     if let Ok(member) = postcard::from_bytes::<MemberRecord>(&row.value) {
         let mut members = shared.members.borrow_mut();
         members.insert(member.node.clone(), member);
         drop(members);
-        tell_succession(shared);
+        update_succession(shared);
     }
 }
 
-fn tell_succession(shared: &FleetShared) {
+fn update_succession(shared: &SharedState) {
     let members = shared.members.borrow().values().cloned().collect();
-    shared.succession.borrow_mut().note_members(members);
+    shared.succession.borrow_mut().set_members(members);
 }
 
-pub(crate) fn note_owner(shared: &FleetShared, row: Option<&FleetRow>) {
+/// Applies the owner's row if it is not older than the known one; `None` if there is no row.
+pub(crate) fn apply_owner_row(shared: &SharedState, row: Option<&FleetRow>) {
     let version = row.map_or(0, |row| row.version);
     if version < shared.owner_version.get() {
         return;
@@ -186,16 +182,16 @@
             },
         );
         if owner.node != shared.settings.node || owner.incarnation != shared.incarnation {
-            shared.note_token(owner.token);
+            shared.observe_token(owner.token);
         }
         shared
             .highest_token
             .set(shared.highest_token.get().max(owner.token));
     }
-    shared.succession.borrow_mut().note_owner(owner, now);
+    shared.succession.borrow_mut().set_owner(owner, now);
 }
 
-async fn probe_owner(shared: &FleetShared) {
+async fn probe_owner(shared: &SharedState) {
     let Some(address) = shared.owner_address() else {
         return;
     };
@@ -205,13 +201,13 @@
     if shared.owner_address().as_deref() != Some(address.as_str()) {
         return;
     }
-    if let OwnerProbe::Answered(health) = probe
+    if let ProbeResult::Answered(health) = probe
         && let Some(acting) = health.acting
     {
-        shared.note_token(acting);
+        shared.observe_token(acting);
     }
     let now = shared.now();
     let mut succession = shared.succession.borrow_mut();
-    succession.note_store(shared.store.with());
-    succession.note_probe(probe, sent, now);
+    succession.set_store_available_for(shared.store.available_for());
+    succession.record_probe(probe, sent, now);
 }
--- a/crates/fleet/src/pool_watch.rs
+++ b/crates/fleet/src/pool_usage_log.rs
@@ -1,4 +1,4 @@
-//! Tells in the log and the metrics how the pools of an owner are used.
+//! Reports the usage of the pools in the log and the metrics.
 
 use std::{
     rc::Rc,
@@ -14,16 +14,16 @@
 
 use crate::{
     LogEvent,
-    fleet_shared::FleetShared,
-    owner_seat::OwnerSeat, //
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
 };
 
-/// How often it is told how the pools are used.
-const TELL_EVERY: Duration = Duration::from_millis(1000);
+/// The interval between two reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Who holds a pool's processors, and who waits for them, in thousandths of a processor.
+/// The CPU amounts of a pool that each kind of work holds and waits for, in thousandths of a core.
 #[derive(Serialize)]
-struct PoolLine<'a> {
+struct PoolUsageLine<'a> {
     pool: &'a str,
     workers: usize,
     capacity: u64,
@@ -36,24 +36,24 @@
     owner_token: u64,
 }
 
-/// Tells how the pools are used, until the seat is over.
-pub(crate) async fn watch_pools(shared: Rc<FleetShared>, seat: Rc<OwnerSeat>) {
+/// Reports the usage of the pools at intervals, until the term is over.
+pub(crate) async fn report_pool_usage(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
-        time::sleep(TELL_EVERY).await;
-        let pools = seat.dispatcher.borrow().pool_use(shared.now());
+        time::sleep(REPORT_INTERVAL).await;
+        let pools = term.dispatcher.borrow().pool_use(shared.now());
         for pool in &pools {
-            tell(&shared, &seat, pool);
+            report_pool(&shared, &term, pool);
         }
     }
 }
 
-fn tell(shared: &FleetShared, seat: &OwnerSeat, pool: &PoolUse) {
-    gauge(pool, "long_running", pool.long_running);
-    gauge(pool, "short", pool.short);
-    gauge(pool, "filler", pool.filler);
+fn report_pool(shared: &SharedState, term: &OwnerTerm, pool: &PoolUse) {
+    set_gauges(pool, "long_running", pool.long_running);
+    set_gauges(pool, "short", pool.short);
+    set_gauges(pool, "filler", pool.filler);
     shared.log.line(
         LogEvent::Pool,
-        PoolLine {
+        PoolUsageLine {
             pool: &pool.pool,
             workers: pool.workers,
             capacity: pool.capacity,
@@ -63,14 +63,14 @@
             short_wanted: pool.short.wanted,
             filler: pool.filler.held,
             filler_wanted: pool.filler.wanted,
-            owner_token: seat.token(),
+            owner_token: term.token(),
         },
     );
 }
 
-fn gauge(pool: &PoolUse, kind: &'static str, share: WorkShare) {
+fn set_gauges(pool: &PoolUse, kind: &'static str, share: WorkShare) {
     let name = pool.pool.to_string();
-    // CAST: Exact up to 2^53 thousandths of a processor.
+    // CAST: Exact up to 2^53 thousandths of a core.
     metrics::gauge!("jasminebend_fleet_pool_held_millis", "pool" => name.clone(), "kind" => kind)
         .set(share.held as f64);
     // CAST: As above.
--- a/crates/fleet/src/store_probe.rs
+++ b/crates/fleet/src/store_probe.rs
@@ -1,4 +1,4 @@
-//! Finds out when a store that failed is back.
+//! Probes the store while calls to it fail.
 
 use std::{
     rc::Rc,
@@ -10,22 +10,22 @@
     time, //
 };
 
-use crate::fleet_shared::FleetShared;
+use crate::shared_state::SharedState;
 
-/// The pause between two probes. One that gets no answer holds the next one not up.
-const PROBE_EVERY: Duration = Duration::from_millis(250);
+/// The pause between two probes. An unanswered probe does not delay the next one.
+const PROBE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Probes the store once if a call is left unanswered, and again and again while calls fail, for as long as the daemon
-/// runs. Watches and callers' requests tell nothing of its return: the ones wait long, and the others are not passed on to
-/// it.
-pub(crate) async fn probe_store(shared: Rc<FleetShared>) {
+/// Probes the store once after a call was left unanswered, and repeatedly while calls fail, for as long as the daemon
+/// runs. Other calls don't show that the store is back: watches wait for long, and callers' requests are refused
+/// without a call while it is lost.
+pub(crate) async fn probe_store(shared: Rc<SharedState>) {
     let mut probes = JoinSet::new();
     loop {
-        shared.store.suspicion().await;
+        shared.store.until_suspected().await;
         loop {
             let prober = Rc::clone(&shared);
             probes.spawn_local(async move { prober.store.probe().await });
-            time::sleep(PROBE_EVERY).await;
+            time::sleep(PROBE_INTERVAL).await;
             while probes.try_join_next().is_some() {}
             if !shared.store.is_failing() {
                 break;
