--- a/crates/ownership/src/daemon_record.rs
+++ b/crates/ownership/src/daemon_record.rs
@@ -1,4 +1,4 @@
-//! What a daemon says of itself when it takes a seat.
+//! The description that a daemon publishes with its seat.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,18 @@
     Serialize, //
 };
 
-/// What a daemon says of itself when it takes a seat.
+/// The description of a daemon process that it writes into the table when it takes a seat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct DaemonRecord {
-    /// Drawn at random when the process starts; tells its messages from those of any other.
+    /// A random number drawn when the process starts. It distinguishes the messages of this process
+    /// from those of any other.
     pub nonce: u64,
-    /// Where its peers reach it.
+    /// The address at which peers reach it.
     pub peer: SocketAddr,
-    /// Where operators reach it.
+    /// The address at which operators reach it; `None` if it serves no administration API.
     pub admin: Option<SocketAddr>,
-    /// The failure domain that it lies in.
+    /// The failure domain in which it runs.
     pub domain: DomainName,
-    /// The VM that it runs on, if the settings name it.
+    /// The VM on which it runs; `None` if the settings do not name one.
     pub vm: Option<VmName>,
 }
--- a/crates/ownership/src/former_holder.rs
+++ b/crates/ownership/src/former_holder.rs
@@ -7,10 +7,10 @@
 
 use crate::SeatHolder;
 
-/// A process that lost its seat and is not known to be gone, so that the slot shares it held stay
-/// unused. Kept so that other members can go on asking whether its process is gone.
+/// A process that lost its seat and is not known to have terminated, so that the slot shares that
+/// it held stay unused. The record lets the other members continue to probe the process.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FormerHolder {
-    /// The process and where it was reached.
+    /// The process and the address at which it was reached.
     pub holder: SeatHolder,
 }
--- a/crates/ownership/src/seat_hold.rs
+++ b/crates/ownership/src/held_seat.rs
@@ -4,8 +4,8 @@
 
 /// The seat that this daemon holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct SeatHold {
-    /// The identity under which resources are held.
+pub struct HeldSeat {
+    /// The identity under which this daemon holds resources.
     pub id: HolderId,
     /// The seat's epoch as last confirmed by the table.
     pub epoch: u64,
--- a/crates/ownership/src/machine_configuration.rs
+++ b/crates/ownership/src/machine_configuration.rs
@@ -1,4 +1,4 @@
-//! How the configuration is changed.
+//! Changes the configuration.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
     MemberMachine,
     SharedWrite,
     VersionedRow,
-    configuration_attempt::ConfigurationAttempt, //
+    configuration_change::ConfigurationChange, //
 };
 
 impl MemberMachine {
-    /// Begins a change of the configuration. The write announces it, and must carry its document
-    /// too; its end is reported to [`MemberMachine::end_commit`]. Returns `None` while the table is
-    /// not known well enough, another write is under way, or another change is.
+    /// Begins a change of the configuration, and returns its version and the write that announces
+    /// it. The caller adds the document to the write, and reports its completion to
+    /// [`MemberMachine::end_commit`]. Returns `None` if the table was not read recently enough, or
+    /// if another write or another change is in progress.
     pub fn begin_change(&mut self, now: Duration) -> Option<(u64, SharedWrite)> {
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
-        let ready = self.may_start(now) && self.may_decide(now);
+        let ready = self.may_start(now) && self.may_decide_write(now);
         if !ready || header.intent.is_some() {
             return None;
         }
         let version = header.newest_version() + 1;
-        let write = self.header_write(ConfigurationHeader {
+        let write = self.configuration_header_write(ConfigurationHeader {
             intent: Some(ConfigurationIntent {
                 version,
                 by: self.daemon.nonce,
@@ -32,21 +33,21 @@
             ..header
         })?;
         self.begin_commit();
-        self.change = Some(ConfigurationAttempt {
+        self.configuration_change = Some(ConfigurationChange {
             version,
-            told_from: None,
-            shown_at: None,
+            first_ask_number: None,
+            intent_seen_at: None,
         });
         Some((version, write))
     }
 
-    /// Takes back a change that was begun, before anything of it was written.
+    /// Cancels a change that was begun, before anything of it was written.
     pub fn cancel_change(&mut self) {
-        self.committing = false;
-        self.change = None;
+        self.write_in_progress = false;
+        self.configuration_change = None;
     }
 
-    /// Tells whether more than half of the members can be told of a change now.
+    /// Returns whether more than half of the members can be notified of a change now.
     pub fn may_change(&self, now: Duration) -> bool {
         let Some(members) = self.members() else {
             return false;
@@ -56,20 +57,21 @@
             .filter(|(seat, record)| {
                 record
                     .holder_id(*seat)
-                    .is_none_or(|id| self.is_heard(*seat, now) || self.gone.contains(&id))
+                    .is_none_or(|id| self.is_heard(*seat, now) || self.terminated.contains(&id))
             })
             .count();
         reachable * 2 > members.seats.len()
     }
 
-    /// Acts by a committed version from now on; an older one than that in force is ignored.
+    /// Puts a committed version into force at this daemon; a version that is not newer than the one
+    /// in force is ignored.
     pub fn install_configuration(&mut self, version: u64) {
         if version <= self.in_force {
             return;
         }
         self.in_force = version;
-        self.known.raise_configuration(version, version);
-        self.asked_at = None;
+        self.known_epochs.raise_configuration(version, version);
+        self.last_ask_at = None;
         let confirmed = self
             .table
             .as_ref()
@@ -80,70 +82,78 @@
         }
     }
 
+    /// Records that no version newer than the one in force was committed at a given time.
     pub(crate) fn confirm_configuration(&mut self, at: Duration) {
-        self.confirmed_at = Some(self.confirmed_at.map_or(at, |old| old.max(at)));
+        self.configuration_confirmed_at = Some(
+            self.configuration_confirmed_at
+                .map_or(at, |old| old.max(at)),
+        );
     }
 
-    /// Goes on with the announced change: this daemon's own, or one that its maker left unfinished.
-    pub(crate) fn advance_change(&mut self, now: Duration) {
+    /// Advances the announced change: this daemon's own, or one that the daemon which announced it
+    /// left unfinished.
+    pub(crate) fn advance_configuration_change(&mut self, now: Duration) {
         let Some(table) = &self.table else {
             return;
         };
         let Some(intent) = table.configuration.row.intent else {
             if self.has_settled_write() {
-                self.change = None;
+                self.configuration_change = None;
             }
             return;
         };
         let own = intent.by == self.daemon.nonce;
-        if !own && !self.is_left_unfinished(now) {
+        if !own && !self.is_change_abandoned(now) {
             return;
         }
         let asked_at = table.asked_at;
-        let mut attempt = self
-            .change
-            .filter(|attempt| attempt.version == intent.version)
-            .unwrap_or(ConfigurationAttempt {
+        let mut change = self
+            .configuration_change
+            .filter(|change| change.version == intent.version)
+            .unwrap_or(ConfigurationChange {
                 version: intent.version,
-                told_from: None,
-                shown_at: None,
+                first_ask_number: None,
+                intent_seen_at: None,
             });
-        let shown_at = *attempt.shown_at.get_or_insert(now);
-        if attempt.told_from.is_none() && self.speaking {
-            attempt.told_from = Some(self.next_ask);
-            self.asked_at = None;
+        let intent_seen_at = *change.intent_seen_at.get_or_insert(now);
+        if change.first_ask_number.is_none() && self.participating {
+            change.first_ask_number = Some(self.next_ask_number);
+            self.last_ask_at = None;
         }
-        self.change = Some(attempt);
-        self.poll_wanted |= asked_at <= shown_at;
+        self.configuration_change = Some(change);
+        self.poll_requested |= asked_at <= intent_seen_at;
     }
 
-    fn is_left_unfinished(&self, now: Duration) -> bool {
-        let (_, seen) = self.change_seen;
-        let delay = self.settings.finish_after * (1 + self.rank(now));
-        self.speaking && now >= seen.saturating_add(delay)
+    /// Returns whether the announced change has been pending for so long that this daemon finishes
+    /// it. Daemons wait longer by rank, so that not all of them try at once.
+    fn is_change_abandoned(&self, now: Duration) -> bool {
+        let (_, seen) = self.configuration_intent_seen;
+        let delay = self.settings.abandoned_after * (1 + self.rank(now));
+        self.participating && now >= seen.saturating_add(delay)
     }
 
-    /// Returns the write that puts the announced version into force. No wait is needed: the bound on
-    /// when all act by it is longer than any vouch for the version before it.
-    pub(crate) fn change_write(&self, _now: Duration) -> Option<SharedWrite> {
-        let attempt = self.change?;
+    /// Returns the write that puts the announced version into force. No wait is needed: the bound
+    /// within which all members act by the version is longer than any confirmation of the previous
+    /// version is valid.
+    pub(crate) fn configuration_commit_write(&self, _now: Duration) -> Option<SharedWrite> {
+        let change = self.configuration_change?;
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
-        let announced = header.intent?.version == attempt.version;
-        let seats_known = table.asked_at > attempt.shown_at?
+        let announced = header.intent?.version == change.version;
+        let seats_read_after_intent = table.asked_at > change.intent_seen_at?
             || !self.settings.guards.has(Guard::CountSeatsAfterIntent);
-        let told = self.told_majority(attempt.told_from)
-            || !self.settings.guards.has(Guard::TellConfiguration);
-        if !announced || !seats_known || !told {
+        let notified = self.is_majority_notified(change.first_ask_number)
+            || !self.settings.guards.has(Guard::NotifyConfigurationMajority);
+        if !announced || !seats_read_after_intent || !notified {
             return None;
         }
-        self.header_write(ConfigurationHeader {
-            version: attempt.version,
+        self.configuration_header_write(ConfigurationHeader {
+            version: change.version,
             intent: None,
         })
     }
 
-    fn header_write(&self, row: ConfigurationHeader) -> Option<SharedWrite> {
+    fn configuration_header_write(&self, row: ConfigurationHeader) -> Option<SharedWrite> {
         let version = self.table.as_ref()?.configuration.version;
         Some(SharedWrite {
             configuration: Some(VersionedRow { version, row }),
--- a/crates/ownership/src/machine_peers.rs
+++ b/crates/ownership/src/machine_peers.rs
@@ -1,4 +1,4 @@
-//! What a member says to its peers and learns from them.
+//! Exchanges messages with peers, and probes silent ones.
 
 use std::{
     net::SocketAddr,
@@ -15,84 +15,88 @@
     PeerBody,
     PeerMessage,
     PeerReport,
-    member_machine::ASKS_KEPT,
-    vouch_record::VouchRecord, //
+    member_machine::MAX_REMEMBERED_ASKS,
+    peer_confirmation::PeerConfirmation, //
 };
 
-/// Up to how many members ask each other at the full pace.
-const MEMBERS_AT_FULL_PACE: usize = 12;
+/// The largest number of members at which each member still asks its peers at the configured
+/// interval.
+const MAX_MEMBERS_AT_BASE_INTERVAL: usize = 12;
 
-/// By how much more members ask less often; three asks of the slower pace still fit into the time
-/// for which an answer counts.
-const SLOWER_PACE: u32 = 2;
+/// The factor of the heartbeat interval in larger clusters. Three asks at the longer interval still
+/// fit into the time for which a confirmation is valid.
+const LARGE_CLUSTER_INTERVAL_FACTOR: u32 = 2;
 
-/// How often a silent process is probed.
+/// The interval between two probes of a silent process.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MemberMachine {
-    /// Takes in a message of a peer. One from a process that lost its seat changes nothing; it is
-    /// answered, so that its sender learns of its loss.
+    /// Handles a message from a peer, and returns the answer. A message from a process that lost
+    /// its seat changes nothing, but is answered, so that its sender learns of the loss.
     pub fn receive(&mut self, now: Duration, message: PeerMessage) -> Vec<MemberAction> {
         if message.to != self.daemon.nonce || message.from.0 >= self.settings.seats {
             return Vec::new();
         }
         let current = self.is_current(message.from, message.epoch);
         if current {
-            self.learn_report(now, &message);
+            self.apply_report(now, &message);
         }
         match message.body {
-            PeerBody::Ask { number, .. } => self.answer(&message, number),
+            PeerBody::Ask { number, .. } => self.answer_ask(&message, number),
             PeerBody::Answer { number, .. } if current => {
-                self.record_vouch(&message, number);
-                self.advance_attempts(now);
+                self.record_confirmation(&message, number);
+                self.advance_changes(now);
                 Vec::new()
             }
             PeerBody::Answer { .. } => Vec::new(),
         }
     }
 
-    /// Tells whether an epoch is that of the seat's process, as far as is known.
+    /// Returns whether an epoch is that of the seat's current process, as far as is known.
     pub(crate) fn is_current(&self, seat: SeatNumber, epoch: u64) -> bool {
-        epoch >= self.known.seat(seat) || !self.settings.guards.has(Guard::DiscountFormer)
+        epoch >= self.known_epochs.seat(seat)
+            || !self.settings.guards.has(Guard::DiscardFormerProcess)
     }
 
-    fn learn_report(&mut self, now: Duration, message: &PeerMessage) {
-        let told = self.settings.guards.has(Guard::TellNewer);
+    /// Merges the report in a peer's message, and records that the peer is alive.
+    fn apply_report(&mut self, now: Duration, message: &PeerMessage) {
+        let merge_reports = self.settings.guards.has(Guard::ReportNewerEpochs);
         let mut newer = false;
-        if told {
-            newer |= self.known.merge(message.body.report());
-            newer |= self.known.raise_seat(message.from, message.epoch);
+        if merge_reports {
+            newer |= self.known_epochs.merge(message.body.report());
+            newer |= self.known_epochs.raise_seat(message.from, message.epoch);
         }
-        self.poll_wanted |= newer;
+        self.poll_requested |= newer;
         let index = usize::from(message.from.0);
-        if self.heard[index].0 == message.nonce {
-            self.heard[index].1 = now;
-            self.hear_again(message.from);
+        if self.last_received[index].0 == message.nonce {
+            self.last_received[index].1 = now;
+            self.mark_holder_alive(message.from);
         }
     }
 
-    fn hear_again(&mut self, seat: SeatNumber) {
+    /// Records that the holder of a seat is alive.
+    fn mark_holder_alive(&mut self, seat: SeatNumber) {
         let holder = self
             .members()
             .and_then(|members| members.seat(seat))
             .and_then(|record| record.holder_id(seat));
         if let Some(holder) = holder {
-            self.observe_alive(holder);
+            self.mark_alive(holder);
         }
     }
 
-    /// Says nothing before the table was read in the seat: what the seat's former process was told
-    /// is known here only from there.
-    fn answer(&self, message: &PeerMessage, number: u64) -> Vec<MemberAction> {
-        let (true, Some(hold)) = (self.speaking, self.hold) else {
+    /// Returns the answer to an `Ask` message. Returns none before the table was read in the seat:
+    /// only that read shows what the seat's former process was notified of.
+    fn answer_ask(&self, message: &PeerMessage, number: u64) -> Vec<MemberAction> {
+        let (true, Some(held_seat)) = (self.participating, self.held_seat) else {
             return Vec::new();
         };
         let Some(to) = self.peer_address(message.nonce) else {
             return Vec::new();
         };
         let message = PeerMessage {
-            from: hold.id.seat,
-            epoch: hold.epoch,
+            from: held_seat.id.seat,
+            epoch: held_seat.epoch,
             nonce: self.daemon.nonce,
             to: message.nonce,
             body: PeerBody::Answer {
@@ -103,7 +107,7 @@
         vec![MemberAction::Send { to, message }]
     }
 
-    /// Returns the address of a process that sits in a seat, is taking one, or lost one.
+    /// Returns the peer address of a process that holds a seat, is taking one, or lost one.
     pub fn peer_address(&self, nonce: u64) -> Option<SocketAddr> {
         let records = self.members()?.seats.iter();
         records
@@ -120,29 +124,31 @@
             .map(|daemon| daemon.peer)
     }
 
+    /// Returns what this daemon reports to its peers.
     fn report(&self) -> PeerReport {
         let heard = (0..self.settings.seats.min(64))
-            .filter(|seat| self.is_heard(SeatNumber(*seat), self.asked_at.unwrap_or_default()))
+            .filter(|seat| self.is_heard(SeatNumber(*seat), self.last_ask_at.unwrap_or_default()))
             .fold(0u64, |bits, seat| bits | 1 << seat);
         PeerReport {
-            seats: self.known.seats.clone(),
-            configuration: self.known.configuration,
+            seats: self.known_epochs.seats.clone(),
+            configuration: self.known_epochs.announced_configuration,
             in_force: self.in_force,
             heard,
         }
     }
 
-    /// The lease counts from when it was asked for: the peer's promise may be that old.
-    fn record_vouch(&mut self, message: &PeerMessage, number: u64) {
-        let Some(asked_at) = self.ask_time(number) else {
+    /// Records a peer's confirmation. It is valid from the time at which it was requested, because
+    /// the peer's state may be that old.
+    fn record_confirmation(&mut self, message: &PeerMessage, number: u64) {
+        let Some(asked_at) = self.ask_sent_at(number) else {
             return;
         };
         let report = message.body.report();
-        let vouch = &mut self.vouches[usize::from(message.from.0)];
-        if vouch.epoch == message.epoch && vouch.number >= number {
+        let confirmation = &mut self.confirmations[usize::from(message.from.0)];
+        if confirmation.epoch == message.epoch && confirmation.number >= number {
             return;
         }
-        *vouch = VouchRecord {
+        *confirmation = PeerConfirmation {
             epoch: message.epoch,
             nonce: message.nonce,
             number,
@@ -151,39 +157,42 @@
             in_force: report.in_force,
             heard: report.heard,
         };
-        self.confirm_by_peers();
+        self.confirm_configuration_by_peers();
     }
 
-    fn ask_time(&self, number: u64) -> Option<Duration> {
-        if !self.settings.guards.has(Guard::CountFromAsk) {
-            return self.asked_at;
+    /// Returns when the `Ask` message with this number was sent; `None` if it is no longer
+    /// remembered.
+    fn ask_sent_at(&self, number: u64) -> Option<Duration> {
+        if !self.settings.guards.has(Guard::ConfirmationAgeFromRequest) {
+            return self.last_ask_at;
         }
-        self.asks
+        self.recent_asks
             .iter()
-            .find(|(asked, _)| *asked == number)
+            .find(|(sent, _)| *sent == number)
             .map(|(_, at)| *at)
     }
 
-    /// The newest moment at which more than half knew of no newer configuration.
-    fn confirm_by_peers(&mut self) {
-        let own = self.hold.map(|hold| hold.id.seat);
+    /// Updates the latest time at which more than half of the members knew of no newer
+    /// configuration.
+    fn confirm_configuration_by_peers(&mut self) {
+        let own = self.held_seat.map(|held_seat| held_seat.id.seat);
         let mut times: Vec<Duration> = (0u8..)
             .map(SeatNumber)
-            .zip(&self.vouches)
-            .filter(|(seat, vouch)| {
+            .zip(&self.confirmations)
+            .filter(|(seat, confirmation)| {
                 Some(*seat) != own
-                    && vouch.number > 0
-                    && self.is_current(*seat, vouch.epoch)
-                    && vouch.configuration <= self.in_force
+                    && confirmation.number > 0
+                    && self.is_current(*seat, confirmation.epoch)
+                    && confirmation.configuration <= self.in_force
             })
-            .map(|(_, vouch)| vouch.asked_at)
+            .map(|(_, confirmation)| confirmation.asked_at)
             .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         let mut needed = usize::from(self.settings.seats) / 2;
-        if !self.settings.guards.has(Guard::VouchMajority) {
+        if !self.settings.guards.has(Guard::ConfirmationMajority) {
             needed = 1;
         }
-        if needed == 0 || self.known.configuration > self.in_force {
+        if needed == 0 || self.known_epochs.announced_configuration > self.in_force {
             return;
         }
         if let Some(at) = times.get(needed - 1) {
@@ -191,22 +200,23 @@
         }
     }
 
-    pub(crate) fn ask_if_due(&mut self, now: Duration, actions: &mut Vec<MemberAction>) {
+    /// Sends an `Ask` message to every peer if the heartbeat interval has passed.
+    pub(crate) fn send_asks_if_due(&mut self, now: Duration, actions: &mut Vec<MemberAction>) {
         let due = self
-            .asked_at
+            .last_ask_at
             .is_none_or(|at| now >= at.saturating_add(self.heartbeat()));
-        let Some((from, epoch)) = self.voice().filter(|_| due) else {
+        let Some((from, epoch)) = self.sender_identity().filter(|_| due) else {
             return;
         };
-        let number = self.next_ask;
-        self.next_ask += 1;
-        self.asked_at = Some(now);
-        if self.asks.len() == ASKS_KEPT {
-            self.asks.pop_front();
+        let number = self.next_ask_number;
+        self.next_ask_number += 1;
+        self.last_ask_at = Some(now);
+        if self.recent_asks.len() == MAX_REMEMBERED_ASKS {
+            self.recent_asks.pop_front();
         }
-        self.asks.push_back((number, now));
+        self.recent_asks.push_back((number, now));
         let report = self.report();
-        for (to, address) in self.peers() {
+        for (to, address) in self.other_seat_holders() {
             let message = PeerMessage {
                 from,
                 epoch,
@@ -224,35 +234,43 @@
         }
     }
 
-    /// Each daemon asks every other one, so among many members they ask less often, which keeps the
-    /// bytes of each within bounds.
+    /// Returns the interval between two asks. Each daemon asks every other one, so among many
+    /// members they ask less often, which bounds the bytes that each sends.
     fn heartbeat(&self) -> Duration {
-        self.settings.heartbeat * self.pace()
+        self.settings.heartbeat * self.interval_factor()
     }
 
-    /// After which silence a daemon is probed; some heartbeats may be lost before.
+    /// Returns the duration of silence after which a daemon is probed; it allows for some lost
+    /// heartbeats.
     pub(crate) fn probe_after(&self) -> Duration {
-        self.settings.probe_after * self.pace()
+        self.settings.probe_after * self.interval_factor()
     }
 
-    fn pace(&self) -> u32 {
+    /// Returns the factor by which this daemon lengthens its intervals, by the number of members.
+    fn interval_factor(&self) -> u32 {
         let members = self.members().map_or(0, |members| members.seated().count());
-        match members > MEMBERS_AT_FULL_PACE {
-            true => SLOWER_PACE,
+        match members > MAX_MEMBERS_AT_BASE_INTERVAL {
+            true => LARGE_CLUSTER_INTERVAL_FACTOR,
             false => 1,
         }
     }
 
-    /// As whom this daemon speaks: as who sits in its seat, or as who is taking one.
-    fn voice(&self) -> Option<(SeatNumber, u64)> {
-        if let Some(hold) = self.hold {
-            return self.speaking.then_some((hold.id.seat, hold.epoch));
+    /// Returns the seat and the epoch under which this daemon sends messages: those of the seat
+    /// that it holds or is taking. Returns `None` while it may not send any.
+    fn sender_identity(&self) -> Option<(SeatNumber, u64)> {
+        if let Some(held_seat) = self.held_seat {
+            return self
+                .participating
+                .then_some((held_seat.id.seat, held_seat.epoch));
         }
-        let attempt = self.attempt.filter(|attempt| attempt.claim)?;
-        attempt.told_from.map(|_| (attempt.seat, attempt.epoch))
+        let seat_change = self.seat_change.filter(|seat_change| seat_change.claim)?;
+        seat_change
+            .first_ask_number
+            .map(|_| (seat_change.seat, seat_change.epoch))
     }
 
-    fn peers(&self) -> Vec<(u64, SocketAddr)> {
+    /// Returns the nonces and addresses of the other daemons that hold seats.
+    fn other_seat_holders(&self) -> Vec<(u64, SocketAddr)> {
         let Some(members) = self.members() else {
             return Vec::new();
         };
@@ -265,19 +283,26 @@
             .collect()
     }
 
-    pub(crate) fn probe_silent(&mut self, now: Duration, actions: &mut Vec<MemberAction>) {
+    /// Probes each silent process unless it was probed recently.
+    pub(crate) fn probe_silent_processes(
+        &mut self,
+        now: Duration,
+        actions: &mut Vec<MemberAction>,
+    ) {
         for (holder, address) in self.probe_targets(now) {
             let due = self
-                .probed
+                .last_probed_at
                 .get(&holder)
                 .is_none_or(|at| now >= at.saturating_add(PROBE_INTERVAL));
             if due {
-                self.probed.insert(holder, now);
+                self.last_probed_at.insert(holder, now);
                 actions.push(MemberAction::Probe { holder, address });
             }
         }
     }
 
+    /// Returns the seat holders that are silent and the former holders, without those known to have
+    /// terminated. Forgets the probe times of all others.
     fn probe_targets(&mut self, now: Duration) -> Vec<(HolderId, SocketAddr)> {
         let Some(members) = self.table.as_ref().map(|table| &table.members.row) else {
             return Vec::new();
@@ -291,12 +316,12 @@
                     seat,
                     incarnation: holder.incarnation,
                 };
-                if !self.gone.contains(&id) && holder.daemon.nonce != self.daemon.nonce {
+                if !self.terminated.contains(&id) && holder.daemon.nonce != self.daemon.nonce {
                     targets.push((id, holder.daemon.peer));
                 }
             }
         }
-        self.probed
+        self.last_probed_at
             .retain(|holder, _| targets.iter().any(|(target, _)| target == holder));
         targets
     }
--- a/crates/ownership/src/machine_table.rs
+++ b/crates/ownership/src/machine_table.rs
@@ -1,4 +1,4 @@
-//! What a member learns from the table, and how it ends its writes.
+//! Applies reads of the table, and tracks the writes of this member.
 
 use std::time::Duration;
 
@@ -7,21 +7,23 @@
 use crate::{
     DaemonRecord,
     Guard,
+    HeldSeat,
     HolderId,
     MemberMachine,
     MembersRow,
-    SeatHold,
     SeatRecord,
     SharedWrite,
     TableSnapshot,
     VersionedRow, //
 };
 
-/// By how much each daemon of a later rank waits longer before it steps in.
-pub(crate) const RANK_DELAY: Duration = Duration::from_millis(700);
+/// How much longer each daemon waits than the daemon of the rank before it, before it does what any
+/// daemon may do.
+pub(crate) const DELAY_PER_RANK: Duration = Duration::from_millis(700);
 
 impl MemberMachine {
-    /// Takes in a poll of the table that was answered now.
+    /// Applies a poll of the table that completed now. A snapshot that does not match the settings
+    /// is ignored.
     pub fn read_table(&mut self, now: Duration, snapshot: TableSnapshot) {
         if !self.accepts(&snapshot) {
             return;
@@ -30,16 +32,17 @@
         let Some(table) = self.table.take() else {
             return;
         };
-        self.learn_members(now, &table.members.row);
-        self.learn_configuration(now, &table);
-        self.learn_hold(now, &table);
-        self.learn_holdings(now, &table);
+        self.apply_members(now, &table.members.row);
+        self.apply_configuration_header(now, &table);
+        self.update_held_seat(now, &table);
+        self.update_held_resources(now, &table);
         self.table = Some(table);
-        self.advance_attempts(now);
+        self.advance_changes(now);
     }
 
-    /// Tells whether the rows have as many seats, slot shares and shards as this daemon's settings;
-    /// one with other settings would count other majorities, and must take no part.
+    /// Returns whether the rows have as many seats, slot shares and shards as this daemon's
+    /// settings. A daemon with other settings would count majorities differently, so it must not
+    /// take part.
     pub fn accepts(&self, snapshot: &TableSnapshot) -> bool {
         let (members, ownership) = (&snapshot.members, &snapshot.ownership);
         let seats = members.row.seats.len() == usize::from(self.settings.seats);
@@ -48,28 +51,30 @@
         (members.version.is_none() || seats) && (ownership.version.is_none() || (slots && shards))
     }
 
-    /// Takes note that the last write ended, whatever its outcome: a read decides what follows. No
-    /// further write is made for `pause`, which spares a table that refused.
+    /// Records that the last write ended, whatever its outcome; the next read shows the outcome. No
+    /// further write is made for the duration `pause`, which reduces the load on a table that
+    /// refused.
     pub fn end_commit(&mut self, now: Duration, pause: Duration) {
-        self.committing = false;
-        self.read_from = Some(now);
-        self.write_from = now.saturating_add(pause);
-        self.poll_wanted = true;
+        self.write_in_progress = false;
+        self.last_write_ended_at = Some(now);
+        self.writes_paused_until = now.saturating_add(pause);
+        self.poll_requested = true;
         if !self.settings.guards.has(Guard::ReleaseIsFinal) {
             self.releasing.clear();
             self.released.clear();
         }
     }
 
-    /// Takes note that a write outside [`MemberMachine::tick`] is under way.
+    /// Records that a write outside [`MemberMachine::tick`] is in progress.
     pub(crate) fn begin_commit(&mut self) {
-        self.committing = true;
+        self.write_in_progress = true;
     }
 
-    /// Polls overlap, so an older row may arrive after a newer one; it must not take its place, or a
-    /// superseded holder would see itself in force again.
+    /// Merges a snapshot into the newest known rows. Polls overlap, so an older row may arrive
+    /// after a newer one. It must not replace the newer one, or a superseded holder would regard
+    /// itself as the holder again.
     fn merge_snapshot(&mut self, now: Duration, mut snapshot: TableSnapshot) {
-        if !self.settings.guards.has(Guard::CountFromPoll) {
+        if !self.settings.guards.has(Guard::ReadAgeFromRequest) {
             snapshot.asked_at = now;
         }
         let Some(table) = &mut self.table else {
@@ -86,53 +91,57 @@
         table.asked_at = table.asked_at.max(snapshot.asked_at);
     }
 
-    fn learn_members(&mut self, now: Duration, members: &MembersRow) {
+    /// Applies the members' row: epochs, seat holders, announced changes, rejected evictions and
+    /// replaced processes.
+    fn apply_members(&mut self, now: Duration, members: &MembersRow) {
         for (seat, record) in members.numbered() {
-            self.known.raise_seat(seat, record.newest_epoch());
+            self.known_epochs.raise_seat(seat, record.newest_epoch());
             let index = usize::from(seat.0);
-            if index >= self.heard.len() {
+            if index >= self.last_received.len() {
                 return;
             }
             let nonce = record
                 .holder
                 .as_ref()
                 .map_or(0, |holder| holder.daemon.nonce);
-            if self.heard[index].0 != nonce {
-                self.heard[index] = (nonce, now);
-                self.defended[index] = None;
+            if self.last_received[index].0 != nonce {
+                self.last_received[index] = (nonce, now);
+                self.eviction_rejected_at[index] = None;
             }
             let announced = record.intent.as_ref().map_or(0, |intent| intent.epoch);
-            if self.intents[index].0 != announced {
-                let withdrawn = announced == 0 && self.intents[index].0 < record.epoch;
+            if self.intents_seen[index].0 != announced {
+                let withdrawn = announced == 0 && self.intents_seen[index].0 < record.epoch;
                 let same = record
                     .holder
                     .as_ref()
                     .is_some_and(|holder| holder.incarnation < record.epoch);
-                self.intents[index] = (announced, now);
+                self.intents_seen[index] = (announced, now);
                 if withdrawn && same {
-                    self.note_defence(now, seat, record);
+                    self.record_eviction_rejection(now, seat, record);
                 }
             }
         }
-        self.learn_replaced(members);
+        self.mark_replaced_terminated(members);
     }
 
-    /// Only the process itself defends its seat, so it lives, whatever a probe or the VM list said.
-    fn note_defence(&mut self, now: Duration, seat: SeatNumber, record: &SeatRecord) {
-        self.defended[usize::from(seat.0)] = Some(now);
+    /// Records that the seat's daemon rejected an eviction. Only the process itself does so, so it
+    /// is alive, whatever a probe or the VM list indicated.
+    fn record_eviction_rejection(&mut self, now: Duration, seat: SeatNumber, record: &SeatRecord) {
+        self.eviction_rejected_at[usize::from(seat.0)] = Some(now);
         if let Some(id) = record.holder_id(seat) {
-            self.observe_alive(id);
+            self.mark_alive(id);
         }
     }
 
-    /// A process whose address now belongs to another one is gone: two cannot listen there at once.
-    /// This is what lets daemons that were all replaced at once take their seats.
-    fn learn_replaced(&mut self, members: &MembersRow) {
+    /// Marks processes as terminated whose address now belongs to another process, since two
+    /// processes cannot listen at one address. This lets daemons take their seats after all of them
+    /// were replaced at once.
+    fn mark_replaced_terminated(&mut self, members: &MembersRow) {
         for (seat, record) in members.numbered() {
             let former = record.former.iter().map(|former| &former.holder);
             for holder in record.holder.iter().chain(former) {
                 if is_replaced(members, &holder.daemon) {
-                    self.gone.insert(HolderId {
+                    self.terminated.insert(HolderId {
                         seat,
                         incarnation: holder.incarnation,
                     });
@@ -141,56 +150,60 @@
         }
     }
 
-    fn learn_configuration(&mut self, now: Duration, table: &TableSnapshot) {
+    /// Applies the configuration's header.
+    fn apply_configuration_header(&mut self, now: Duration, table: &TableSnapshot) {
         let header = &table.configuration.row;
-        self.known
+        self.known_epochs
             .raise_configuration(header.newest_version(), header.version);
         if header.version <= self.in_force {
             self.confirm_configuration(table.asked_at);
         }
         let announced = header.intent.map_or(0, |intent| intent.version);
-        if self.change_seen.0 != announced {
-            self.change_seen = (announced, now);
+        if self.configuration_intent_seen.0 != announced {
+            self.configuration_intent_seen = (announced, now);
         }
     }
 
-    fn learn_hold(&mut self, now: Duration, table: &TableSnapshot) {
+    /// Determines whether this daemon gained, kept or lost its seat.
+    fn update_held_seat(&mut self, now: Duration, table: &TableSnapshot) {
         let found = self.find_own_seat(&table.members.row);
-        match (self.hold, found) {
-            (None, Some(hold)) if self.lost.is_none() => self.begin_hold(now, hold),
-            (Some(old), Some(new)) if old.id == new.id => self.hold = Some(new),
-            (Some(old), _) => self.lose_hold(now, old.id),
+        match (self.held_seat, found) {
+            (None, Some(held_seat)) if self.lost_holder_id.is_none() => {
+                self.record_seat_gained(now, held_seat)
+            }
+            (Some(old), Some(new)) if old.id == new.id => self.held_seat = Some(new),
+            (Some(old), _) => self.record_seat_lost(now, old.id),
             (None, _) => (),
         }
         let read_since = self
-            .seated_at
+            .seat_first_seen_at
             .is_some_and(|seated| table.asked_at >= seated);
-        self.speaking |= self.hold.is_some() && read_since;
+        self.participating |= self.held_seat.is_some() && read_since;
     }
 
-    fn begin_hold(&mut self, now: Duration, hold: SeatHold) {
-        self.hold = Some(hold);
-        self.seated_at = Some(now);
-        self.attempt = None;
-        self.poll_wanted = true;
-        self.speaking = !self.settings.guards.has(Guard::ReadBeforeSpeaking);
+    fn record_seat_gained(&mut self, now: Duration, held_seat: HeldSeat) {
+        self.held_seat = Some(held_seat);
+        self.seat_first_seen_at = Some(now);
+        self.seat_change = None;
+        self.poll_requested = true;
+        self.participating = !self.settings.guards.has(Guard::ReadBeforeParticipating);
     }
 
-    fn lose_hold(&mut self, now: Duration, id: HolderId) {
-        self.hold = None;
-        self.seated_at = None;
-        self.speaking = false;
-        self.attempt = None;
-        self.change = None;
-        self.lost = Some(id);
-        self.lost_at = Some(now);
-        self.poll_wanted = true;
+    fn record_seat_lost(&mut self, now: Duration, id: HolderId) {
+        self.held_seat = None;
+        self.seat_first_seen_at = None;
+        self.participating = false;
+        self.seat_change = None;
+        self.configuration_change = None;
+        self.lost_holder_id = Some(id);
+        self.seat_lost_at = Some(now);
+        self.poll_requested = true;
     }
 
-    fn find_own_seat(&self, members: &MembersRow) -> Option<SeatHold> {
+    fn find_own_seat(&self, members: &MembersRow) -> Option<HeldSeat> {
         members.numbered().find_map(|(seat, record)| {
             let holder = record.holder.as_ref()?;
-            (holder.daemon.nonce == self.daemon.nonce).then_some(SeatHold {
+            (holder.daemon.nonce == self.daemon.nonce).then_some(HeldSeat {
                 id: HolderId {
                     seat,
                     incarnation: holder.incarnation,
@@ -200,17 +213,17 @@
         })
     }
 
-    /// Returns the first write that is due.
+    /// Returns the first write that is due, in the order of urgency.
     pub(crate) fn next_write(&mut self, now: Duration) -> Option<SharedWrite> {
-        if self.hold.is_none() {
-            return match self.lost {
-                Some(_) => self.returning_write(),
+        if self.held_seat.is_none() {
+            return match self.lost_holder_id {
+                Some(_) => self.return_resources_write(),
                 None => self.claim_write(now),
             };
         }
-        self.defence_write()
-            .or_else(|| self.attempt_write(now))
-            .or_else(|| self.change_write(now))
+        self.eviction_rejection_write()
+            .or_else(|| self.seat_commit_write(now))
+            .or_else(|| self.configuration_commit_write(now))
             .or_else(|| self.leave_write())
             .or_else(|| self.balance_write(now))
             .or_else(|| self.eviction_write(now))
@@ -220,7 +233,7 @@
         self.table.as_ref().map(|table| &table.members.row)
     }
 
-    pub(crate) fn members_write(&self, row: MembersRow) -> SharedWrite {
+    pub(crate) fn members_row_write(&self, row: MembersRow) -> SharedWrite {
         let version = self.table.as_ref().and_then(|table| table.members.version);
         SharedWrite {
             members: Some(VersionedRow { version, row }),
@@ -228,24 +241,27 @@
         }
     }
 
-    /// Returns the seats in the order in which their daemons step in: this one's place in it spares
-    /// the table the same write from everybody.
+    /// Returns this daemon's rank: the number of reachable daemons with lower seat numbers. Daemons
+    /// act in the order of their ranks, which spares the table the same write from each of them.
+    /// Without a seat, the rank comes after all others.
     pub(crate) fn rank(&self, now: Duration) -> u32 {
-        let Some(hold) = self.hold else {
+        let Some(held_seat) = self.held_seat else {
             return u32::from(self.settings.seats);
         };
-        let before = (0..hold.id.seat.0).filter(|seat| self.is_heard(SeatNumber(*seat), now));
+        let before = (0..held_seat.id.seat.0).filter(|seat| self.is_heard(SeatNumber(*seat), now));
         before.map(|_| 1).sum()
     }
 }
 
+/// Replaces a row unless the read one is older.
 fn keep_newer<Row>(kept: &mut VersionedRow<Row>, read: VersionedRow<Row>) {
     if read.version >= kept.version {
         *kept = read;
     }
 }
 
-/// Tells whether a process that took a seat later, or is taking one, listens at this one's address.
+/// Returns whether another process that took a seat later, or is taking one, listens at the address
+/// of this one.
 fn is_replaced(members: &MembersRow, daemon: &DaemonRecord) -> bool {
     let later = |other: &DaemonRecord| other.peer == daemon.peer && other.nonce != daemon.nonce;
     let former = members
--- a/crates/ownership/src/member_action.rs
+++ b/crates/ownership/src/member_action.rs
@@ -1,4 +1,4 @@
-//! What a member's shell is to do.
+//! The actions that a member asks its caller to execute.
 
 use std::net::SocketAddr;
 
@@ -10,28 +10,30 @@
     SharedWrite, //
 };
 
-/// What a member's shell is to do.
+/// An action that [`crate::MemberMachine`] asks its caller to execute.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MemberAction {
-    /// Sends a message; it may be lost.
+    /// Send a message, which may be lost.
     Send {
-        /// Where to.
+        /// The address of the recipient.
         to: SocketAddr,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Makes a transaction, and reports its end to [`crate::MemberMachine::end_commit`].
+    /// Commit a transaction on the table, and report its completion to
+    /// [`crate::MemberMachine::end_commit`].
     Commit(SharedWrite),
-    /// Reads the shared rows now.
+    /// Read the shared rows now.
     Poll,
-    /// Asks whether a process is gone, and reports to [`crate::MemberMachine::observe_gone`].
+    /// Probe whether a process has terminated, and report to [`crate::MemberMachine::observe_gone`]
+    /// if it has.
     Probe {
-        /// The process.
+        /// The identity of the process.
         holder: HolderId,
-        /// Where it was reached.
+        /// The address at which the process was reached.
         address: SocketAddr,
     },
-    /// Waits until nothing that was begun on the resource is in progress, and reports to
+    /// Wait until no work begun on the resource is in progress, and report to
     /// [`crate::MemberMachine::end_release`].
     Release(ResourceId),
 }
--- a/crates/ownership/src/member_machine.rs
+++ b/crates/ownership/src/member_machine.rs
@@ -1,4 +1,4 @@
-//! One member's side of the rule.
+//! The state machine of one member.
 
 use std::{
     collections::VecDeque,
@@ -19,172 +19,208 @@
 
 use crate::{
     DaemonRecord,
+    HeldSeat,
     HolderId,
     MemberAction,
     OwnershipSettings,
-    SeatHold,
     TableSnapshot,
-    configuration_attempt::ConfigurationAttempt,
+    configuration_change::ConfigurationChange,
     known_epochs::KnownEpochs,
-    seat_attempt::SeatAttempt,
-    vouch_record::VouchRecord, //
+    peer_confirmation::PeerConfirmation, //
+    seat_change::SeatChange,
 };
 
-/// How many asks are remembered; an answer to an older one is of no use any more.
-pub(crate) const ASKS_KEPT: usize = 64;
+/// How many sent `Ask` messages are remembered; an answer to an older one is ignored.
+pub(crate) const MAX_REMEMBERED_ASKS: usize = 64;
 
-/// One member's side of the rule: pure, fed with rows, messages and the time.
+/// The state machine of one member of the ownership protocol. It does no input or output: its
+/// caller passes in table rows, messages and the time. All times are durations on the clock of this
+/// daemon.
 #[derive(Clone, Debug)]
 pub struct MemberMachine {
+    /// The sizes and durations of the protocol.
     pub(crate) settings: OwnershipSettings,
+    /// The description of this daemon.
     pub(crate) daemon: DaemonRecord,
-    pub(crate) hold: Option<SeatHold>,
-    /// When the table was first seen to show this daemon in its seat.
-    pub(crate) seated_at: Option<Duration>,
-    /// Whether the table was read after the seat was taken.
-    pub(crate) speaking: bool,
-    /// The identity that was lost while it held resources.
-    pub(crate) lost: Option<HolderId>,
-    pub(crate) lost_at: Option<Duration>,
-    pub(crate) known: KnownEpochs,
+    /// The seat that this daemon holds; `None` if it holds none.
+    pub(crate) held_seat: Option<HeldSeat>,
+    /// When the table first showed this daemon in its seat; `None` without a seat.
+    pub(crate) seat_first_seen_at: Option<Duration>,
+    /// Whether this daemon takes part as a member: it holds a seat, and has read the table since it
+    /// took it.
+    pub(crate) participating: bool,
+    /// The identity under a seat that was lost; set until its resources are returned.
+    pub(crate) lost_holder_id: Option<HolderId>,
+    /// When the last seat was lost; `None` if none was.
+    pub(crate) seat_lost_at: Option<Duration>,
+    /// The newest epochs and configuration versions known to this daemon.
+    pub(crate) known_epochs: KnownEpochs,
+    /// The newest known rows of the table; `None` before the first read.
     pub(crate) table: Option<TableSnapshot>,
-    /// No write is decided before a read that was asked after this.
-    pub(crate) read_from: Option<Duration>,
-    /// No write is made before this.
-    pub(crate) write_from: Duration,
-    pub(crate) poll_wanted: bool,
-    pub(crate) committing: bool,
-    /// By seat.
-    pub(crate) vouches: Vec<VouchRecord>,
-    /// By seat: the process that sits there and when it was last heard.
-    pub(crate) heard: Vec<(u64, Duration)>,
-    /// By seat: the announced epoch and when it was first seen.
-    pub(crate) intents: Vec<(u64, Duration)>,
-    /// By seat: when its daemon was seen to defend it.
-    pub(crate) defended: Vec<Option<Duration>>,
-    /// By seat: when it was last probed.
-    pub(crate) probed: IndexMap<HolderId, Duration>,
-    pub(crate) asks: VecDeque<(u64, Duration)>,
-    pub(crate) next_ask: u64,
-    pub(crate) asked_at: Option<Duration>,
-    pub(crate) attempt: Option<SeatAttempt>,
-    pub(crate) change: Option<ConfigurationAttempt>,
-    /// The announced version and when it was first seen.
-    pub(crate) change_seen: (u64, Duration),
+    /// When the last write ended. No further write is decided before a read that was requested
+    /// later; `None` before the first write.
+    pub(crate) last_write_ended_at: Option<Duration>,
+    /// No write is made before this time.
+    pub(crate) writes_paused_until: Duration,
+    /// Whether the next tick requests a poll of the table.
+    pub(crate) poll_requested: bool,
+    /// Whether a write is in progress.
+    pub(crate) write_in_progress: bool,
+    /// The last confirmation of each seat's daemon, by seat number.
+    pub(crate) confirmations: Vec<PeerConfirmation>,
+    /// By seat number: the nonce of the process that holds the seat, zero if none, and when the
+    /// last message of it was received or it was first seen.
+    pub(crate) last_received: Vec<(u64, Duration)>,
+    /// By seat number: the announced epoch, zero if none, and when it was first seen.
+    pub(crate) intents_seen: Vec<(u64, Duration)>,
+    /// By seat number: when its daemon was seen to reject an eviction; `None` if it was not.
+    pub(crate) eviction_rejected_at: Vec<Option<Duration>>,
+    /// When each silent process was last probed.
+    pub(crate) last_probed_at: IndexMap<HolderId, Duration>,
+    /// The numbers of the last `Ask` messages and when each was sent, oldest first.
+    pub(crate) recent_asks: VecDeque<(u64, Duration)>,
+    /// The number of the next `Ask` message.
+    pub(crate) next_ask_number: u64,
+    /// When the last `Ask` message was sent; `None` if the next one is due at once.
+    pub(crate) last_ask_at: Option<Duration>,
+    /// The seat change that this daemon carries out.
+    pub(crate) seat_change: Option<SeatChange>,
+    /// The configuration change that this daemon carries out.
+    pub(crate) configuration_change: Option<ConfigurationChange>,
+    /// The announced configuration version, zero if none, and when it was first seen.
+    pub(crate) configuration_intent_seen: (u64, Duration),
+    /// The configuration version by which this daemon acts.
     pub(crate) in_force: u64,
-    /// The last moment of which it is known that nothing newer than `in_force` was committed.
-    pub(crate) confirmed_at: Option<Duration>,
+    /// The latest time at which no version newer than `in_force` is known to have been committed.
+    pub(crate) configuration_confirmed_at: Option<Duration>,
+    /// The resources being released, with the epochs under which they are held.
     pub(crate) releasing: IndexMap<ResourceId, OwnerEpoch>,
+    /// The resources of `releasing` on which no work is in progress any more.
     pub(crate) released: IndexSet<ResourceId>,
+    /// By resource taken over without a release: the epoch under which it is held, and until when
+    /// it stays idle.
     pub(crate) idle_until: IndexMap<ResourceId, (OwnerEpoch, Duration)>,
-    pub(crate) orphans_seen: Option<Duration>,
-    pub(crate) gone: IndexSet<HolderId>,
+    /// When orphaned resources were first seen; `None` if there are none.
+    pub(crate) orphans_first_seen_at: Option<Duration>,
+    /// The processes that are known to have terminated.
+    pub(crate) terminated: IndexSet<HolderId>,
+    /// Whether [`MemberMachine::leave`] was called.
     pub(crate) leaving: bool,
 }
 
 impl MemberMachine {
-    /// Creates a member that holds nothing and knows nothing yet.
+    /// Creates a member that holds no seat and knows no rows.
     pub fn new(settings: OwnershipSettings, daemon: DaemonRecord) -> Self {
         let seats = usize::from(settings.seats);
         Self {
             settings,
             daemon,
-            hold: None,
-            seated_at: None,
-            speaking: false,
-            lost: None,
-            lost_at: None,
-            known: KnownEpochs::new(settings.seats),
+            held_seat: None,
+            seat_first_seen_at: None,
+            participating: false,
+            lost_holder_id: None,
+            seat_lost_at: None,
+            known_epochs: KnownEpochs::new(settings.seats),
             table: None,
-            read_from: None,
-            write_from: Duration::ZERO,
-            poll_wanted: true,
-            committing: false,
-            vouches: vec![VouchRecord::default(); seats],
-            heard: vec![(0, Duration::ZERO); seats],
-            intents: vec![(0, Duration::ZERO); seats],
-            defended: vec![None; seats],
-            probed: IndexMap::new(),
-            asks: VecDeque::with_capacity(ASKS_KEPT),
-            next_ask: 1,
-            asked_at: None,
-            attempt: None,
-            change: None,
-            change_seen: (0, Duration::ZERO),
+            last_write_ended_at: None,
+            writes_paused_until: Duration::ZERO,
+            poll_requested: true,
+            write_in_progress: false,
+            confirmations: vec![PeerConfirmation::default(); seats],
+            last_received: vec![(0, Duration::ZERO); seats],
+            intents_seen: vec![(0, Duration::ZERO); seats],
+            eviction_rejected_at: vec![None; seats],
+            last_probed_at: IndexMap::new(),
+            recent_asks: VecDeque::with_capacity(MAX_REMEMBERED_ASKS),
+            next_ask_number: 1,
+            last_ask_at: None,
+            seat_change: None,
+            configuration_change: None,
+            configuration_intent_seen: (0, Duration::ZERO),
             in_force: 0,
-            confirmed_at: None,
+            configuration_confirmed_at: None,
             releasing: IndexMap::new(),
             released: IndexSet::new(),
             idle_until: IndexMap::new(),
-            orphans_seen: None,
-            gone: IndexSet::new(),
+            orphans_first_seen_at: None,
+            terminated: IndexSet::new(),
             leaving: false,
         }
     }
 
-    /// Does what is due: asks peers, probes silent ones, decides on at most one write.
+    /// Performs what is due: releases resources, asks peers, probes silent ones, and decides at
+    /// most one write.
     pub fn tick(&mut self, now: Duration) -> Vec<MemberAction> {
         let mut actions = Vec::new();
         self.start_releases(now, &mut actions);
-        self.ask_if_due(now, &mut actions);
-        self.probe_silent(now, &mut actions);
+        self.send_asks_if_due(now, &mut actions);
+        self.probe_silent_processes(now, &mut actions);
         self.commit_if_due(now, &mut actions);
-        if std::mem::take(&mut self.poll_wanted) {
+        if std::mem::take(&mut self.poll_requested) {
             actions.push(MemberAction::Poll);
         }
         actions
     }
 
-    /// Gives up everything: nothing may be acted on from now on, and the seat is given up once all
-    /// resources are released. [`MemberMachine::has_left`] tells when.
+    /// Starts to leave: no resource may be acted on from now on, and the seat is given up once all
+    /// resources are released. [`MemberMachine::has_left`] returns whether this is complete.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.poll_wanted = true;
+        self.poll_requested = true;
     }
 
-    /// Tells whether nothing is held any more after [`MemberMachine::leave`].
+    /// Returns whether this daemon holds nothing any more after [`MemberMachine::leave`].
     pub fn has_left(&self) -> bool {
-        self.leaving && self.hold.is_none() && self.lost.is_none() && !self.committing
+        self.leaving
+            && self.held_seat.is_none()
+            && self.lost_holder_id.is_none()
+            && !self.write_in_progress
     }
 
-    /// Takes note of a process that is known to be gone: its address refuses connections, or its VM
-    /// is long absent from the VM list. Silence is no ground for calling this.
+    /// Records that a process is known to have terminated: its address refuses connections, or its
+    /// VM has long been absent from the VM list. Silence alone is no reason to call this.
     pub fn observe_gone(&mut self, holder: HolderId) {
-        if self.hold.is_none_or(|hold| hold.id != holder) && self.gone.insert(holder) {
-            self.poll_wanted = true;
+        if self
+            .held_seat
+            .is_none_or(|held_seat| held_seat.id != holder)
+            && self.terminated.insert(holder)
+        {
+            self.poll_requested = true;
         }
     }
 
-    /// Takes note that a process thought to be gone was heard again.
-    pub(crate) fn observe_alive(&mut self, holder: HolderId) {
-        self.gone.shift_remove(&holder);
+    /// Records that a process marked as terminated is alive.
+    pub(crate) fn mark_alive(&mut self, holder: HolderId) {
+        self.terminated.shift_remove(&holder);
     }
 
     fn commit_if_due(&mut self, now: Duration, actions: &mut Vec<MemberAction>) {
-        if !self.may_decide(now) {
+        if !self.may_decide_write(now) {
             return;
         }
         if let Some(write) = self.next_write(now) {
-            self.committing = true;
+            self.write_in_progress = true;
             actions.push(MemberAction::Commit(write));
         }
     }
 
-    /// A write is decided on a read that is newer than the last write's end, so that it never rests
-    /// on a row which that write may have changed.
-    pub(crate) fn may_decide(&self, now: Duration) -> bool {
-        self.has_settled_write() && now >= self.write_from
+    /// Returns whether a write may be decided: the table was read after the last write ended, so
+    /// that the decision never rests on a row which that write may have changed, and the pause
+    /// after a write is over.
+    pub(crate) fn may_decide_write(&self, now: Duration) -> bool {
+        self.has_settled_write() && now >= self.writes_paused_until
     }
 
-    /// Tells whether [`MemberMachine::tick`] should not wait for its next time.
+    /// Returns whether the caller should call [`MemberMachine::tick`] without waiting for its next
+    /// interval.
     pub fn wants_tick(&self) -> bool {
-        self.poll_wanted
-            || self.attempt.is_some()
-            || self.change.is_some()
-            || self.known.committed > self.in_force
+        self.poll_requested
+            || self.seat_change.is_some()
+            || self.configuration_change.is_some()
+            || self.known_epochs.committed_configuration > self.in_force
     }
 
-    /// Tells whether [`MemberMachine::leave`] was called.
+    /// Returns whether [`MemberMachine::leave`] was called.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
@@ -194,17 +230,17 @@
         self.daemon.nonce
     }
 
-    /// Tells whether no write is under way and the table was read since the last one ended.
+    /// Returns whether no write is in progress and the table was read since the last one ended.
     pub fn has_settled_write(&self) -> bool {
         let read = self.table.as_ref().is_some_and(|table| {
-            self.read_from
+            self.last_write_ended_at
                 .is_none_or(|ended_at| table.asked_at > ended_at)
         });
-        read && !self.committing
+        read && !self.write_in_progress
     }
 
-    /// Returns the members that were not heard lately, and those that lost their seat, with the VMs
-    /// that they run on.
+    /// Returns the members from which no message was received recently and the processes that lost
+    /// their seats, with the VMs on which they run.
     pub fn silent_daemons(&self, now: Duration) -> Vec<(HolderId, Option<VmName>)> {
         let Some(members) = self.members() else {
             return Vec::new();
@@ -224,9 +260,9 @@
         silent
     }
 
-    /// Returns a member that acts by this version or a newer one.
+    /// Returns the daemon of another member that acts by this configuration version or a newer one.
     pub fn peer_with(&self, version: u64, now: Duration) -> Option<&DaemonRecord> {
-        let own = self.hold.map(|hold| hold.id.seat);
+        let own = self.held_seat.map(|held_seat| held_seat.id.seat);
         let members = self.members()?.numbered();
         members
             .filter(|(seat, _)| Some(*seat) != own)
@@ -238,15 +274,19 @@
             .map(|holder| &holder.daemon)
     }
 
-    /// Returns the addresses of members that were not heard, or did not answer, lately. Who is heard need not hear this
-    /// daemon: each sends on a connection of its own.
+    /// Returns the addresses of the members from which no message, or no answer, was received
+    /// recently. A member whose messages arrive does not necessarily receive those of this daemon:
+    /// each sends on a connection of its own.
     pub fn silent_peers(&self, now: Duration) -> Vec<SocketAddr> {
         let Some(members) = self.members() else {
             return Vec::new();
         };
         members
             .numbered()
-            .filter(|(seat, _)| self.hold.is_none_or(|hold| hold.id.seat != *seat))
+            .filter(|(seat, _)| {
+                self.held_seat
+                    .is_none_or(|held_seat| held_seat.id.seat != *seat)
+            })
             .filter_map(|(seat, record)| Some((seat, &record.holder.as_ref()?.daemon)))
             .filter(|(seat, daemon)| {
                 !self.is_heard(*seat, now) || !self.is_answered_by(*seat, daemon.nonce, now)
@@ -255,12 +295,14 @@
             .collect()
     }
 
-    /// Tells whether a process answered this daemon lately. None can answer a daemon that asks nothing.
+    /// Returns whether a process answered this daemon recently; always true while this daemon sends
+    /// no `Ask` messages.
     fn is_answered_by(&self, seat: SeatNumber, nonce: u64, now: Duration) -> bool {
-        let vouch = self.vouches.get(usize::from(seat.0));
-        let answered = vouch.is_some_and(|vouch| {
-            vouch.nonce == nonce && now < vouch.asked_at.saturating_add(self.probe_after())
+        let confirmation = self.confirmations.get(usize::from(seat.0));
+        let answered = confirmation.is_some_and(|confirmation| {
+            confirmation.nonce == nonce
+                && now < confirmation.asked_at.saturating_add(self.probe_after())
         });
-        answered || self.hold.is_none() || !self.speaking
+        answered || self.held_seat.is_none() || !self.participating
     }
 }
--- a/crates/ownership/src/members_row.rs
+++ b/crates/ownership/src/members_row.rs
@@ -1,4 +1,4 @@
-//! The row of the members.
+//! The table row with all seats.
 
 use jasminebend_base::SeatNumber;
 use serde::{
@@ -11,7 +11,7 @@
     SeatRecord, //
 };
 
-/// The row of the members: all seats, so that one read shows them as they were at one moment.
+/// The table row with all seats, so that one read shows them at one moment.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MembersRow {
     /// The seats, by number.
@@ -31,7 +31,7 @@
         self.seats.get(usize::from(seat.0))
     }
 
-    /// Returns a seat to be changed; `None` if the row has no such seat.
+    /// Returns a seat for modification; `None` if the row has no such seat.
     pub fn seat_mut(&mut self, seat: SeatNumber) -> Option<&mut SeatRecord> {
         self.seats.get_mut(usize::from(seat.0))
     }
@@ -41,22 +41,22 @@
         (0u8..).map(SeatNumber).zip(&self.seats)
     }
 
-    /// Returns those who sit.
+    /// Returns the identities of the processes that hold seats.
     pub fn seated(&self) -> impl Iterator<Item = HolderId> {
         self.numbered()
             .filter_map(|(seat, record)| record.holder_id(seat))
     }
 
-    /// Tells whether this process still sits.
+    /// Returns whether a process still holds its seat.
     pub fn is_seated(&self, id: HolderId) -> bool {
         self.seat(id.seat)
             .and_then(|record| record.holder_id(id.seat))
             == Some(id)
     }
 
-    /// Tells whether this process sat once and sits no more. A poll may have read the resources
-    /// later than the members: a holder whose seat is older here than its incarnation is one that
-    /// has just sat down.
+    /// Returns whether a process held a seat and has lost it. A poll may have read the resources'
+    /// row later than this one: a holder whose seat has an epoch lower than its incarnation here is
+    /// one that has just taken the seat.
     pub fn has_lost_seat(&self, id: HolderId) -> bool {
         let known = self
             .seat(id.seat)
--- a/crates/ownership/src/ownership_entry.rs
+++ b/crates/ownership/src/ownership_entry.rs
@@ -1,4 +1,4 @@
-//! Who holds one resource.
+//! The holder of one resource.
 
 use jasminebend_base::OwnerEpoch;
 use serde::{
@@ -8,13 +8,15 @@
 
 use crate::HolderId;
 
-/// Who holds one resource.
+/// The holder of one resource.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnershipEntry {
-    /// The holder; only it gives the resource away while it sits.
+    /// The process that holds the resource, which alone may give it away while it holds its seat;
+    /// `None` if the resource has no holder.
     pub holder: Option<HolderId>,
-    /// Grows with each change of the holder.
+    /// The epoch of the resource, which increases with each change of the holder.
     pub epoch: OwnerEpoch,
-    /// Whether the former holder did not give it back, so that what it began may still be running.
+    /// Whether the resource was taken over without a release by its former holder, so that requests
+    /// of the former holder may still run.
     pub forced: bool,
 }
--- a/crates/ownership/src/ownership_row.rs
+++ b/crates/ownership/src/ownership_row.rs
@@ -1,4 +1,4 @@
-//! The row of the resources.
+//! The table row with all resources.
 
 use jasminebend_base::ResourceId;
 use serde::{
@@ -11,8 +11,8 @@
     OwnershipEntry, //
 };
 
-/// The row of the resources. One row carries all: a poll reads one row however many shares there
-/// are, and what a dead daemon held moves in one write.
+/// The table row with all resources. A poll reads a single row however many resources there are,
+/// and all resources of a dead daemon move in one write.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OwnershipRow {
     /// The slot shares, by number.
@@ -22,7 +22,7 @@
 }
 
 impl OwnershipRow {
-    /// Creates a row of resources that nobody holds.
+    /// Creates a row of resources without holders.
     pub fn new(slots: u16, shards: u16) -> Self {
         Self {
             slots: vec![OwnershipEntry::default(); usize::from(slots)],
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Returns a resource's entry to be changed; `None` if there is no such resource.
+    /// Returns a resource's entry for modification; `None` if there is no such resource.
     pub fn entry_mut(&mut self, resource: ResourceId) -> Option<&mut OwnershipEntry> {
         match resource {
             ResourceId::Slots(number) => self.slots.get_mut(usize::from(number)),
@@ -53,13 +53,13 @@
         slots.chain(shards)
     }
 
-    /// Returns what one process holds.
+    /// Returns the resources that one process holds, with their entries.
     pub fn held_by(&self, id: HolderId) -> impl Iterator<Item = (ResourceId, &OwnershipEntry)> {
         self.entries()
             .filter(move |(_, entry)| entry.holder == Some(id))
     }
 
-    /// Gives a resource to another holder, under a new epoch.
+    /// Assigns a resource to a holder, under a new epoch.
     pub fn assign(&mut self, resource: ResourceId, holder: HolderId, forced: bool) {
         if let Some(entry) = self.entry_mut(resource) {
             *entry = OwnershipEntry {
--- a/crates/ownership/src/ownership_settings.rs
+++ b/crates/ownership/src/ownership_settings.rs
@@ -1,35 +1,38 @@
-//! The sizes and durations of the rule.
+//! The sizes and durations of the ownership protocol.
 
 use std::time::Duration;
 
 use crate::GuardSet;
 
-/// The sizes and durations of the rule; all daemons must agree on all but `guards`.
+/// The sizes and durations of the ownership protocol. All daemons must have equal values, except
+/// for `guards`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct OwnershipSettings {
-    /// How many seats there are; at most 64.
+    /// The number of seats, at most 64: a report has one bit per seat in a `u64`.
     pub seats: u8,
-    /// How many slot shares there are.
+    /// The number of slot shares.
     pub slot_shares: u16,
-    /// How many shards there are.
+    /// The number of shards.
     pub shards: u16,
-    /// How long a read of the table, or a vouch, allows to act.
+    /// How long a daemon may act on a read of the table or on a peer's confirmation.
     pub freshness: Duration,
-    /// The margin for drift, in thousandths of a duration.
+    /// The margin for clock drift, in thousandths of a duration.
     pub drift_permille: u32,
-    /// How often peers are asked.
+    /// The interval at which peers are asked.
     pub heartbeat: Duration,
-    /// After which silence a process is probed.
+    /// The duration of silence after which a process is probed.
     pub probe_after: Duration,
-    /// After which silence a seat may be emptied.
-    pub silent_after: Duration,
-    /// How long a seat that its daemon defended is left alone.
-    pub defended_for: Duration,
-    /// How long slots taken by force stay idle: the longest request there may be.
+    /// The duration of silence after which a daemon may be evicted from its seat.
+    pub evict_after: Duration,
+    /// How long a daemon that rejected an eviction is not evicted again.
+    pub eviction_retry_delay: Duration,
+    /// How long slot shares taken over without a release stay idle: the longest duration of a
+    /// request.
     pub longest_request: Duration,
-    /// After which time a change that its maker left unfinished is finished by others.
-    pub finish_after: Duration,
-    /// The guards in use; all of them but in explorations.
+    /// The age of an announced change after which other daemons regard it as abandoned, and finish
+    /// or replace it.
+    pub abandoned_after: Duration,
+    /// The enabled guards; simulations disable some.
     pub guards: GuardSet,
 }
 
@@ -44,15 +47,15 @@
             drift_permille: 20,
             heartbeat: Duration::from_millis(300),
             probe_after: Duration::from_millis(1_200),
-            silent_after: Duration::from_secs(3),
-            defended_for: Duration::from_secs(30),
+            evict_after: Duration::from_secs(3),
+            eviction_retry_delay: Duration::from_secs(30),
             longest_request: Duration::from_secs(30),
-            finish_after: Duration::from_secs(3),
+            abandoned_after: Duration::from_secs(3),
             guards: GuardSet::new(),
         }
     }
 
-    /// Uses these guards; for explorations only.
+    /// Sets the enabled guards; for simulations only.
     pub fn with_guards(mut self, guards: GuardSet) -> Self {
         self.guards = guards;
         self
--- a/crates/ownership/src/peer_message.rs
+++ b/crates/ownership/src/peer_message.rs
@@ -1,4 +1,4 @@
-//! What members say to each other.
+//! The messages between members.
 
 use jasminebend_base::SeatNumber;
 use serde::{
@@ -8,42 +8,45 @@
 
 use crate::PeerReport;
 
-/// What members say to each other: one exchange is heartbeat, telling and vouching in one.
+/// A message from one member to another. One exchange of messages serves as a heartbeat, notifies
+/// the recipient of newer epochs and versions, and confirms to the sender that the recipient knows
+/// none that are newer still.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PeerMessage {
     /// The sender's seat, or the seat that it is taking.
     pub from: SeatNumber,
-    /// The seat's epoch, as the sender holds or takes it.
+    /// The epoch at which the sender holds or takes the seat.
     pub epoch: u64,
-    /// The sender's process.
+    /// The nonce of the sender's process.
     pub nonce: u64,
-    /// The process that the message is for.
+    /// The nonce of the recipient's process.
     pub to: u64,
-    /// What is said.
+    /// The content of the message.
     pub body: PeerBody,
 }
 
-/// What is said.
+/// The content of a message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PeerBody {
-    /// Tells what the sender knows, and asks whether the recipient knows of anything newer.
+    /// Reports what the sender knows, and asks the recipient to report anything newer.
     Ask {
-        /// Grows with each round of asking.
+        /// The number of the round of asks, which increases with each round.
         number: u64,
-        /// What the sender knows.
+        /// The newest epochs and versions known to the sender.
         report: PeerReport,
     },
-    /// Says that the recipient now knows all that was told, and what it knows itself.
+    /// Confirms that the recipient of the `Ask` now knows everything in it, and reports what it
+    /// knows itself.
     Answer {
-        /// The number of the ask.
+        /// The number of the `Ask` message that this answers.
         number: u64,
-        /// What the sender knows.
+        /// The newest epochs and versions known to the sender.
         report: PeerReport,
     },
 }
 
 impl PeerBody {
-    /// Returns what the sender knows.
+    /// Returns the sender's report.
     pub fn report(&self) -> &PeerReport {
         match self {
             Self::Ask { report, .. } | Self::Answer { report, .. } => report,
--- a/crates/ownership/src/seat_holder.rs
+++ b/crates/ownership/src/seat_holder.rs
@@ -1,4 +1,4 @@
-//! Who sits in a seat.
+//! The process that holds a seat.
 
 use serde::{
     Deserialize,
@@ -7,11 +7,11 @@
 
 use crate::DaemonRecord;
 
-/// Who sits in a seat.
+/// The process that holds a seat.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SeatHolder {
-    /// The seat's epoch when this process took it.
+    /// The seat's epoch at which this process took it.
     pub incarnation: u64,
-    /// The process.
+    /// The description of the process.
     pub daemon: DaemonRecord,
 }
--- a/crates/ownership/src/seat_intent.rs
+++ b/crates/ownership/src/seat_intent.rs
@@ -1,4 +1,4 @@
-//! The announced change of a seat.
+//! An announced change of a seat.
 
 use serde::{
     Deserialize,
@@ -7,13 +7,13 @@
 
 use crate::DaemonRecord;
 
-/// The announced change of a seat; it stands in the row before any member is told.
+/// An announced change of a seat. It is in the table before any member is notified of it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SeatIntent {
-    /// The epoch that the seat will have.
+    /// The epoch that the seat has after the change.
     pub epoch: u64,
-    /// The nonce of the daemon that makes the change.
+    /// The nonce of the daemon that announced the change.
     pub by: u64,
-    /// Who will sit there; `None` empties the seat.
+    /// The daemon that takes the seat; `None` if the change empties the seat.
     pub claim: Option<DaemonRecord>,
 }
--- a/crates/ownership/src/seat_record.rs
+++ b/crates/ownership/src/seat_record.rs
@@ -1,4 +1,4 @@
-//! One seat of the members' row.
+//! One seat in the members' row.
 
 use jasminebend_base::SeatNumber;
 use serde::{
@@ -13,27 +13,29 @@
     SeatIntent, //
 };
 
-/// One seat of the members' row.
+/// One seat in the members' row. Seats are the fixed places of a cluster's members, and majorities
+/// are counted over all of them, empty ones included.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SeatRecord {
-    /// Grows with each change of the seat, also with those that were announced only.
+    /// The epoch of the seat. It increases with each change of the seat, and skips the epochs of
+    /// changes that were announced and not committed.
     pub epoch: u64,
-    /// Who sits there.
+    /// The process that holds the seat; `None` if the seat is empty.
     pub holder: Option<SeatHolder>,
-    /// The change under way.
+    /// The announced change that is not yet committed; `None` if there is none.
     pub intent: Option<SeatIntent>,
-    /// Those who lost the seat and are not known to be gone.
+    /// The processes that lost the seat and are not known to have terminated.
     pub former: Vec<FormerHolder>,
 }
 
 impl SeatRecord {
-    /// Returns the highest epoch that the record names, announced or in force.
+    /// Returns the highest epoch in the record, announced or in force.
     pub fn newest_epoch(&self) -> u64 {
         let announced = self.intent.as_ref().map_or(0, |intent| intent.epoch);
         self.epoch.max(announced)
     }
 
-    /// Returns the identity of who sits there.
+    /// Returns the identity of the seat's holder; `None` if the seat is empty.
     pub fn holder_id(&self, seat: SeatNumber) -> Option<HolderId> {
         let holder = self.holder.as_ref()?;
         Some(HolderId {
--- a/crates/ownership/src/shared_write.rs
+++ b/crates/ownership/src/shared_write.rs
@@ -1,4 +1,4 @@
-//! One transaction of a member on the shared rows.
+//! A transaction on the shared rows of the table.
 
 use crate::{
     ConfigurationHeader,
@@ -7,13 +7,14 @@
     VersionedRow, //
 };
 
-/// One transaction of a member on the shared rows; each row carries the version that it expects.
+/// A transaction on the shared rows of the table. It applies only if each row still has the version
+/// given here.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SharedWrite {
-    /// The members, if they change.
+    /// The members' row; `None` if the transaction does not include it.
     pub members: Option<VersionedRow<MembersRow>>,
-    /// The resources, if they change.
+    /// The resources' row; `None` if the transaction does not include it.
     pub ownership: Option<VersionedRow<OwnershipRow>>,
-    /// The configuration's header, if it changes.
+    /// The configuration's header; `None` if the transaction does not include it.
     pub configuration: Option<VersionedRow<ConfigurationHeader>>,
 }
--- a/crates/ownership/src/table_snapshot.rs
+++ b/crates/ownership/src/table_snapshot.rs
@@ -1,4 +1,4 @@
-//! One poll of the table.
+//! The result of one poll of the table.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
     OwnershipRow, //
 };
 
-/// A row and the version that the table gave it.
+/// A row and the version that the table assigned to it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct VersionedRow<Row> {
     /// The version; `None` if the row does not exist yet.
     pub version: Option<u64>,
-    /// The row; empty if it does not exist yet.
+    /// The content of the row; empty if the row does not exist yet.
     pub row: Row,
 }
 
-/// One poll of the table. Its rows may have been read one after another.
+/// The result of one poll of the table. Its rows may have been read one after another.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TableSnapshot {
-    /// When the poll was sent, on the reader's clock: whatever is read was true after it.
+    /// When the poll was sent, on the reader's clock. The rows are at least as new as this.
     pub asked_at: Duration,
-    /// The members.
+    /// The members' row.
     pub members: VersionedRow<MembersRow>,
-    /// The resources.
+    /// The resources' row.
     pub ownership: VersionedRow<OwnershipRow>,
-    /// The configuration in force.
+    /// The configuration's header.
     pub configuration: VersionedRow<ConfigurationHeader>,
 }
--- a/crates/ownership/tests/claims.rs
+++ b/crates/ownership/tests/claims.rs
@@ -95,7 +95,7 @@
 fn a_daemon_says_nothing_before_it_has_read_the_table_in_its_seat() {
     for (guards, answers) in [
         (GuardSet::new(), 0),
-        (GuardSet::new().without(Guard::ReadBeforeSpeaking), 1),
+        (GuardSet::new().without(Guard::ReadBeforeParticipating), 1),
     ] {
         let mut machine = machine(guards);
         machine.read_table(Duration::from_secs(2), snapshot(1, 1, &[SELF, PEER]));
@@ -148,7 +148,7 @@
 fn what_a_seats_former_process_said_counts_no_more() {
     for (guards, vouched) in [
         (GuardSet::new(), false),
-        (GuardSet::new().without(Guard::DiscountFormer), true),
+        (GuardSet::new().without(Guard::DiscardFormerProcess), true),
     ] {
         let mut machine = machine(guards);
         let at = Duration::from_secs;
--- a/crates/ownership/tests/explore/main.rs
+++ b/crates/ownership/tests/explore/main.rs
@@ -71,21 +71,29 @@
 #[test]
 fn each_guard_is_missed_when_it_is_taken_out() {
     let cases = [
-        (Guard::IntentBeforeTelling, 1, Harm::TwoAtEndpoint),
-        (Guard::TellMajority, 140, Harm::TwoHolders),
-        (Guard::WaitAfterTelling, 129, Harm::TwoHolders),
-        (Guard::TellNewer, 13, Harm::TwoHolders),
-        (Guard::VouchMajority, 39, Harm::TwoHolders),
-        (Guard::CountFromAsk, 504, Harm::OldConfiguration),
-        (Guard::CountFromPoll, 20, Harm::OldConfiguration),
-        (Guard::DriftMargin, 19, Harm::OldConfiguration),
-        (Guard::DiscountFormer, 9_670, Harm::OldConfiguration),
-        (Guard::SilenceIsNotGone, 140, Harm::OldConfiguration),
+        (Guard::IntentBeforeNotification, 1, Harm::TwoAtEndpoint),
+        (Guard::NotifyMajority, 140, Harm::TwoHolders),
+        (Guard::WaitAfterNotification, 129, Harm::TwoHolders),
+        (Guard::ReportNewerEpochs, 13, Harm::TwoHolders),
+        (Guard::ConfirmationMajority, 39, Harm::TwoHolders),
+        (
+            Guard::ConfirmationAgeFromRequest,
+            504,
+            Harm::OldConfiguration,
+        ),
+        (Guard::ReadAgeFromRequest, 20, Harm::OldConfiguration),
+        (Guard::ClockDriftMargin, 19, Harm::OldConfiguration),
+        (Guard::DiscardFormerProcess, 9_670, Harm::OldConfiguration),
+        (Guard::SilenceIsNotTermination, 140, Harm::OldConfiguration),
         (Guard::ReleaseIsFinal, 17, Harm::TwoHolders),
-        (Guard::IdleAfterForce, 30, Harm::TwoAtEndpoint),
-        (Guard::SlotsOnlyFromGone, 1_190, Harm::TwoAtEndpoint),
+        (Guard::IdleAfterForcedTransfer, 30, Harm::TwoAtEndpoint),
+        (Guard::SlotsOnlyFromTerminated, 1_190, Harm::TwoAtEndpoint),
         (Guard::RowsNeverRevert, 3, Harm::TwoHolders),
-        (Guard::TellConfiguration, 140, Harm::OldConfiguration),
+        (
+            Guard::NotifyConfigurationMajority,
+            140,
+            Harm::OldConfiguration,
+        ),
     ];
     for (guard, seed, harm) in cases {
         let without = world::explore(seed, GuardSet::new().without(guard));
--- a/crates/ownership/tests/explore/world.rs
+++ b/crates/ownership/tests/explore/world.rs
@@ -278,7 +278,7 @@
         let p = self.processes.len();
         let mut settings = OwnershipSettings::new(SEATS, SLOTS, SHARDS).with_guards(self.guards);
         settings.longest_request = Duration::from_millis(LONGEST_MS);
-        settings.defended_for = Duration::from_secs(5);
+        settings.eviction_retry_delay = Duration::from_secs(5);
         let mut drift = 0.01;
         if self.fast_drift {
             drift = 0.1;
@@ -380,7 +380,7 @@
         };
         let now = self.local(p);
         let told = self.processes[p].machine.may_change(now);
-        if (told || !self.guards.has(Guard::TellConfiguration))
+        if (told || !self.guards.has(Guard::NotifyConfigurationMajority))
             && let Some((_, write)) = self.processes[p].machine.begin_change(now)
         {
             self.commit(p, write);
