--- a/crates/ownership/benches/explore.rs
+++ b/crates/ownership/benches/explore.rs
@@ -1,17 +1,21 @@
-//! A long exploration of the rule, by hand: `cargo bench -p jasminebend-ownership --bench explore --
-//! [SEEDS] [GUARD] [FIRST]`. Without a guard's name it looks for a fault with all guards; with one, or
-//! `each`, for the first seed that shows a fault without that guard.
+//! Runs the randomized simulation of the ownership protocol over many seeds:
+//!
+//! `cargo bench -p jasminebend-ownership --bench explore -- [SEEDS] [GUARD] [FIRST]`
+//!
+//! Without a guard's name it simulates SEEDS seeds (2000 by default) with all guards enabled, and
+//! prints each violation. With a guard's name, or `each` for all guards in turn, it disables that
+//! guard and prints the first of SEEDS seeds from FIRST (0 by default) that shows a violation.
 
-#[path = "../tests/explore/chaos.rs"]
-mod chaos;
-#[path = "../tests/explore/referee.rs"]
-mod referee;
-#[path = "../tests/explore/rows.rs"]
-mod rows;
-#[path = "../tests/explore/traffic.rs"]
-mod traffic;
-#[path = "../tests/explore/world.rs"]
-mod world;
+#[path = "../tests/simulation/failure_injection.rs"]
+mod failure_injection;
+#[path = "../tests/simulation/invariant_checker.rs"]
+mod invariant_checker;
+#[path = "../tests/simulation/network.rs"]
+mod network;
+#[path = "../tests/simulation/shared_table.rs"]
+mod shared_table;
+#[path = "../tests/simulation/simulation.rs"]
+mod simulation;
 
 use std::{
     sync::atomic::{
@@ -27,47 +31,59 @@
     GuardSet, //
 };
 
-use crate::referee::Fault;
+use crate::invariant_checker::Violation;
 
-/// Few threads: the machine is shared.
-const THREADS: u64 = 3;
+/// The number of threads; few, to leave processors to other programs on the machine.
+const THREAD_COUNT: u64 = 3;
 
 fn main() {
-    let mut arguments = std::env::args().skip(1).filter(|word| word != "--bench");
+    let mut arguments = std::env::args()
+        .skip(1)
+        .filter(|argument| argument != "--bench");
     let seeds: u64 = arguments
         .next()
-        .and_then(|word| word.parse().ok())
+        .and_then(|argument| argument.parse().ok())
         .unwrap_or(2_000);
-    let Some(name) = arguments.next() else {
-        run_all(seeds);
+    let Some(guard_name) = arguments.next() else {
+        run_with_all_guards(seeds);
         return;
     };
-    let first = arguments.next().and_then(|word| word.parse().ok());
+    let first_seed = arguments.next().and_then(|argument| argument.parse().ok());
     for guard in Guard::ALL {
-        if name == "each" || name == format!("{guard:?}") {
-            find_first(guard, first.unwrap_or(0), seeds);
+        if guard_name == "each" || guard_name == format!("{guard:?}") {
+            find_first_violation(guard, first_seed.unwrap_or(0), seeds);
         }
     }
 }
 
-fn run_all(seeds: u64) {
+/// Simulates the seeds with all guards enabled, and prints the violations and totals.
+fn run_with_all_guards(seeds: u64) {
     let started = Instant::now();
-    let (moves, looks, faults) = (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
-    let versions = AtomicU64::new(0);
+    let (ownership_changes, checked_uses, violations) =
+        (AtomicU64::new(0), AtomicU64::new(0), AtomicU64::new(0));
+    let committed_versions = AtomicU64::new(0);
     thread::scope(|scope| {
-        for thread in 0..THREADS {
-            let (moves, looks, faults, versions) = (&moves, &looks, &faults, &versions);
+        for thread in 0..THREAD_COUNT {
+            let (ownership_changes, checked_uses, violations, committed_versions) = (
+                &ownership_changes,
+                &checked_uses,
+                &violations,
+                &committed_versions,
+            );
             scope.spawn(move || {
-                for seed in (thread..seeds).step_by(THREADS as usize) {
-                    match world::explore(seed, GuardSet::new()) {
-                        Ok(referee) => {
-                            moves.fetch_add(referee.moves, Ordering::Relaxed);
-                            looks.fetch_add(referee.looks, Ordering::Relaxed);
-                            versions.fetch_add(referee.versions, Ordering::Relaxed);
+                for seed in (thread..seeds).step_by(THREAD_COUNT as usize) {
+                    match simulation::run_simulation(seed, GuardSet::new()) {
+                        Ok(invariant_checker) => {
+                            ownership_changes
+                                .fetch_add(invariant_checker.ownership_changes, Ordering::Relaxed);
+                            checked_uses
+                                .fetch_add(invariant_checker.checked_uses, Ordering::Relaxed);
+                            committed_versions
+                                .fetch_add(invariant_checker.committed_versions, Ordering::Relaxed);
                         }
-                        Err(fault) => {
-                            faults.fetch_add(1, Ordering::Relaxed);
-                            println!("seed {seed}: {fault:?}");
+                        Err(violation) => {
+                            violations.fetch_add(1, Ordering::Relaxed);
+                            println!("seed {seed}: {violation:?}");
                         }
                     }
                 }
@@ -75,24 +91,34 @@
         }
     });
     println!(
-        "{seeds} seeds, {moves:?} moves, {looks:?} looks, {versions:?} versions, {faults:?} faults, {:?}",
+        "{seeds} seeds, {ownership_changes:?} ownership changes, {checked_uses:?} checked uses, {committed_versions:?} committed versions, {violations:?} violations, {:?}",
         started.elapsed()
     );
 }
 
-fn find_first(guard: Guard, first: u64, seeds: u64) {
+/// Prints the first seed that shows a safety violation with a guard disabled. A simulation that
+/// only fails to recover does not count.
+fn find_first_violation(guard: Guard, first_seed: u64, seeds: u64) {
     let guards = GuardSet::new().without(guard);
     let started = Instant::now();
-    let found = (first..first + seeds).find_map(|seed| match world::explore(seed, guards) {
-        Ok(_) | Err(Fault::Stuck { .. } | Fault::Unheld { .. }) => None,
-        Err(fault) => Some((seed, fault)),
-    });
+    let found =
+        (first_seed..first_seed + seeds).find_map(|seed| {
+            match simulation::run_simulation(seed, guards) {
+                Ok(_) | Err(Violation::NotRecovered { .. } | Violation::ResourcesUnheld { .. }) => {
+                    None
+                }
+                Err(violation) => Some((seed, violation)),
+            }
+        });
     match found {
-        Some((seed, fault)) => {
-            println!("{guard:?}: seed {seed}, {fault:?}, {:?}", started.elapsed())
+        Some((seed, violation)) => {
+            println!(
+                "{guard:?}: seed {seed}, {violation:?}, {:?}",
+                started.elapsed()
+            )
         }
         None => println!(
-            "{guard:?}: nothing in {seeds} seeds, {:?}",
+            "{guard:?}: no violation in {seeds} seeds, {:?}",
             started.elapsed()
         ),
     }
