--- a/crates/ownership/benches/explore.rs
+++ b/crates/ownership/benches/simulation.rs
@@ -1,6 +1,6 @@
 //! Runs the randomized simulation of the ownership protocol over many seeds:
 //!
-//! `cargo bench -p jasminebend-ownership --bench explore -- [SEEDS] [GUARD] [FIRST]`
+//! `cargo bench -p jasminebend-ownership --bench simulation -- [SEEDS] [GUARD] [FIRST]`
 //!
 //! Without a guard's name it simulates SEEDS seeds (2000 by default) with all guards enabled, and
 //! prints each violation. With a guard's name, or `each` for all guards in turn, it disables that
--- a/crates/ownership/src/guard.rs
+++ b/crates/ownership/src/guard.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct GuardSet {
     /// One bit per disabled guard, by the guard's discriminant.
-    removed: u32,
+    disabled: u32,
 }
 
 impl GuardSet {
@@ -84,12 +84,12 @@
 
     /// Disables a guard; for simulations only.
     pub fn without(mut self, guard: Guard) -> Self {
-        self.removed |= 1 << (guard as u8);
+        self.disabled |= 1 << (guard as u8);
         self
     }
 
     /// Returns whether a guard is enabled.
-    pub fn has(self, guard: Guard) -> bool {
-        self.removed & (1 << (guard as u8)) == 0
+    pub fn is_enabled(self, guard: Guard) -> bool {
+        self.disabled & (1 << (guard as u8)) == 0
     }
 }
--- a/crates/ownership/src/machine_balance.rs
+++ b/crates/ownership/src/machine_balance.rs
@@ -52,7 +52,10 @@
             return;
         };
         let wait = self.with_drift_margin(self.settings.longest_request);
-        let idles = self.settings.guards.has(Guard::IdleAfterForcedTransfer);
+        let idles = self
+            .settings
+            .guards
+            .is_enabled(Guard::IdleAfterForcedTransfer);
         for (resource, entry) in row.held_by(held_seat.id).filter(|(_, entry)| entry.forced) {
             let slots = matches!(resource, ResourceId::Slots(_));
             let known = self.idle_until.get(&resource);
@@ -254,7 +257,10 @@
     fn may_take_unreleased(&self, resource: ResourceId, holder: HolderId) -> bool {
         is_shard(&resource)
             || self.terminated.contains(&holder)
-            || !self.settings.guards.has(Guard::SlotsOnlyFromTerminated)
+            || !self
+                .settings
+                .guards
+                .is_enabled(Guard::SlotsOnlyFromTerminated)
     }
 
     /// Returns the least loaded member that may receive a resource. Excluded are members known to
@@ -306,7 +312,7 @@
     row: &OwnershipRow,
     kind: fn(&ResourceId) -> bool,
 ) -> LoadByHolder {
-    let mut load: LoadByHolder = members.seated().map(|holder| (holder, 0)).collect();
+    let mut load: LoadByHolder = members.holder_ids().map(|holder| (holder, 0)).collect();
     for (_, entry) in row.entries().filter(|(resource, _)| kind(resource)) {
         if let Some(count) = entry.holder.and_then(|holder| load.get_mut(&holder)) {
             *count += 1;
--- a/crates/ownership/src/machine_configuration.rs
+++ b/crates/ownership/src/machine_configuration.rs
@@ -132,18 +132,24 @@
         self.participating && now >= seen.saturating_add(delay)
     }
 
-    /// Returns the write that puts the announced version into force. No wait is needed: the bound
-    /// within which all members act by the version is longer than any confirmation of the previous
-    /// version is valid.
+    /// Returns the write that puts the announced version into force. No wait is needed: members are
+    /// allowed more time to act by the new version than any confirmation of the previous one stays
+    /// valid.
     pub(crate) fn configuration_commit_write(&self, _now: Duration) -> Option<SharedWrite> {
         let change = self.configuration_change?;
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
         let announced = header.intent?.version == change.version;
         let seats_read_after_intent = table.asked_at > change.intent_seen_at?
-            || !self.settings.guards.has(Guard::CountSeatsAfterIntent);
+            || !self
+                .settings
+                .guards
+                .is_enabled(Guard::CountSeatsAfterIntent);
         let notified = self.is_majority_notified(change.first_ask_number)
-            || !self.settings.guards.has(Guard::NotifyConfigurationMajority);
+            || !self
+                .settings
+                .guards
+                .is_enabled(Guard::NotifyConfigurationMajority);
         if !announced || !seats_read_after_intent || !notified {
             return None;
         }
--- a/crates/ownership/src/machine_peers.rs
+++ b/crates/ownership/src/machine_peers.rs
@@ -55,12 +55,12 @@
     /// Returns whether an epoch is that of the seat's current process, as far as is known.
     pub(crate) fn is_current(&self, seat: SeatNumber, epoch: u64) -> bool {
         epoch >= self.known_epochs.seat(seat)
-            || !self.settings.guards.has(Guard::DiscardFormerProcess)
+            || !self.settings.guards.is_enabled(Guard::DiscardFormerProcess)
     }
 
     /// Merges the report in a peer's message, and records that the peer is alive.
     fn apply_report(&mut self, now: Duration, message: &PeerMessage) {
-        let merge_reports = self.settings.guards.has(Guard::ReportNewerEpochs);
+        let merge_reports = self.settings.guards.is_enabled(Guard::ReportNewerEpochs);
         let mut newer = false;
         if merge_reports {
             newer |= self.known_epochs.merge(message.body.report());
@@ -163,7 +163,11 @@
     /// Returns when the `Ask` message with this number was sent; `None` if it is no longer
     /// remembered.
     fn ask_sent_at(&self, number: u64) -> Option<Duration> {
-        if !self.settings.guards.has(Guard::ConfirmationAgeFromRequest) {
+        if !self
+            .settings
+            .guards
+            .is_enabled(Guard::ConfirmationAgeFromRequest)
+        {
             return self.last_ask_at;
         }
         self.recent_asks
@@ -189,7 +193,7 @@
             .collect();
         times.sort_unstable_by(|one, other| other.cmp(one));
         let mut needed = usize::from(self.settings.seats) / 2;
-        if !self.settings.guards.has(Guard::ConfirmationMajority) {
+        if !self.settings.guards.is_enabled(Guard::ConfirmationMajority) {
             needed = 1;
         }
         if needed == 0 || self.known_epochs.announced_configuration > self.in_force {
@@ -248,7 +252,9 @@
 
     /// Returns the factor by which this daemon lengthens its intervals, by the number of members.
     fn interval_factor(&self) -> u32 {
-        let members = self.members().map_or(0, |members| members.seated().count());
+        let members = self
+            .members()
+            .map_or(0, |members| members.holder_ids().count());
         match members > MAX_MEMBERS_AT_BASE_INTERVAL {
             true => LARGE_CLUSTER_INTERVAL_FACTOR,
             false => 1,
--- a/crates/ownership/src/machine_queries.rs
+++ b/crates/ownership/src/machine_queries.rs
@@ -80,7 +80,7 @@
     /// they know no newer epoch.
     pub fn peers_vouch(&self, now: Duration) -> bool {
         let valid_confirmations = self.valid_confirmations(now).count() + 1;
-        if !self.settings.guards.has(Guard::ConfirmationMajority) {
+        if !self.settings.guards.is_enabled(Guard::ConfirmationMajority) {
             return valid_confirmations > 1;
         }
         valid_confirmations * 2 > usize::from(self.settings.seats)
@@ -186,7 +186,7 @@
 
     /// Returns the margin for clock drift over a duration.
     pub(crate) fn drift_margin(&self, duration: Duration) -> Duration {
-        if !self.settings.guards.has(Guard::ClockDriftMargin) {
+        if !self.settings.guards.is_enabled(Guard::ClockDriftMargin) {
             return Duration::ZERO;
         }
         duration * self.settings.drift_permille / PERMILLE_DIVISOR
--- a/crates/ownership/src/machine_seat.rs
+++ b/crates/ownership/src/machine_seat.rs
@@ -113,7 +113,10 @@
             by: self.daemon.nonce,
             claim: claim.then(|| self.daemon.clone()),
         });
-        let announced = self.settings.guards.has(Guard::IntentBeforeNotification);
+        let announced = self
+            .settings
+            .guards
+            .is_enabled(Guard::IntentBeforeNotification);
         self.seat_change = Some(SeatChange {
             seat,
             epoch,
@@ -142,7 +145,7 @@
             .map(|(seat, _)| seat)?;
         let reachable = self.count_reachable(&members, seat, now);
         let enough = reachable * 2 >= members.seats.len();
-        if !enough && self.settings.guards.has(Guard::NotifyMajority) {
+        if !enough && self.settings.guards.is_enabled(Guard::NotifyMajority) {
             return None;
         }
         self.announce_seat_change(now, members, seat, false)
@@ -195,7 +198,11 @@
     /// Returns whether a process is known to have terminated; any process if the guard against
     /// mistaking silence for termination is disabled.
     pub(crate) fn is_presumed_terminated(&self, id: HolderId) -> bool {
-        self.terminated.contains(&id) || !self.settings.guards.has(Guard::SilenceIsNotTermination)
+        self.terminated.contains(&id)
+            || !self
+                .settings
+                .guards
+                .is_enabled(Guard::SilenceIsNotTermination)
     }
 
     /// Returns the write that rejects an announced eviction of this daemon: it keeps its seat under
--- a/crates/ownership/src/machine_seat_commit.rs
+++ b/crates/ownership/src/machine_seat_commit.rs
@@ -46,7 +46,10 @@
         let Some(mut seat_change) = self.seat_change else {
             return;
         };
-        if self.settings.guards.has(Guard::IntentBeforeNotification)
+        if self
+            .settings
+            .guards
+            .is_enabled(Guard::IntentBeforeNotification)
             && !self.is_intent_in_table(&seat_change)
         {
             if self.has_settled_write() {
@@ -59,7 +62,7 @@
             self.last_ask_at = None;
         }
         let count = self.count_notified(Some(seat_change.seat), seat_change.first_ask_number);
-        if count.is_majority() || !self.settings.guards.has(Guard::NotifyMajority) {
+        if count.is_majority() || !self.settings.guards.is_enabled(Guard::NotifyMajority) {
             seat_change.majority_notified_at.get_or_insert(now);
         }
         self.seat_change = Some(seat_change);
@@ -133,7 +136,13 @@
         let waited = now
             >= majority_notified_at.saturating_add(self.with_drift_margin(self.settings.freshness));
         let needless = self.can_skip_wait(&seat_change);
-        if !waited && !needless && self.settings.guards.has(Guard::WaitAfterNotification) {
+        if !waited
+            && !needless
+            && self
+                .settings
+                .guards
+                .is_enabled(Guard::WaitAfterNotification)
+        {
             return None;
         }
         self.build_seat_commit(&seat_change)
--- a/crates/ownership/src/machine_table.rs
+++ b/crates/ownership/src/machine_table.rs
@@ -59,7 +59,7 @@
         self.last_write_ended_at = Some(now);
         self.writes_paused_until = now.saturating_add(pause);
         self.poll_requested = true;
-        if !self.settings.guards.has(Guard::ReleaseIsFinal) {
+        if !self.settings.guards.is_enabled(Guard::ReleaseIsFinal) {
             self.releasing.clear();
             self.released.clear();
         }
@@ -74,14 +74,14 @@
     /// after a newer one. It must not replace the newer one, or a superseded holder would regard
     /// itself as the holder again.
     fn merge_snapshot(&mut self, now: Duration, mut snapshot: TableSnapshot) {
-        if !self.settings.guards.has(Guard::ReadAgeFromRequest) {
+        if !self.settings.guards.is_enabled(Guard::ReadAgeFromRequest) {
             snapshot.asked_at = now;
         }
         let Some(table) = &mut self.table else {
             self.table = Some(snapshot);
             return;
         };
-        if !self.settings.guards.has(Guard::RowsNeverRevert) {
+        if !self.settings.guards.is_enabled(Guard::RowsNeverRevert) {
             *table = snapshot;
             return;
         }
@@ -186,7 +186,10 @@
         self.seat_first_seen_at = Some(now);
         self.seat_change = None;
         self.poll_requested = true;
-        self.participating = !self.settings.guards.has(Guard::ReadBeforeParticipating);
+        self.participating = !self
+            .settings
+            .guards
+            .is_enabled(Guard::ReadBeforeParticipating);
     }
 
     fn record_seat_lost(&mut self, now: Duration, id: HolderId) {
--- a/crates/ownership/src/members_row.rs
+++ b/crates/ownership/src/members_row.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the identities of the processes that hold seats.
-    pub fn seated(&self) -> impl Iterator<Item = HolderId> {
+    pub fn holder_ids(&self) -> impl Iterator<Item = HolderId> {
         self.numbered()
             .filter_map(|(seat, record)| record.holder_id(seat))
     }
--- a/crates/ownership/tests/simulation/main.rs
+++ b/crates/ownership/tests/simulation/main.rs
@@ -71,7 +71,7 @@
 
 /// Disables each guard except two, which `state_machine.rs` tests: the simulation of the seed shows
 /// the violation without the guard, and none with it. Each seed is the first that shows it; `cargo
-/// bench --bench explore -- 6000 each` finds them.
+/// bench --bench simulation -- 6000 each` finds them.
 #[test]
 fn each_guard_prevents_a_violation() {
     let cases = [
--- a/crates/ownership/tests/simulation/network.rs
+++ b/crates/ownership/tests/simulation/network.rs
@@ -76,7 +76,7 @@
     /// Starts a poll if one is due or urgent and fewer than two are in progress.
     pub(crate) fn start_poll_if_due(&mut self, pid: usize, urgent: bool) {
         let now = self.now_ms;
-        let asked_at = self.local_time(pid);
+        let local_now = self.local_time(pid);
         let process = &mut self.processes[pid];
         if process.polls_in_progress == 2 || !(urgent || now >= process.next_poll_at_ms) {
             return;
@@ -88,7 +88,7 @@
             return;
         }
         let snapshot = TableSnapshot {
-            asked_at,
+            asked_at: local_now,
             ..TableSnapshot::default()
         };
         let delay = self.random_delay_ms();
--- a/crates/ownership/tests/simulation/simulation.rs
+++ b/crates/ownership/tests/simulation/simulation.rs
@@ -448,7 +448,7 @@
         };
         let now = self.local_time(pid);
         let majority_reachable = self.processes[pid].machine.may_change(now);
-        if (majority_reachable || !self.guards.has(Guard::NotifyConfigurationMajority))
+        if (majority_reachable || !self.guards.is_enabled(Guard::NotifyConfigurationMajority))
             && let Some((_, write)) = self.processes[pid].machine.begin_change(now)
         {
             self.start_commit(pid, write);
