--- a/crates/fleet/src/caller_call.rs
+++ b/crates/fleet/src/caller_request.rs
@@ -13,7 +13,7 @@
 
 /// A caller's request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct CallerCall {
+pub struct CallerRequest {
     /// The host that the request names; with the path it selects the queue.
     pub host: String,
     /// The path of a queue, followed by a job's key unless the request is for the whole queue.
--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -29,23 +29,23 @@
 };
 
 use crate::{
-    CallerDesk,
-    CommitAnswer,
+    CommitOutcome,
     ConnectionCount,
     FleetAdvice,
     FleetLog,
-    FleetRow,
     FleetSettings,
     FleetStore,
-    FleetTable,
     FleetVms,
     FleetWorkers,
     HttpHandler,
     HttpPool,
+    JobApi,
     LogEvent,
     OwnerRecord,
     PeerClient,
     RowCommit,
+    StoreRow,
+    StoreTable,
     Succession,
     fleet_log::FLUSH_INTERVAL,
     http_server::serve,
@@ -74,7 +74,7 @@
 const CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The ports by which a daemon reaches the platform.
-pub struct FleetEdges {
+pub struct FleetPorts {
     /// The clock.
     pub clock: Rc<dyn ClockSource>,
     /// The platform's store.
@@ -94,7 +94,7 @@
 /// A daemon that accepts jobs and, while it is the owner, dispatches them.
 pub struct FleetDaemon {
     shared: Rc<SharedState>,
-    desk: Rc<CallerDesk>,
+    job_api: Rc<JobApi>,
     /// The open connections of callers.
     connections: ConnectionCount,
     /// Becomes true when the daemon is to stop.
@@ -117,21 +117,21 @@
 
 impl FleetDaemon {
     /// Creates a daemon that runs until `stop` is true.
-    pub fn new(settings: FleetSettings, edges: FleetEdges, stop: watch::Receiver<bool>) -> Self {
-        let incarnation = new_incarnation(&*edges.clock);
+    pub fn new(settings: FleetSettings, ports: FleetPorts, stop: watch::Receiver<bool>) -> Self {
+        let incarnation = new_incarnation(&*ports.clock);
         let succession = Succession::new(&settings.node);
-        let store = MonitoredStore::new(edges.store, Rc::clone(&edges.clock), edges.log.clone());
+        let store = MonitoredStore::new(ports.store, Rc::clone(&ports.clock), ports.log.clone());
         let shared = Rc::new(SharedState {
             settings,
             incarnation,
-            clock: edges.clock,
+            clock: ports.clock,
             store,
-            workers: edges.workers,
-            advice: edges.advice,
-            vms: edges.vms,
-            peers: PeerClient::new(edges.pool),
+            workers: ports.workers,
+            advice: ports.advice,
+            vms: ports.vms,
+            peers: PeerClient::new(ports.pool),
             peer_order: RefCell::default(),
-            log: edges.log,
+            log: ports.log,
             operator: RefCell::new(OperatorState::default()),
             succession: RefCell::new(succession),
             members: RefCell::new(IndexMap::new()),
@@ -141,7 +141,7 @@
             stop: stop.clone(),
         });
         Self {
-            desk: Rc::new(CallerDesk::new(Rc::clone(&shared))),
+            job_api: Rc::new(JobApi::new(Rc::clone(&shared))),
             shared,
             connections: ConnectionCount::default(),
             stop,
@@ -150,11 +150,11 @@
     }
 
     /// Returns the API for callers.
-    pub fn desk(&self) -> Rc<CallerDesk> {
-        Rc::clone(&self.desk)
+    pub fn job_api(&self) -> Rc<JobApi> {
+        Rc::clone(&self.job_api)
     }
 
-    /// Runs the daemon until it is stopped; `front` passes callers' requests to [`FleetDaemon::desk`].
+    /// Runs the daemon until it is stopped; `front` passes callers' requests to [`FleetDaemon::job_api`].
     ///
     /// # Errors
     ///
@@ -169,14 +169,32 @@
         self.log_change("started");
         let finish = self.finish.subscribe();
         let uncounted = ConnectionCount::default();
-        let peers = Rc::new(PeerApi::new(Rc::clone(shared), self.desk()));
-        serve(settings.peers, peers, finish.clone(), uncounted.clone()).await?;
+        let peers = Rc::new(PeerApi::new(Rc::clone(shared), self.job_api()));
+        serve(
+            settings.peer_address,
+            peers,
+            finish.clone(),
+            uncounted.clone(),
+        )
+        .await?;
         let ready = Rc::new(ReadinessCheck {
             shared: Rc::clone(shared),
         });
-        serve(settings.ready, ready, finish.clone(), uncounted.clone()).await?;
-        serve(settings.metrics, metrics, finish.clone(), uncounted).await?;
-        serve(settings.callers, front, finish, self.connections.clone()).await?;
+        serve(
+            settings.readiness_address,
+            ready,
+            finish.clone(),
+            uncounted.clone(),
+        )
+        .await?;
+        serve(settings.metrics_address, metrics, finish.clone(), uncounted).await?;
+        serve(
+            settings.caller_address,
+            front,
+            finish,
+            self.connections.clone(),
+        )
+        .await?;
         let log = shared.log.clone();
         task::spawn_local(async move {
             loop {
@@ -206,7 +224,7 @@
         let longest = self
             .shared
             .settings
-            .grace
+            .stop_timeout
             .saturating_sub(LAST_ANSWERS_RESERVE);
         while self.connections.open() > 0 && self.shared.now().saturating_sub(started_at) < longest
         {
@@ -247,15 +265,15 @@
     };
     let commit = RowCommit {
         guards: vec![term.guard.clone()],
-        writes: vec![FleetRow::new(
-            FleetTable::Fleet,
+        writes: vec![StoreRow::new(
+            StoreTable::Fleet,
             SHARD_PART,
             OWNER_KEY,
             value,
         )],
     };
     // If the store does not answer, the other daemons notice by probes that this one no longer acts.
-    if let Ok(CommitAnswer::Conflict(rows)) = shared.store.commit(commit).await {
+    if let Ok(CommitOutcome::Conflict(rows)) = shared.store.commit(commit).await {
         crate::member_watch::apply_owner_row(shared, rows.first());
     }
 }
--- a/crates/fleet/src/fleet_settings.rs
+++ b/crates/fleet/src/fleet_settings.rs
@@ -16,19 +16,19 @@
     /// The failure domain of the daemon's VM.
     pub domain: DomainName,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address of the readiness check, which the load balancer calls.
-    pub ready: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// The address for other daemons.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The address of the metrics endpoint.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// The daemon's CPU share, in thousandths of a core; daemons with a larger share take the ownership first.
     pub cpu_millis: u64,
     /// How long the daemon may take to stop.
-    pub grace: Duration,
+    pub stop_timeout: Duration,
     /// The platform's lease on maintenance calls: a new owner makes none for this long.
-    pub duty_lease: Duration,
+    pub maintenance_lease: Duration,
     /// The settings of the dispatcher.
     pub dispatch: DispatchSettings,
 }
--- a/crates/fleet/src/fleet_store.rs
+++ b/crates/fleet/src/fleet_store.rs
@@ -14,11 +14,11 @@
 };
 
 use crate::{
-    FleetRow,
-    FleetTable,
+    MaintenanceWave,
     RowCommit,
     RowGuard,
-    WaveRequest, //
+    StoreRow,
+    StoreTable, //
 };
 
 /// Why a call to the store failed.
@@ -32,7 +32,7 @@
     Unknown,
     /// The store no longer keeps the changes since the requested version.
     #[display("the store no longer keeps that history")]
-    Forgotten,
+    HistoryDropped,
     /// The answer can't be decoded.
     #[display("the store's answer can't be read")]
     Malformed,
@@ -40,11 +40,11 @@
 
 /// The outcome of a commit that the store answered.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CommitAnswer {
+pub enum CommitOutcome {
     /// The commit was applied; all its rows have this version.
-    Done(u64),
+    Applied(u64),
     /// A guard did not hold and nothing was written; these are the guarded rows that exist, in their current versions.
-    Conflict(Vec<FleetRow>),
+    Conflict(Vec<StoreRow>),
 }
 
 /// A page of rows or changes, as of one version of the store.
@@ -66,7 +66,7 @@
     /// The row's key.
     pub key: String,
     /// The row, or `None` if it was deleted.
-    pub row: Option<FleetRow>,
+    pub row: Option<StoreRow>,
 }
 
 /// A change of the operator's configuration or requests.
@@ -75,13 +75,13 @@
     /// The configuration of queues and pools.
     Configured(Arc<FleetConfiguration>),
     /// A failure domain was closed: no new task may start in it.
-    Closed(DomainName),
+    DomainClosed(DomainName),
     /// A failure domain was opened again.
-    Reopened(DomainName),
+    DomainReopened(DomainName),
     /// A maintenance wave was requested.
-    Wave(WaveRequest),
+    WaveRequested(MaintenanceWave),
     /// The request for the wave with this number was withdrawn.
-    WaveGone(u64),
+    WaveWithdrawn(u64),
     /// The operator's row with this key can't be decoded.
     Unreadable(String),
 }
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// [`StoreError::Refused`] if nothing was written, [`StoreError::Unknown`] if the outcome is unknown.
-    async fn commit(&self, commit: RowCommit) -> Result<CommitAnswer, StoreError>;
+    async fn commit(&self, commit: RowCommit) -> Result<CommitOutcome, StoreError>;
 
     /// Reads the rows of a part with keys from `from`, inclusive, to `to`, exclusive.
     ///
@@ -112,20 +112,20 @@
     /// Any [`StoreError`].
     async fn read(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         part: &str,
         from: &str,
         to: Option<&str>,
-    ) -> Result<RowPage<FleetRow>, StoreError>;
+    ) -> Result<RowPage<StoreRow>, StoreError>;
 
     /// Waits up to `wait` for changes of a table after the version `after`.
     ///
     /// # Errors
     ///
-    /// Any [`StoreError`]; after [`StoreError::Forgotten`] the whole table has to be read again.
+    /// Any [`StoreError`]; after [`StoreError::HistoryDropped`] the whole table has to be read again.
     async fn watch(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RowChange>, StoreError>;
@@ -167,17 +167,17 @@
     ) -> Result<RowPage<RegistryChange>, StoreError>;
 
     /// Closes idle connections, which may have gone silent. Calls in progress keep their connections.
-    fn forget_connections(&self);
+    fn close_idle_connections(&self);
 
     /// Writes for the operator whether a wave is completed, if the guard holds.
     ///
     /// # Errors
     ///
     /// As [`FleetStore::commit`].
-    async fn tell_wave(
+    async fn write_wave_status(
         &self,
         wave: u64,
         completed: bool,
         guard: RowGuard,
-    ) -> Result<CommitAnswer, StoreError>;
+    ) -> Result<CommitOutcome, StoreError>;
 }
--- a/crates/fleet/src/fleet_workers.rs
+++ b/crates/fleet/src/fleet_workers.rs
@@ -35,7 +35,11 @@
     /// # Errors
     ///
     /// The [`OrderEnd`] if there is no report: the worker refused the call or did not answer.
-    async fn hold(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd>;
+    async fn renew_lease(
+        &self,
+        worker: &WorkerAddress,
+        order: HoldOrder,
+    ) -> Result<HoldReport, OrderEnd>;
 
     /// Starts a run. `deadline` is the end of the lease by the worker's clock.
     async fn start(
@@ -49,7 +53,7 @@
     async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd;
 
     /// Throttles a run to `percent` of its full speed.
-    async fn pace(
+    async fn throttle(
         &self,
         worker: &WorkerAddress,
         task: TaskKey,
@@ -58,7 +62,7 @@
     ) -> OrderEnd;
 
     /// Closes the idle connections to an address.
-    fn forget(&self, address: &str);
+    fn close_idle_connections(&self, address: &str);
 }
 
 /// The advice service's answer: the workers that may run a step, each with a ticket.
@@ -90,7 +94,7 @@
 
 /// The outcome of a call that sends a VM into maintenance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum UpkeepEnd {
+pub enum MaintenanceOutcome {
     /// The VM goes down for maintenance, or has already been maintained in this wave.
     Begun,
     /// The VM is already down or leaving.
@@ -112,5 +116,11 @@
     async fn list(&self) -> Option<Vec<ListedVm>>;
 
     /// Sends a VM into maintenance for a wave, as the lease holder `holder` with the fencing token `token`.
-    async fn upkeep(&self, vm: &str, wave: u64, holder: &str, token: u64) -> UpkeepEnd;
+    async fn start_maintenance(
+        &self,
+        vm: &str,
+        wave: u64,
+        holder: &str,
+        token: u64,
+    ) -> MaintenanceOutcome;
 }
--- a/crates/fleet/src/http_pool.rs
+++ b/crates/fleet/src/http_pool.rs
@@ -49,15 +49,15 @@
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum HttpFault {
+pub enum HttpError {
     /// The connection was refused: nothing listens at the address.
     #[display("the connection was refused")]
-    Closed,
+    ConnectionRefused,
     /// No byte of the request was sent.
-    #[display("the request was not sent")]
-    Unsent,
+    #[display("no connection")]
+    NotSent,
     /// The request may have been sent, but the connection broke or the call timed out.
-    #[display("no answer was received")]
+    #[display("no answer")]
     Unanswered,
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Creates a pool with at most `limit_per_address` concurrent calls, and so connections, to one address.
-    pub fn with_most(limit_per_address: usize) -> Self {
+    pub fn with_limit_per_address(limit_per_address: usize) -> Self {
         Self {
             limit_per_address: Some(limit_per_address),
             ..Self::default()
@@ -119,39 +119,39 @@
     ///
     /// # Errors
     ///
-    /// Any [`HttpFault`], which shows whether a byte of the request may have been sent.
+    /// Any [`HttpError`], which shows whether a byte of the request may have been sent.
     pub async fn call(
         &self,
         address: &str,
         request: Request<Full<Bytes>>,
         timeout: Duration,
-    ) -> Result<HttpReply, HttpFault> {
+    ) -> Result<HttpReply, HttpError> {
         self.sweep_if_due();
         let started = time::Instant::now();
         let permit = time::timeout(timeout, self.acquire_permit(address)).await;
-        let _permit = permit.map_err(|_| HttpFault::Unsent)?;
+        let _permit = permit.map_err(|_| HttpError::NotSent)?;
         let timeout = timeout.saturating_sub(started.elapsed());
         let mut request = request;
         while let Some(connection) = self.take_idle(address) {
             match self.exchange(address, connection, request, timeout).await {
                 Ok(reply) => return Ok(reply),
                 Err(ExchangeError::NotSent(unsent)) => request = *unsent,
-                Err(ExchangeError::Lost) => return Err(HttpFault::Unanswered),
+                Err(ExchangeError::Lost) => return Err(HttpError::Unanswered),
             }
         }
         let connecting = time::Instant::now();
         let connection = time::timeout(timeout.min(CONNECT_TIMEOUT), connect(address)).await;
-        let connection = connection.map_err(|_| HttpFault::Unsent)??;
+        let connection = connection.map_err(|_| HttpError::NotSent)??;
         let remaining = timeout.saturating_sub(connecting.elapsed());
         match self.exchange(address, connection, request, remaining).await {
             Ok(reply) => Ok(reply),
-            Err(ExchangeError::NotSent(_)) => Err(HttpFault::Unsent),
-            Err(ExchangeError::Lost) => Err(HttpFault::Unanswered),
+            Err(ExchangeError::NotSent(_)) => Err(HttpError::NotSent),
+            Err(ExchangeError::Lost) => Err(HttpError::Unanswered),
         }
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, address: &str) {
+    pub fn close_idle_connections(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
@@ -218,7 +218,7 @@
             }
             Ok(Err(failed)) => Err(failed),
             Err(_) => {
-                self.forget(address);
+                self.close_idle_connections(address);
                 Err(ExchangeError::Lost)
             }
         }
@@ -230,18 +230,18 @@
     Lost,
 }
 
-async fn connect(address: &str) -> Result<PooledConnection, HttpFault> {
+async fn connect(address: &str) -> Result<PooledConnection, HttpError> {
     let stream = TcpStream::connect(address).await.map_err(|error| {
         match error.kind() == std::io::ErrorKind::ConnectionRefused {
-            true => HttpFault::Closed,
-            false => HttpFault::Unsent,
+            true => HttpError::ConnectionRefused,
+            false => HttpError::NotSent,
         }
     })?;
     // With Nagle's algorithm a small request could wait for the acknowledgement of the previous one.
     drop(stream.set_nodelay(true));
     let (sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| HttpFault::Unsent)?;
+        .map_err(|_| HttpError::NotSent)?;
     let task = tokio::task::spawn_local(async move {
         // The calls on the connection report its errors.
         drop(connection.await);
--- a/crates/fleet/src/caller_desk.rs
+++ b/crates/fleet/src/job_api.rs
@@ -16,8 +16,16 @@
 use serde::Serialize;
 
 use crate::{
-    CallerAnswer, CallerCall, CallerVerb, CommitAnswer, FleetRow, FleetTable, JobRecord, LogEvent,
-    RowCommit, StoreError,
+    CallerAnswer,
+    CallerRequest,
+    CallerVerb,
+    CommitOutcome,
+    JobRecord,
+    LogEvent,
+    RowCommit,
+    StoreError,
+    StoreRow,
+    StoreTable,
     admission_check::check_admission,
     fleet_log::whole_millis,
     peer_client::PeerCallError,
@@ -26,7 +34,7 @@
         SHARD_PART,
         SharedState,
         job_row_parts, //
-    },
+    }, //
 };
 
 /// When a refused caller should retry while the store is lost. A caller retries for a few seconds in total and waits
@@ -41,7 +49,7 @@
 const MAX_PEERS_ASKED: usize = 2;
 
 /// The API for callers, behind the HTTP front end.
-pub struct CallerDesk {
+pub struct JobApi {
     shared: Rc<SharedState>,
 }
 
@@ -56,7 +64,7 @@
 
 /// The rows of a job and its cancellation, from all parts that could be read.
 struct JobRows {
-    rows: Vec<FleetRow>,
+    rows: Vec<StoreRow>,
     /// Whether all parts that may hold the job's rows were read.
     complete: bool,
 }
@@ -98,7 +106,7 @@
     at_peer: bool,
 }
 
-impl CallerDesk {
+impl JobApi {
     pub(crate) fn new(shared: Rc<SharedState>) -> Self {
         Self { shared }
     }
@@ -114,20 +122,20 @@
     }
 
     /// Answers a caller's request.
-    pub async fn answer(&self, call: CallerCall) -> CallerAnswer {
-        self.answer_and_log(call, Forwarding::Allowed).await
+    pub async fn answer(&self, request: CallerRequest) -> CallerAnswer {
+        self.answer_and_log(request, Forwarding::Allowed).await
     }
 
     /// Answers a caller's request that another daemon forwarded.
-    pub(crate) async fn answer_for_peer(&self, call: CallerCall) -> CallerAnswer {
-        self.answer_and_log(call, Forwarding::Forbidden).await
+    pub(crate) async fn answer_for_peer(&self, request: CallerRequest) -> CallerAnswer {
+        self.answer_and_log(request, Forwarding::Forbidden).await
     }
 
-    async fn answer_and_log(&self, call: CallerCall, forwarding: Forwarding) -> CallerAnswer {
+    async fn answer_and_log(&self, request: CallerRequest, forwarding: Forwarding) -> CallerAnswer {
         let started_at = self.shared.now();
-        let path = call.path.clone();
-        let verb = verb_label(&call.verb);
-        let answer = self.route(call, forwarding).await;
+        let path = request.path.clone();
+        let verb = verb_label(&request.verb);
+        let answer = self.route(request, forwarding).await;
         let took = self.shared.now().saturating_sub(started_at);
         metrics::histogram!("jasminebend_fleet_request_seconds", "verb" => verb)
             .record(took.as_secs_f64());
@@ -156,39 +164,39 @@
         answer
     }
 
-    async fn route(&self, call: CallerCall, forwarding: Forwarding) -> CallerAnswer {
+    async fn route(&self, request: CallerRequest, forwarding: Forwarding) -> CallerAnswer {
         let Some(configuration) = self.shared.configuration() else {
             return CallerAnswer::Refused(RETRY_WITHOUT_STORE);
         };
-        let Some((queue, rest)) = configuration.route(&call.host, &call.path) else {
+        let Some((queue, rest)) = configuration.route(&request.host, &request.path) else {
             return CallerAnswer::NoQueue;
         };
         let queue = Arc::clone(&queue.name);
         if rest.is_empty() {
-            return match call.verb {
-                CallerVerb::Read => self.count_waiting(&queue, call, forwarding).await,
-                _ => CallerAnswer::Malformed("the path lacks a job identifier".to_owned()),
+            return match request.verb {
+                CallerVerb::Read => self.count_waiting(&queue, request, forwarding).await,
+                _ => CallerAnswer::Malformed("a job's identity is missing".to_owned()),
             };
         }
         let key = match rest.parse::<JobKey>() {
             Ok(key) => key,
             Err(error) => {
-                return match call.verb {
+                return match request.verb {
                     CallerVerb::Submit(_) => CallerAnswer::Malformed(error.to_string()),
                     CallerVerb::Read | CallerVerb::Cancel => CallerAnswer::NoJob,
                 };
             }
         };
-        match &call.verb {
+        match &request.verb {
             CallerVerb::Submit(graph) => match graph.check() {
                 Ok(()) => {
-                    self.submit(key, &queue, graph.clone(), call, forwarding)
+                    self.submit(key, &queue, graph.clone(), request, forwarding)
                         .await
                 }
                 Err(error) => CallerAnswer::Malformed(error.to_string()),
             },
-            CallerVerb::Read => self.read(key, call, forwarding).await,
-            CallerVerb::Cancel => self.cancel(key, call, forwarding).await,
+            CallerVerb::Read => self.read(key, request, forwarding).await,
+            CallerVerb::Cancel => self.cancel(key, request, forwarding).await,
         }
     }
 
@@ -197,7 +205,7 @@
         key: JobKey,
         queue: &str,
         graph: JobGraph,
-        call: CallerCall,
+        request: CallerRequest,
         forwarding: Forwarding,
     ) -> CallerAnswer {
         let record = JobRecord {
@@ -206,18 +214,18 @@
             graph,
         };
         let Ok(value) = postcard::to_stdvec(&record) else {
-            return CallerAnswer::Malformed("the job can't be encoded".to_owned());
+            return CallerAnswer::Malformed("the job can't be kept".to_owned());
         };
         if !self.shared.store.is_lost()
             && let Some(retry_after) =
                 check_admission(&self.shared, key, queue, &record.graph).await
         {
-            return self.refuse(key, retry_after, call, forwarding).await;
+            return self.refuse(key, retry_after, request, forwarding).await;
         }
         match self.insert(key, key.to_string(), value).await {
             // A row that already exists was written by an earlier attempt of the same caller.
             Ok(_) => CallerAnswer::Done,
-            Err(error) => self.forward_after_failure(call, forwarding, error).await,
+            Err(error) => self.forward_after_failure(request, forwarding, error).await,
         }
     }
 
@@ -226,33 +234,38 @@
         &self,
         key: JobKey,
         retry_after: Duration,
-        call: CallerCall,
+        request: CallerRequest,
         forwarding: Forwarding,
     ) -> CallerAnswer {
         match self.read_job_rows(key).await {
             Ok(rows) if rows.contains_job(key) => CallerAnswer::Done,
             Ok(rows) if rows.complete => CallerAnswer::Refused(retry_after),
             _ => {
-                self.forward_after_failure(call, forwarding, StoreError::Refused)
+                self.forward_after_failure(request, forwarding, StoreError::Refused)
                     .await
             }
         }
     }
 
-    async fn cancel(&self, key: JobKey, call: CallerCall, forwarding: Forwarding) -> CallerAnswer {
+    async fn cancel(
+        &self,
+        key: JobKey,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
         match self.read_job_rows(key).await {
             Ok(rows) if rows.contains_job(key) => {}
             Ok(rows) if rows.complete => return CallerAnswer::NoJob,
             _ => {
                 return self
-                    .forward_after_failure(call, forwarding, StoreError::Refused)
+                    .forward_after_failure(request, forwarding, StoreError::Refused)
                     .await;
             }
         }
         let name = format!("{key}{CANCELLATION_SUFFIX}");
         match self.insert(key, name, Vec::new()).await {
             Ok(_) => CallerAnswer::Done,
-            Err(error) => self.forward_after_failure(call, forwarding, error).await,
+            Err(error) => self.forward_after_failure(request, forwarding, error).await,
         }
     }
 
@@ -263,13 +276,13 @@
         key: JobKey,
         name: String,
         value: Vec<u8>,
-    ) -> Result<CommitAnswer, StoreError> {
+    ) -> Result<CommitOutcome, StoreError> {
         let mut unknown = false;
         for part in job_row_parts(key) {
             if self.shared.store.is_lost() {
                 break;
             }
-            let row = FleetRow::new(FleetTable::Jobs, &part, name.clone(), value.clone());
+            let row = StoreRow::new(StoreTable::Jobs, &part, name.clone(), value.clone());
             let commit = RowCommit {
                 guards: vec![row.guard(0)],
                 writes: vec![row],
@@ -309,9 +322,9 @@
         let [first, second, third] = job_row_parts(key);
         let store = &self.shared.store;
         let (first, second, third) = tokio::join!(
-            store.read_few(FleetTable::Jobs, &first, &from, Some(&to)),
-            store.read_few(FleetTable::Jobs, &second, &from, Some(&to)),
-            store.read_few(FleetTable::Jobs, &third, &from, Some(&to)),
+            store.read_few(StoreTable::Jobs, &first, &from, Some(&to)),
+            store.read_few(StoreTable::Jobs, &second, &from, Some(&to)),
+            store.read_few(StoreTable::Jobs, &third, &from, Some(&to)),
         );
         let reads = [first, second, third];
         let complete = reads.iter().all(Result::is_ok);
@@ -322,13 +335,18 @@
         })
     }
 
-    async fn read(&self, key: JobKey, call: CallerCall, forwarding: Forwarding) -> CallerAnswer {
+    async fn read(
+        &self,
+        key: JobKey,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
         let term = self.shared.loaded_term();
         let known = term.and_then(|term| term.dispatcher.borrow().progress(key));
         if let Some(progress) = known {
             return CallerAnswer::Progress(progress);
         }
-        if let Some(answer) = self.read_from_peers(&call, forwarding).await {
+        if let Some(answer) = self.read_from_peers(&request, forwarding).await {
             return answer;
         }
         match self.read_from_store(key).await {
@@ -351,7 +369,7 @@
         let (progress_rows, _) = self
             .shared
             .store
-            .read_few(FleetTable::Progress, SHARD_PART, &from, Some(&to))
+            .read_few(StoreTable::Progress, SHARD_PART, &from, Some(&to))
             .await?;
         let record = progress_rows
             .first()
@@ -368,13 +386,13 @@
     async fn count_waiting(
         &self,
         queue: &str,
-        call: CallerCall,
+        request: CallerRequest,
         forwarding: Forwarding,
     ) -> CallerAnswer {
         if let Some(term) = self.shared.loaded_term() {
             return CallerAnswer::Waiting(term.dispatcher.borrow().waiting(queue) as u64);
         }
-        match self.read_from_peers(&call, forwarding).await {
+        match self.read_from_peers(&request, forwarding).await {
             // Another daemon may not know yet a queue that this one knows.
             Some(answer @ CallerAnswer::Waiting(_)) => answer,
             _ => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
@@ -385,7 +403,7 @@
     /// Returns `None` if no daemon answered it.
     async fn read_from_peers(
         &self,
-        call: &CallerCall,
+        request: &CallerRequest,
         forwarding: Forwarding,
     ) -> Option<CallerAnswer> {
         if forwarding == Forwarding::Forbidden {
@@ -396,10 +414,10 @@
             false => self.shared.owner_address().into_iter().collect(),
         };
         for address in peers.into_iter().take(MAX_PEERS_ASKED) {
-            let call = self
-                .shared
-                .forward_to_peer(&address, call.clone(), PEER_READ_TIMEOUT);
-            match call.await {
+            let forwarded =
+                self.shared
+                    .forward_to_peer(&address, request.clone(), PEER_READ_TIMEOUT);
+            match forwarded.await {
                 Ok(CallerAnswer::Refused(_) | CallerAnswer::Unknown) | Err(_) => {}
                 Ok(answer) => return Some(answer),
             }
@@ -411,13 +429,13 @@
     /// refusal by another daemon does not change the outcome from unknown.
     async fn forward_after_failure(
         &self,
-        call: CallerCall,
+        request: CallerRequest,
         forwarding: Forwarding,
         error: StoreError,
     ) -> CallerAnswer {
         let unknown = error != StoreError::Refused;
         let answer = match forwarding {
-            Forwarding::Allowed => self.forward_write(call).await,
+            Forwarding::Allowed => self.forward_write(request).await,
             Forwarding::Forbidden => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
         };
         match answer {
@@ -427,17 +445,17 @@
     }
 
     /// Forwards a request to other daemons; refuses it only if none of them can have carried it out.
-    async fn forward_write(&self, call: CallerCall) -> CallerAnswer {
+    async fn forward_write(&self, request: CallerRequest) -> CallerAnswer {
         let mut unknown = false;
         let peers = self.shared.peer_addresses();
         for address in peers.into_iter().take(MAX_PEERS_ASKED) {
-            let call = self
-                .shared
-                .forward_to_peer(&address, call.clone(), PEER_WRITE_TIMEOUT);
-            match call.await {
+            let forwarded =
+                self.shared
+                    .forward_to_peer(&address, request.clone(), PEER_WRITE_TIMEOUT);
+            match forwarded.await {
                 Ok(answer @ (CallerAnswer::Done | CallerAnswer::NoJob)) => return answer,
                 Ok(CallerAnswer::Unknown) | Err(PeerCallError::Unanswered) => unknown = true,
-                Ok(_) | Err(PeerCallError::Unsent) => {}
+                Ok(_) | Err(PeerCallError::NotSent) => {}
             }
         }
         match unknown {
--- a/crates/fleet/src/job_watch.rs
+++ b/crates/fleet/src/job_watch.rs
@@ -13,7 +13,10 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    FleetRow, FleetTable, JobRecord, StoreError,
+    JobRecord,
+    StoreError,
+    StoreRow,
+    StoreTable,
     monitored_store::WatchedRows,
     owner_term::OwnerTerm,
     shared_state::{
@@ -21,7 +24,7 @@
         SharedState,
         WATCH_WAIT,
         all_job_parts, //
-    },
+    }, //
 };
 
 /// The upper limit for the age of a job's acceptance: daemons' wall clocks differ.
@@ -47,14 +50,14 @@
 /// Reads all jobs, and the version from which to watch them: the lowest of the parts' versions.
 pub(crate) async fn read_jobs(
     shared: &Rc<SharedState>,
-) -> Result<(Vec<FleetRow>, JobWatchPosition), StoreError> {
+) -> Result<(Vec<StoreRow>, JobWatchPosition), StoreError> {
     let sent_at = shared.now();
     let mut reads = JoinSet::new();
     for part in all_job_parts() {
         let shared = Rc::clone(shared);
         reads.spawn_local(async move {
             let store = &shared.store;
-            store.read_all(FleetTable::Jobs, &part, "", None).await
+            store.read_all(StoreTable::Jobs, &part, "", None).await
         });
     }
     let mut rows = Vec::new();
@@ -73,7 +76,7 @@
 pub(crate) fn apply_job_row(
     shared: &SharedState,
     term: &OwnerTerm,
-    row: &FleetRow,
+    row: &StoreRow,
     inherited: bool,
 ) {
     let mut dispatcher = term.dispatcher.borrow_mut();
@@ -114,7 +117,7 @@
         let store = &shared.store;
         let call = store
             .port()
-            .watch(FleetTable::Jobs, position.version, WATCH_WAIT);
+            .watch(StoreTable::Jobs, position.version, WATCH_WAIT);
         match store.watch(WatchedRows::Jobs, call).await {
             Ok(page) => {
                 let inherited = position.may_already_run(&term);
@@ -127,10 +130,12 @@
                 };
                 term.plan_wakeup.notify_one();
             }
-            Err(StoreError::Forgotten) => match read_jobs_again(&shared, &term, position).await {
-                Ok(read) => position = read,
-                Err(_) => shared.store.wait_to_retry().await,
-            },
+            Err(StoreError::HistoryDropped) => {
+                match read_jobs_again(&shared, &term, position).await {
+                    Ok(read) => position = read,
+                    Err(_) => shared.store.wait_to_retry().await,
+                }
+            }
             Err(_) => shared.store.wait_to_retry().await,
         }
     }
--- a/crates/fleet/src/lease_renewal.rs
+++ b/crates/fleet/src/lease_renewal.rs
@@ -60,7 +60,7 @@
             .borrow_mut()
             .hold_order(key, confirmed, sent);
         metrics::counter!("jasminebend_fleet_holds_total").increment(1);
-        let result = shared.workers.hold(&address, order).await;
+        let result = shared.workers.renew_lease(&address, order).await;
         if term.is_over() {
             return;
         }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,18 +5,18 @@
 //! ports in this crate are the only way to the platform.
 
 mod admission_check;
-mod caller_call;
-mod caller_desk;
+mod caller_request;
 mod fleet_daemon;
 mod fleet_log;
-mod fleet_row;
 mod fleet_settings;
 mod fleet_store;
 mod fleet_workers;
 mod http_pool;
 mod http_server;
+mod job_api;
 mod job_watch;
 mod lease_renewal;
+mod maintenance_wave;
 mod maintenance_waves;
 mod member_expiry;
 mod member_watch;
@@ -37,35 +37,28 @@
 mod shared_state;
 mod store_health;
 mod store_probe;
+mod store_row;
 mod succession;
 mod takeover_records;
 mod term_confirmation;
-mod wave_request;
 
 pub use self::{
-    caller_call::{
+    caller_request::{
         CallerAnswer,
-        CallerCall,
+        CallerRequest,
         CallerVerb, //
     },
-    caller_desk::CallerDesk,
     fleet_daemon::{
         FleetDaemon,
-        FleetEdges, //
+        FleetPorts, //
     },
     fleet_log::{
         FleetLog,
         LogEvent, //
     },
-    fleet_row::{
-        FleetRow,
-        FleetTable,
-        RowCommit,
-        RowGuard, //
-    },
     fleet_settings::FleetSettings,
     fleet_store::{
-        CommitAnswer,
+        CommitOutcome,
         FleetStore,
         OperatorChange,
         RegistryChange,
@@ -79,11 +72,11 @@
         FleetVms,
         FleetWorkers,
         ListedVm,
-        UpkeepEnd,
+        MaintenanceOutcome,
         WorkerAddress, //
     },
     http_pool::{
-        HttpFault,
+        HttpError,
         HttpPool,
         HttpReply, //
     },
@@ -95,6 +88,8 @@
         serve,
         serve_on, //
     },
+    job_api::JobApi,
+    maintenance_wave::MaintenanceWave,
     owner_record::{
         JobRecord,
         MemberRecord,
@@ -102,16 +97,21 @@
     },
     peer_message::{
         PeerAnswer,
-        PeerHealth, //
-        PeerRequest,
+        PeerHealth,
+        PeerRequest, //
     },
     peer_order::PeerOrder,
     store_health::StoreHealth,
+    store_row::{
+        RowCommit,
+        RowGuard,
+        StoreRow,
+        StoreTable, //
+    },
     succession::{
         ProbeResult,
         Succession, //
     },
-    wave_request::WaveRequest, //
 };
 
 use self::peer_client::PeerClient;
--- a/crates/fleet/src/maintenance_waves.rs
+++ b/crates/fleet/src/maintenance_waves.rs
@@ -17,8 +17,8 @@
     FleetVms,
     ListedVm,
     LogEvent,
-    UpkeepEnd,
-    WaveRequest,
+    MaintenanceOutcome,
+    MaintenanceWave,
     owner_term::OwnerTerm,
     shared_state::SharedState, //
 };
@@ -60,14 +60,15 @@
     };
     if term.token() > 1 {
         // The platform counts calls of two owners within this time as two concurrent lease holders.
-        time::sleep(shared.settings.duty_lease).await;
+        time::sleep(shared.settings.maintenance_lease).await;
     }
     let mut states: IndexMap<u64, WaveState> = IndexMap::new();
     loop {
-        let waves: Vec<WaveRequest> = shared.operator.borrow().waves.values().cloned().collect();
-        states.retain(|number, _| waves.iter().any(|wave| wave.wave == *number));
+        let waves: Vec<MaintenanceWave> =
+            shared.operator.borrow().waves.values().cloned().collect();
+        states.retain(|number, _| waves.iter().any(|wave| wave.number == *number));
         let open = waves.iter().any(|wave| {
-            let state = states.get(&wave.wave);
+            let state = states.get(&wave.number);
             state.is_none_or(|state| state.written_status != Some(true))
         });
         if !open || !shared.may_send_orders(&term) {
@@ -76,7 +77,7 @@
         }
         if let Some(listed) = vms.list().await {
             for wave in &waves {
-                let state = states.entry(wave.wave).or_default();
+                let state = states.entry(wave.number).or_default();
                 advance_wave(&shared, &term, &*vms, wave, state, &listed).await;
             }
         }
@@ -88,7 +89,7 @@
     shared: &SharedState,
     term: &OwnerTerm,
     vms: &dyn FleetVms,
-    wave: &WaveRequest,
+    wave: &MaintenanceWave,
     state: &mut WaveState,
     listed: &[ListedVm],
 ) {
@@ -110,7 +111,7 @@
             continue;
         }
         let down = count_vms_down(wave, state, listed);
-        if down >= wave.cap || state.maybe_down.contains_key(vm) {
+        if down >= wave.max_down || state.maybe_down.contains_key(vm) {
             continue;
         }
         let ready = listed_vm.worker.as_ref().is_none_or(|worker| {
@@ -129,7 +130,7 @@
 }
 
 /// Counts the VMs of a wave that are down or may be.
-fn count_vms_down(wave: &WaveRequest, state: &WaveState, listed: &[ListedVm]) -> usize {
+fn count_vms_down(wave: &MaintenanceWave, state: &WaveState, listed: &[ListedVm]) -> usize {
     let down = wave.vms.iter().filter(|vm| {
         let up = listed
             .iter()
@@ -143,43 +144,43 @@
     shared: &SharedState,
     term: &OwnerTerm,
     vms: &dyn FleetVms,
-    wave: &WaveRequest,
+    wave: &MaintenanceWave,
     state: &mut WaveState,
     vm: &Arc<str>,
     down: usize,
 ) {
     let sent = shared.now();
     let outcome = vms
-        .upkeep(vm, wave.wave, &shared.settings.node, term.token())
+        .start_maintenance(vm, wave.number, &shared.settings.node, term.token())
         .await;
     shared.log.line(
         LogEvent::Operator,
         WaveLine {
-            wave: wave.wave,
+            wave: wave.number,
             vm,
             outcome: format!("{outcome:?}"),
             down,
-            cap: wave.cap,
+            cap: wave.max_down,
             owner_token: term.token(),
         },
     );
     match outcome {
-        UpkeepEnd::Begun => {
+        MaintenanceOutcome::Begun => {
             state.handled.insert(Arc::clone(vm));
             // The list may show the VM as up for a while; it counts as down until `ASSUMED_DOWN_TIME` has passed.
             state.maybe_down.insert(Arc::clone(vm), sent);
         }
-        UpkeepEnd::Never => drop(state.handled.insert(Arc::clone(vm))),
-        UpkeepEnd::Unknown => drop(state.maybe_down.insert(Arc::clone(vm), sent)),
-        UpkeepEnd::Fenced => term.end(),
-        UpkeepEnd::Busy | UpkeepEnd::Refused => {}
+        MaintenanceOutcome::Never => drop(state.handled.insert(Arc::clone(vm))),
+        MaintenanceOutcome::Unknown => drop(state.maybe_down.insert(Arc::clone(vm), sent)),
+        MaintenanceOutcome::Fenced => term.end(),
+        MaintenanceOutcome::Busy | MaintenanceOutcome::Refused => {}
     }
 }
 
 async fn write_status(
     shared: &SharedState,
     term: &OwnerTerm,
-    wave: &WaveRequest,
+    wave: &MaintenanceWave,
     state: &mut WaveState,
     completed: bool,
 ) {
@@ -188,7 +189,9 @@
     }
     let store = &shared.store;
     let guard = term.guard.clone();
-    let call = store.port().tell_wave(wave.wave, completed, guard);
+    let call = store
+        .port()
+        .write_wave_status(wave.number, completed, guard);
     if store.call(call).await.is_ok() {
         state.written_status = Some(completed);
     }
--- a/crates/fleet/src/member_expiry.rs
+++ b/crates/fleet/src/member_expiry.rs
@@ -13,12 +13,18 @@
 };
 
 use crate::{
-    CommitAnswer, FleetRow, FleetTable, LogEvent, MemberRecord, ProbeResult, RowCommit,
+    CommitOutcome,
+    LogEvent,
+    MemberRecord,
+    ProbeResult,
+    RowCommit,
+    StoreRow,
+    StoreTable,
     owner_term::OwnerTerm,
     shared_state::{
         MEMBERS_PART,
         SharedState, //
-    },
+    }, //
 };
 
 /// The interval at which the owner probes all members.
@@ -76,7 +82,7 @@
 async fn remove_member(shared: &SharedState, term: &OwnerTerm, member: &MemberRecord) {
     let read = shared
         .store
-        .read_few(FleetTable::Fleet, MEMBERS_PART, &member.node, None)
+        .read_few(StoreTable::Fleet, MEMBERS_PART, &member.node, None)
         .await;
     let Ok((rows, _)) = read else {
         return;
@@ -91,12 +97,12 @@
     {
         return;
     }
-    let empty = FleetRow::new(FleetTable::Fleet, MEMBERS_PART, row.key.clone(), Vec::new());
+    let empty = StoreRow::new(StoreTable::Fleet, MEMBERS_PART, row.key.clone(), Vec::new());
     let commit = RowCommit {
         guards: vec![term.guard.clone(), row.guard(row.version)],
         writes: vec![empty],
     };
-    if let Ok(CommitAnswer::Done(_)) = shared.store.commit(commit).await {
+    if let Ok(CommitOutcome::Applied(_)) = shared.store.commit(commit).await {
         shared.log.line(
             LogEvent::Owner,
             ExpiryLine {
--- a/crates/fleet/src/member_watch.rs
+++ b/crates/fleet/src/member_watch.rs
@@ -9,7 +9,14 @@
 use tokio::time;
 
 use crate::{
-    FleetRow, FleetTable, LogEvent, MemberRecord, OwnerRecord, ProbeResult, RowCommit, StoreError,
+    LogEvent,
+    MemberRecord,
+    OwnerRecord,
+    ProbeResult,
+    RowCommit,
+    StoreError,
+    StoreRow,
+    StoreTable,
     monitored_store::WatchedRows,
     ownership_takeover::take_over,
     shared_state::{
@@ -18,7 +25,7 @@
         SHARD_PART,
         SharedState,
         WATCH_WAIT, //
-    },
+    }, //
 };
 
 /// The pause between two probes of the owner.
@@ -50,7 +57,7 @@
                     enroll(&shared).await;
                 }
             }
-            Err(StoreError::Forgotten) => after = None,
+            Err(StoreError::HistoryDropped) => after = None,
             Err(_) => shared.store.wait_to_retry().await,
         }
     }
@@ -82,15 +89,15 @@
     let member = MemberRecord {
         node: shared.settings.node.clone(),
         incarnation: shared.incarnation,
-        address: shared.settings.peers.to_string(),
+        address: shared.settings.peer_address.to_string(),
         cpu_millis: shared.settings.cpu_millis,
     };
     let Ok(value) = postcard::to_stdvec(&member) else {
         return;
     };
     loop {
-        let row = FleetRow::new(
-            FleetTable::Fleet,
+        let row = StoreRow::new(
+            StoreTable::Fleet,
             MEMBERS_PART,
             member.node.clone(),
             value.clone(),
@@ -110,11 +117,11 @@
 async fn read_all_rows(shared: &SharedState) -> Result<u64, StoreError> {
     let (members, version) = shared
         .store
-        .read_all(FleetTable::Fleet, MEMBERS_PART, "", None)
+        .read_all(StoreTable::Fleet, MEMBERS_PART, "", None)
         .await?;
     let (rows, _) = shared
         .store
-        .read_all(FleetTable::Fleet, SHARD_PART, OWNER_KEY, None)
+        .read_all(StoreTable::Fleet, SHARD_PART, OWNER_KEY, None)
         .await?;
     shared.members.borrow_mut().clear();
     for row in &members {
@@ -127,7 +134,7 @@
 
 async fn watch_once(shared: &SharedState, after: u64) -> Result<u64, StoreError> {
     let store = &shared.store;
-    let call = store.port().watch(FleetTable::Fleet, after, WATCH_WAIT);
+    let call = store.port().watch(StoreTable::Fleet, after, WATCH_WAIT);
     let page = store.watch(WatchedRows::Members, call).await?;
     for change in page.items {
         match (change.part.as_str(), &change.row) {
@@ -142,7 +149,7 @@
     Ok(page.version)
 }
 
-fn apply_member_row(shared: &SharedState, row: &FleetRow) {
+fn apply_member_row(shared: &SharedState, row: &StoreRow) {
     if row.value.is_empty() {
         shared.members.borrow_mut().shift_remove(&row.key);
         update_succession(shared);
@@ -163,7 +170,7 @@
 }
 
 /// Applies the owner's row if it is not older than the known one; `None` if there is no row.
-pub(crate) fn apply_owner_row(shared: &SharedState, row: Option<&FleetRow>) {
+pub(crate) fn apply_owner_row(shared: &SharedState, row: Option<&StoreRow>) {
     let version = row.map_or(0, |row| row.version);
     if version < shared.owner_version.get() {
         return;
--- a/crates/fleet/src/monitored_store.rs
+++ b/crates/fleet/src/monitored_store.rs
@@ -17,15 +17,15 @@
 };
 
 use crate::{
-    CommitAnswer,
+    CommitOutcome,
     FleetLog,
-    FleetRow,
     FleetStore,
-    FleetTable,
     LogEvent,
     RowCommit,
     StoreError,
     StoreHealth,
+    StoreRow,
+    StoreTable,
     fleet_log::whole_millis,
     shared_state::{
         OWNER_KEY,
@@ -138,12 +138,12 @@
 
     /// Reads a row on a new connection; a read that is left unanswered shows that the store is silent.
     pub(crate) async fn probe(&self) {
-        self.store.forget_connections();
+        self.store.close_idle_connections();
         metrics::counter!("jasminebend_fleet_store_reads_total").increment(1);
         let sent = self.clock.monotonic();
         let read = self
             .store
-            .read(FleetTable::Fleet, SHARD_PART, OWNER_KEY, None);
+            .read(StoreTable::Fleet, SHARD_PART, OWNER_KEY, None);
         let mut read = pin!(read);
         for limit in [PROBE_TIMEOUT, STALL_ALLOWANCE] {
             if let Ok(result) = time::timeout(limit, &mut read).await {
@@ -233,7 +233,7 @@
                     self.suspected_notify.notify_one();
                 }
             }
-            Ok(_) | Err(StoreError::Forgotten | StoreError::Malformed) => {
+            Ok(_) | Err(StoreError::HistoryDropped | StoreError::Malformed) => {
                 let is_back = health.record_answer(sent);
                 self.health.set(health);
                 if is_back {
@@ -246,7 +246,7 @@
 
     /// Commits rows. Unlike a read, which may be large and take long, a commit is also given up once later calls were
     /// answered and it is overdue: its connection has probably gone silent.
-    pub(crate) async fn commit(&self, commit: RowCommit) -> Result<CommitAnswer, StoreError> {
+    pub(crate) async fn commit(&self, commit: RowCommit) -> Result<CommitOutcome, StoreError> {
         metrics::counter!("jasminebend_fleet_store_writes_total").increment(1);
         let sent = self.clock.monotonic();
         tokio::select! {
@@ -260,11 +260,11 @@
     /// overdue.
     pub(crate) async fn read_few(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         part: &str,
         from: &str,
         to: Option<&str>,
-    ) -> Result<(Vec<FleetRow>, u64), StoreError> {
+    ) -> Result<(Vec<StoreRow>, u64), StoreError> {
         let sent = self.clock.monotonic();
         tokio::select! {
             biased;
@@ -278,12 +278,12 @@
     /// version at the first page.
     pub(crate) async fn read_all(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         part: &str,
         from: &str,
         to: Option<&str>,
-    ) -> Result<(Vec<FleetRow>, u64), StoreError> {
-        let mut rows: Vec<FleetRow> = Vec::new();
+    ) -> Result<(Vec<StoreRow>, u64), StoreError> {
+        let mut rows: Vec<StoreRow> = Vec::new();
         let mut version = None;
         let mut next = from.to_owned();
         loop {
--- a/crates/fleet/src/operator_watch.rs
+++ b/crates/fleet/src/operator_watch.rs
@@ -8,13 +8,16 @@
 use serde::Serialize;
 
 use crate::{
-    LogEvent, OperatorChange, RowPage, StoreError,
+    LogEvent,
+    OperatorChange,
+    RowPage,
+    StoreError,
     fleet_log::whole_millis,
     monitored_store::WatchedRows,
     shared_state::{
         SharedState,
         WATCH_WAIT, //
-    },
+    }, //
 };
 
 /// A change of the operator's rows.
@@ -45,7 +48,7 @@
                 after = Some(page.version);
                 apply_page(&shared, page, is_full_read, sent);
             }
-            Err(StoreError::Forgotten) => after = None,
+            Err(StoreError::HistoryDropped) => after = None,
             Err(_) => shared.store.wait_to_retry().await,
         }
     }
@@ -78,10 +81,10 @@
 fn apply_change(shared: &SharedState, change: OperatorChange, version: u64, sent: Duration) {
     let (name, what) = match &change {
         OperatorChange::Configured(new) => ("configured", new.version.to_string()),
-        OperatorChange::Closed(domain) => ("closed", domain.to_string()),
-        OperatorChange::Reopened(domain) => ("reopened", domain.to_string()),
-        OperatorChange::Wave(wave) => ("wave", wave.wave.to_string()),
-        OperatorChange::WaveGone(wave) => ("wave_gone", wave.to_string()),
+        OperatorChange::DomainClosed(domain) => ("closed", domain.to_string()),
+        OperatorChange::DomainReopened(domain) => ("reopened", domain.to_string()),
+        OperatorChange::WaveRequested(wave) => ("wave", wave.number.to_string()),
+        OperatorChange::WaveWithdrawn(wave) => ("wave_gone", wave.to_string()),
         OperatorChange::Unreadable(key) => ("unreadable", key.clone()),
     };
     shared.log.line(
@@ -102,10 +105,10 @@
                 operator.configuration = Some(new);
             }
         }
-        OperatorChange::Closed(domain) => drop(operator.closed.insert(domain)),
-        OperatorChange::Reopened(domain) => drop(operator.closed.remove(&domain)),
-        OperatorChange::Wave(wave) => drop(operator.waves.insert(wave.wave, wave)),
-        OperatorChange::WaveGone(wave) => drop(operator.waves.shift_remove(&wave)),
+        OperatorChange::DomainClosed(domain) => drop(operator.closed.insert(domain)),
+        OperatorChange::DomainReopened(domain) => drop(operator.closed.remove(&domain)),
+        OperatorChange::WaveRequested(wave) => drop(operator.waves.insert(wave.number, wave)),
+        OperatorChange::WaveWithdrawn(wave) => drop(operator.waves.shift_remove(&wave)),
         OperatorChange::Unreadable(_) => {}
     }
 }
--- a/crates/fleet/src/order_planning.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -22,13 +22,16 @@
 };
 
 use crate::{
-    FleetRow, FleetTable, LogEvent, WorkerAddress,
+    LogEvent,
+    StoreRow,
+    StoreTable,
+    WorkerAddress,
     fleet_log::whole_millis,
     owner_term::OwnerTerm,
     shared_state::{
         SHARD_PART,
         SharedState, //
-    },
+    }, //
 };
 
 /// How long events are collected before a plan is made: one answer causes several events.
@@ -167,7 +170,10 @@
             percent,
         } => {
             let address = worker_address(&term, *worker);
-            let outcome = shared.workers.pace(&address, *task, *run, *percent).await;
+            let outcome = shared
+                .workers
+                .throttle(&address, *task, *run, *percent)
+                .await;
             if outcome != OrderEnd::Taken {
                 term.dispatcher
                     .borrow_mut()
@@ -326,6 +332,6 @@
 }
 
 /// Returns the row with a job's encoded progress.
-pub(crate) fn progress_row(key: jasminebend_dispatch::JobKey, value: Vec<u8>) -> FleetRow {
-    FleetRow::new(FleetTable::Progress, SHARD_PART, key.to_string(), value)
+pub(crate) fn progress_row(key: jasminebend_dispatch::JobKey, value: Vec<u8>) -> StoreRow {
+    StoreRow::new(StoreTable::Progress, SHARD_PART, key.to_string(), value)
 }
--- a/crates/fleet/src/ownership_takeover.rs
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -15,14 +15,14 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
+    CommitOutcome,
     LogEvent,
     OwnerRecord,
     RegistryChange,
     RowCommit,
     StoreError,
+    StoreRow,
+    StoreTable,
     job_watch::{
         JobWatchPosition,
         apply_job_row,
@@ -122,20 +122,20 @@
     let record = OwnerRecord {
         node: shared.settings.node.clone(),
         incarnation: shared.incarnation,
-        address: shared.settings.peers.to_string(),
+        address: shared.settings.peer_address.to_string(),
         token: former.as_ref().map_or(0, |owner| owner.token) + 1,
         vacant: false,
     };
     let value = postcard::to_stdvec(&record).ok()?;
-    let row = FleetRow::new(FleetTable::Fleet, SHARD_PART, OWNER_KEY, value);
+    let row = StoreRow::new(StoreTable::Fleet, SHARD_PART, OWNER_KEY, value);
     let commit = RowCommit {
         guards: vec![row.guard(version)],
         writes: vec![row.clone()],
     };
     let sent = shared.now();
     let version = match shared.store.commit(commit).await {
-        Ok(CommitAnswer::Done(version)) => version,
-        Ok(CommitAnswer::Conflict(rows)) => {
+        Ok(CommitOutcome::Applied(version)) => version,
+        Ok(CommitOutcome::Conflict(rows)) => {
             apply_owner_row(shared, rows.first().filter(|row| row.version > 0));
             return None;
         }
@@ -143,7 +143,7 @@
         Err(_) => return None,
     };
     let guard = row.guard(version);
-    let written = FleetRow { version, ..row };
+    let written = StoreRow { version, ..row };
     apply_owner_row(shared, Some(&written));
     let dispatcher = Dispatcher::new(record.token, shared.settings.dispatch);
     let former_owner_until = match former_gone {
@@ -169,7 +169,7 @@
     let registry = store.call(store.port().read_registry()).await?;
     let (progress, _) = shared
         .store
-        .read_all(FleetTable::Progress, SHARD_PART, "", None)
+        .read_all(StoreTable::Progress, SHARD_PART, "", None)
         .await?;
     let (jobs, job_position) = read_jobs(shared).await?;
     let now = shared.now();
--- a/crates/fleet/src/peer_api.rs
+++ b/crates/fleet/src/peer_api.rs
@@ -13,8 +13,8 @@
 use hyper::body::Incoming;
 
 use crate::{
-    CallerDesk,
     HttpHandler,
+    JobApi,
     PeerAnswer,
     PeerHealth,
     PeerRequest,
@@ -30,12 +30,12 @@
 /// The HTTP API for other daemons: probes, forwarded requests of callers, and admission decisions.
 pub(crate) struct PeerApi {
     shared: Rc<SharedState>,
-    desk: Rc<CallerDesk>,
+    job_api: Rc<JobApi>,
 }
 
 impl PeerApi {
-    pub(crate) fn new(shared: Rc<SharedState>, desk: Rc<CallerDesk>) -> Self {
-        Self { shared, desk }
+    pub(crate) fn new(shared: Rc<SharedState>, job_api: Rc<JobApi>) -> Self {
+        Self { shared, job_api }
     }
 
     async fn answer(&self, call: PeerRequest) -> PeerAnswer {
@@ -45,7 +45,9 @@
                 self.shared.observe_token(token);
                 PeerAnswer::Health(self.health(may_report_token))
             }
-            PeerRequest::Serve(call) => PeerAnswer::Served(self.desk.answer_for_peer(call).await),
+            PeerRequest::Serve(call) => {
+                PeerAnswer::Served(self.job_api.answer_for_peer(call).await)
+            }
             PeerRequest::Admit { key, queue, graph } => {
                 PeerAnswer::Admission(decide_as_owner(&self.shared, key, &queue, &graph))
             }
--- a/crates/fleet/src/peer_client.rs
+++ b/crates/fleet/src/peer_client.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     CallerAnswer,
-    CallerCall,
-    HttpFault,
+    CallerRequest,
+    HttpError,
     HttpPool,
     PeerAnswer,
     PeerRequest,
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PeerCallError {
     /// The call was not sent.
-    Unsent,
+    NotSent,
     /// The call was sent and may have taken effect.
     Unanswered,
 }
@@ -54,23 +54,23 @@
         {
             Ok(PeerAnswer::Health(health)) => ProbeResult::Answered(health),
             Ok(PeerAnswer::Served(_) | PeerAnswer::Admission(_)) => ProbeResult::Unanswered,
-            Err(HttpFault::Closed) => ProbeResult::ConnectionRefused,
-            Err(HttpFault::Unsent | HttpFault::Unanswered) => ProbeResult::Unanswered,
+            Err(HttpError::ConnectionRefused) => ProbeResult::ConnectionRefused,
+            Err(HttpError::NotSent | HttpError::Unanswered) => ProbeResult::Unanswered,
         }
     }
 
     pub(crate) async fn forward_request(
         &self,
         address: &str,
-        call: CallerCall,
+        call: CallerRequest,
         timeout: Duration,
     ) -> Result<CallerAnswer, PeerCallError> {
         match self.call(address, &PeerRequest::Serve(call), timeout).await {
             Ok(PeerAnswer::Served(answer)) => Ok(answer),
-            Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpFault::Unanswered) => {
+            Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpError::Unanswered) => {
                 Err(PeerCallError::Unanswered)
             }
-            Err(HttpFault::Closed | HttpFault::Unsent) => Err(PeerCallError::Unsent),
+            Err(HttpError::ConnectionRefused | HttpError::NotSent) => Err(PeerCallError::NotSent),
         }
     }
 
@@ -99,13 +99,13 @@
         address: &str,
         call: &PeerRequest,
         timeout: Duration,
-    ) -> Result<PeerAnswer, HttpFault> {
-        let body = postcard::to_stdvec(call).map_err(|_| HttpFault::Unsent)?;
+    ) -> Result<PeerAnswer, HttpError> {
+        let body = postcard::to_stdvec(call).map_err(|_| HttpError::NotSent)?;
         let request = Request::post("/peer")
             .header(http::header::HOST, address)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|_| HttpFault::Unsent)?;
+            .map_err(|_| HttpError::NotSent)?;
         let reply = self.pool.call(address, request, timeout).await?;
-        postcard::from_bytes(&reply.body).map_err(|_| HttpFault::Unanswered)
+        postcard::from_bytes(&reply.body).map_err(|_| HttpError::Unanswered)
     }
 }
--- a/crates/fleet/src/peer_message.rs
+++ b/crates/fleet/src/peer_message.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     CallerAnswer,
-    CallerCall, //
+    CallerRequest, //
 };
 
 /// A daemon's request to another daemon.
@@ -24,7 +24,7 @@
         token: u64,
     },
     /// Forwards a caller's request.
-    Serve(CallerCall),
+    Serve(CallerRequest),
     /// Asks the owner whether there is free capacity for a job. Daemons of earlier versions can't decode this request.
     Admit {
         /// The job's key.
--- a/crates/fleet/src/progress_commits.rs
+++ b/crates/fleet/src/progress_commits.rs
@@ -13,11 +13,11 @@
 use tokio::time;
 
 use crate::{
-    CommitAnswer,
-    FleetRow,
-    FleetTable,
+    CommitOutcome,
     LogEvent,
     RowCommit,
+    StoreRow,
+    StoreTable,
     fleet_log::whole_millis,
     member_watch::apply_owner_row,
     order_planning::progress_row,
@@ -58,11 +58,11 @@
         let commit = build_commit(&term, &records);
         let sent = shared.now();
         match shared.store.commit(commit).await {
-            Ok(CommitAnswer::Done(version)) => {
+            Ok(CommitOutcome::Applied(version)) => {
                 term.confirm(sent);
                 handle_applied(&shared, &term, &records, version);
             }
-            Ok(CommitAnswer::Conflict(rows)) => handle_conflict(&shared, &term, &rows),
+            Ok(CommitOutcome::Conflict(rows)) => handle_conflict(&shared, &term, &rows),
             Err(_) => {
                 // If the commit was applied after all, the next attempt conflicts with the versions that it wrote.
                 term.dispatcher.borrow_mut().note_uncommitted();
@@ -130,7 +130,7 @@
 
 /// Handles a guard that did not hold: another daemon has become the owner, or an earlier attempt of this daemon, whose
 /// outcome was unknown, was applied.
-fn handle_conflict(shared: &SharedState, term: &OwnerTerm, rows: &[FleetRow]) {
+fn handle_conflict(shared: &SharedState, term: &OwnerTerm, rows: &[StoreRow]) {
     term.dispatcher.borrow_mut().note_uncommitted();
     let owner = rows.iter().find(|row| row.key == term.guard.key);
     let replaced = owner.is_none_or(|row| row.version != term.guard.version);
@@ -140,7 +140,7 @@
         return;
     }
     let mut versions = term.progress_versions.borrow_mut();
-    for row in rows.iter().filter(|row| row.table == FleetTable::Progress) {
+    for row in rows.iter().filter(|row| row.table == StoreTable::Progress) {
         if let Ok(key) = row.key.parse() {
             versions.insert(key, row.version);
         }
--- a/crates/fleet/src/registry_watch.rs
+++ b/crates/fleet/src/registry_watch.rs
@@ -12,14 +12,16 @@
 };
 
 use crate::{
-    LogEvent, RegistryChange, StoreError,
+    LogEvent,
+    RegistryChange,
+    StoreError,
     lease_renewal::renew_lease,
     monitored_store::WatchedRows,
     owner_term::OwnerTerm,
     shared_state::{
         SharedState,
         WATCH_WAIT, //
-    },
+    }, //
 };
 
 /// The pause between two watches of the registry. Heartbeats change it all the time and each call is expensive, but a
@@ -51,7 +53,7 @@
                 }
                 time::sleep(REGISTRY_WATCH_PAUSE).await;
             }
-            Err(StoreError::Forgotten) => after = None,
+            Err(StoreError::HistoryDropped) => after = None,
             Err(_) => shared.store.wait_to_retry().await,
         }
     }
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -22,17 +22,17 @@
 
 use crate::{
     CallerAnswer,
-    CallerCall,
+    CallerRequest,
     FleetAdvice,
     FleetLog,
     FleetSettings,
     FleetVms,
     FleetWorkers,
+    MaintenanceWave,
     MemberRecord,
     PeerClient,
     PeerOrder,
     Succession,
-    WaveRequest,
     monitored_store::MonitoredStore,
     owner_term::OwnerTerm,
     peer_client::PeerCallError, //
@@ -81,7 +81,7 @@
 pub(crate) struct OperatorState {
     pub(crate) configuration: Option<Arc<FleetConfiguration>>,
     pub(crate) closed: BTreeSet<DomainName>,
-    pub(crate) waves: IndexMap<u64, WaveRequest>,
+    pub(crate) waves: IndexMap<u64, MaintenanceWave>,
     /// When the store last answered a read or a watch of the operator's rows, by the monotonic clock.
     pub(crate) confirmed_at: Option<Duration>,
 }
@@ -177,10 +177,10 @@
     pub(crate) async fn forward_to_peer(
         &self,
         address: &str,
-        call: CallerCall,
+        request: CallerRequest,
         timeout: Duration,
     ) -> Result<CallerAnswer, PeerCallError> {
-        let answer = self.peers.forward_request(address, call, timeout).await;
+        let answer = self.peers.forward_request(address, request, timeout).await;
         let mut order = self.peer_order.borrow_mut();
         match answer {
             Ok(_) => order.record_answer(address),
--- a/crates/fleet/src/fleet_row.rs
+++ b/crates/fleet/src/store_row.rs
@@ -5,7 +5,7 @@
 
 /// The dispatcher's own tables.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
-pub enum FleetTable {
+pub enum StoreTable {
     /// Jobs and cancellations.
     #[display("jobs")]
     Jobs,
@@ -19,9 +19,9 @@
 
 /// A row of one of the dispatcher's tables.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FleetRow {
+pub struct StoreRow {
     /// The table that holds the row.
-    pub table: FleetTable,
+    pub table: StoreTable,
     /// The part of the table, a unit of transactions in the store.
     pub part: String,
     /// The key, unique within the part.
@@ -36,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RowGuard {
     /// The table that holds the row.
-    pub table: FleetTable,
+    pub table: StoreTable,
     /// The part of the table.
     pub part: String,
     /// The row's key.
@@ -51,12 +51,12 @@
     /// The preconditions.
     pub guards: Vec<RowGuard>,
     /// The rows to write; their `version` fields are ignored.
-    pub writes: Vec<FleetRow>,
+    pub writes: Vec<StoreRow>,
 }
 
-impl FleetRow {
+impl StoreRow {
     /// Creates a row to write.
-    pub fn new<Text, Value>(table: FleetTable, part: &str, key: Text, value: Value) -> Self
+    pub fn new<Text, Value>(table: StoreTable, part: &str, key: Text, value: Value) -> Self
     where
         Text: Into<String>,
         Value: Into<Bytes>,
--- a/crates/fleet/src/takeover_records.rs
+++ b/crates/fleet/src/takeover_records.rs
@@ -14,7 +14,10 @@
 use tokio::time;
 
 use crate::{
-    CommitAnswer, FleetRow, FleetTable, RowCommit,
+    CommitOutcome,
+    RowCommit,
+    StoreRow,
+    StoreTable,
     member_watch::apply_owner_row,
     owner_term::OwnerTerm,
     shared_state::{
@@ -22,7 +25,7 @@
         SHARD_PART,
         SharedState,
         WORKERS_KEY_PREFIX, //
-    },
+    }, //
 };
 
 /// The least interval between two writes of the list of workers: many workers register at the same time.
@@ -59,8 +62,8 @@
             writes,
         };
         match shared.store.commit(commit).await {
-            Ok(CommitAnswer::Done(_)) => {}
-            Ok(CommitAnswer::Conflict(rows)) => {
+            Ok(CommitOutcome::Applied(_)) => {}
+            Ok(CommitOutcome::Conflict(rows)) => {
                 apply_owner_row(&shared, rows.first());
                 term.end();
             }
@@ -71,7 +74,7 @@
 }
 
 /// Returns the workers that a former owner recorded, and the number of their rows.
-pub(crate) fn decode_workers(rows: &[FleetRow]) -> (Vec<FleetWorker>, usize) {
+pub(crate) fn decode_workers(rows: &[StoreRow]) -> (Vec<FleetWorker>, usize) {
     let recorded = rows
         .iter()
         .filter(|row| row.key.starts_with(WORKERS_KEY_PREFIX));
@@ -83,7 +86,7 @@
 }
 
 /// Passes the interference that a former owner learned to the dispatcher.
-pub(crate) fn restore_learned(dispatcher: &mut Dispatcher, rows: &[FleetRow]) {
+pub(crate) fn restore_learned(dispatcher: &mut Dispatcher, rows: &[StoreRow]) {
     let recorded = rows.iter().find(|row| row.key == LEARNED_KEY);
     if let Some(record) = recorded.and_then(|row| postcard::from_bytes(&row.value).ok()) {
         dispatcher.restore_learned(&record);
@@ -91,24 +94,24 @@
 }
 
 /// Returns rows of a bounded size that list the workers; formerly used rows that are no longer needed become empty.
-fn worker_rows(workers: &[FleetWorker], rows_used: usize) -> Vec<FleetRow> {
+fn worker_rows(workers: &[FleetWorker], rows_used: usize) -> Vec<StoreRow> {
     let chunks: Vec<&[FleetWorker]> = workers.chunks(WORKERS_PER_ROW).collect();
     let count = chunks.len().max(rows_used).max(1);
     let rows = (0..count).filter_map(|number| {
         let chunk = chunks.get(number).copied().unwrap_or_default();
         let value = postcard::to_stdvec(chunk).ok()?;
         let key = format!("{WORKERS_KEY_PREFIX}{number:04}");
-        Some(FleetRow::new(FleetTable::Progress, SHARD_PART, key, value))
+        Some(StoreRow::new(StoreTable::Progress, SHARD_PART, key, value))
     });
     rows.collect()
 }
 
-fn learned_row(dispatcher: &Dispatcher) -> Option<FleetRow> {
+fn learned_row(dispatcher: &Dispatcher) -> Option<StoreRow> {
     let record = dispatcher.learned();
     if record.services.is_empty() {
         return None;
     }
     let value = postcard::to_stdvec(&record).ok()?;
-    let row = FleetRow::new(FleetTable::Progress, SHARD_PART, LEARNED_KEY, value);
+    let row = StoreRow::new(StoreTable::Progress, SHARD_PART, LEARNED_KEY, value);
     (row.value.len() <= MAX_LEARNED_BYTES).then_some(row)
 }
--- a/crates/fleet/src/term_confirmation.rs
+++ b/crates/fleet/src/term_confirmation.rs
@@ -11,14 +11,16 @@
 };
 
 use crate::{
-    FleetRow, FleetTable, ProbeResult,
+    ProbeResult,
+    StoreRow,
+    StoreTable,
     member_watch::apply_owner_row,
     owner_term::OwnerTerm,
     shared_state::{
         OWNER_KEY,
         SHARD_PART,
         SharedState, //
-    },
+    }, //
 };
 
 /// The interval between checks of the last confirmation's age.
@@ -39,7 +41,7 @@
         }
         let read = shared
             .store
-            .read_all(FleetTable::Fleet, SHARD_PART, OWNER_KEY, None);
+            .read_all(StoreTable::Fleet, SHARD_PART, OWNER_KEY, None);
         match time::timeout(STORE_TIMEOUT, read).await {
             Ok(Ok((rows, _))) => check_owner_row(&shared, &term, &rows, sent),
             Ok(Err(_)) | Err(_) => confirm_by_peers(&shared, &term).await,
@@ -47,7 +49,7 @@
     }
 }
 
-fn check_owner_row(shared: &SharedState, term: &OwnerTerm, rows: &[FleetRow], sent: Duration) {
+fn check_owner_row(shared: &SharedState, term: &OwnerTerm, rows: &[StoreRow], sent: Duration) {
     let owner = rows.iter().find(|row| row.key == OWNER_KEY);
     if owner.is_some_and(|row| row.version == term.guard.version) {
         term.confirm(sent);
--- a/crates/fleet/tests/daemons/admission.rs
+++ b/crates/fleet/tests/daemons/admission.rs
@@ -10,9 +10,9 @@
 use jasminebend_fleet::{
     CallerAnswer,
     CallerVerb,
-    FleetRow,
-    FleetTable,
-    JobRecord, //
+    JobRecord,
+    StoreRow,
+    StoreTable, //
 };
 use tokio::time;
 
@@ -47,8 +47,8 @@
     let (first, second) = (fleet.daemon(), fleet.daemon());
     time::sleep(Duration::from_secs(3)).await;
     [
-        send_request(&first.desk, number, CallerVerb::Submit(graph.clone())).await,
-        send_request(&second.desk, number, CallerVerb::Submit(graph.clone())).await,
+        send_request(&first.job_api, number, CallerVerb::Submit(graph.clone())).await,
+        send_request(&second.job_api, number, CallerVerb::Submit(graph.clone())).await,
     ]
 }
 
@@ -61,7 +61,7 @@
         for answer in answers {
             assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
         }
-        assert_eq!(fleet.store.count(FleetTable::Jobs), 0);
+        assert_eq!(fleet.store.count(StoreTable::Jobs), 0);
     });
 }
 
@@ -90,9 +90,9 @@
         let key = JobKey::new(1);
         let value = postcard::to_stdvec(&record).unwrap();
         let part = format!("j{}", key.spread(16));
-        let row = FleetRow::new(FleetTable::Jobs, &part, key.to_string(), value);
+        let row = StoreRow::new(StoreTable::Jobs, &part, key.to_string(), value);
         fleet.store.write(vec![row]);
-        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(graph)).await;
+        let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(graph)).await;
         assert_eq!(answer, CallerAnswer::Done);
     });
 }
@@ -106,7 +106,7 @@
         let daemon = fleet.daemon();
         time::sleep(Duration::from_secs(3)).await;
         let begun = time::Instant::now();
-        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(long_running(20))).await;
+        let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(long_running(20))).await;
         assert_eq!(answer, CallerAnswer::Done);
         assert!(begun.elapsed() < ANSWER_LIMIT, "{:?}", begun.elapsed());
     });
@@ -120,13 +120,13 @@
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = fleet.daemon();
         for number in 10..40 {
-            submit(&daemon.desk, number, &job(&[(4, &[])])).await;
+            submit(&daemon.job_api, number, &job(&[(4, &[])])).await;
             time::sleep(Duration::from_millis(150)).await;
         }
         daemon.kill();
         let next = fleet.daemon();
         time::sleep(Duration::from_secs(6)).await;
-        let answer = send_request(&next.desk, 1, CallerVerb::Submit(long_running(8))).await;
+        let answer = send_request(&next.job_api, 1, CallerVerb::Submit(long_running(8))).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
     });
 }
--- a/crates/fleet/tests/daemons/jobs.rs
+++ b/crates/fleet/tests/daemons/jobs.rs
@@ -12,7 +12,7 @@
 use jasminebend_fleet::{
     CallerAnswer,
     CallerVerb,
-    FleetTable, //
+    StoreTable, //
 };
 use tokio::{
     runtime::Builder,
@@ -45,8 +45,8 @@
     run_test(async {
         let fleet = TestFleet::new(2);
         let (first, second) = (fleet.daemon(), fleet.daemon());
-        submit(&first.desk, 1, &job(&[(4, &[]), (1, &[0])])).await;
-        wait_for_progress(&second.desk, 1, COMPLETED).await;
+        submit(&first.job_api, 1, &job(&[(4, &[]), (1, &[0])])).await;
+        wait_for_progress(&second.job_api, 1, COMPLETED).await;
         assert_eq!(fleet.workers.started_runs(), 5);
     });
 }
@@ -61,12 +61,12 @@
         let graph = job(&[(3, &[])]);
         first.store_client.lost_answers.set(1);
         tokio::join!(
-            submit(&first.desk, 1, &graph),
-            submit(&second.desk, 1, &graph)
+            submit(&first.job_api, 1, &graph),
+            submit(&second.job_api, 1, &graph)
         );
-        wait_for_progress(&first.desk, 1, COMPLETED).await;
+        wait_for_progress(&first.job_api, 1, COMPLETED).await;
         assert_eq!(fleet.workers.started_runs(), 3);
-        assert_eq!(fleet.store.count(FleetTable::Jobs), 1);
+        assert_eq!(fleet.store.count(StoreTable::Jobs), 1);
     });
 }
 
@@ -76,11 +76,11 @@
     run_test(async {
         let fleet = TestFleet::new(2);
         let (first, second) = (fleet.daemon(), fleet.daemon());
-        submit(&first.desk, 1, &job(&[(4, &[]), (2, &[0])])).await;
+        submit(&first.job_api, 1, &job(&[(4, &[]), (2, &[0])])).await;
         first.kill();
         second.kill();
         let third = fleet.daemon();
-        wait_for_progress(&third.desk, 1, COMPLETED).await;
+        wait_for_progress(&third.job_api, 1, COMPLETED).await;
         assert_eq!(fleet.workers.started_runs(), 6);
     });
 }
@@ -92,15 +92,15 @@
     run_test(async {
         let fleet = TestFleet::new(2);
         let first = fleet.daemon();
-        submit(&first.desk, 1, &job(&[(1, &[])])).await;
-        wait_for_progress(&first.desk, 1, COMPLETED).await;
+        submit(&first.job_api, 1, &job(&[(1, &[])])).await;
+        wait_for_progress(&first.job_api, 1, COMPLETED).await;
         let second = fleet.daemon();
-        wait_for_progress(&second.desk, 1, COMPLETED).await;
+        wait_for_progress(&second.job_api, 1, COMPLETED).await;
         time::sleep(Duration::from_millis(600)).await;
         first.store_client.refuses_calls.set(true);
-        submit(&first.desk, 2, &job(&[(2, &[])])).await;
-        wait_for_progress(&second.desk, 2, COMPLETED).await;
-        wait_for_progress(&first.desk, 2, COMPLETED).await;
+        submit(&first.job_api, 2, &job(&[(2, &[])])).await;
+        wait_for_progress(&second.job_api, 2, COMPLETED).await;
+        wait_for_progress(&first.job_api, 2, COMPLETED).await;
         assert_eq!(fleet.workers.started_runs(), 3);
     });
 }
@@ -111,14 +111,14 @@
     run_test(async {
         let fleet = TestFleet::new(1);
         let daemon = fleet.daemon();
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         daemon.store_client.refuses_calls.set(true);
-        let answer = send_request(&daemon.desk, 2, CallerVerb::Submit(job(&[(1, &[])]))).await;
+        let answer = send_request(&daemon.job_api, 2, CallerVerb::Submit(job(&[(1, &[])]))).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
         daemon.store_client.refuses_calls.set(false);
-        wait_for_progress(&daemon.desk, 1, COMPLETED).await;
+        wait_for_progress(&daemon.job_api, 1, COMPLETED).await;
         assert_eq!(
-            send_request(&daemon.desk, 2, CallerVerb::Read).await,
+            send_request(&daemon.job_api, 2, CallerVerb::Read).await,
             CallerAnswer::NoJob
         );
         assert_eq!(fleet.workers.started_runs(), 1);
@@ -131,12 +131,12 @@
     run_test(async {
         let fleet = TestFleet::new(1);
         let daemon = fleet.daemon();
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
-        wait_for_progress(&daemon.desk, 1, COMPLETED).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
+        wait_for_progress(&daemon.job_api, 1, COMPLETED).await;
         daemon.store_client.lost_answers.set(3);
-        let answer = send_request(&daemon.desk, 2, CallerVerb::Submit(job(&[(1, &[])]))).await;
+        let answer = send_request(&daemon.job_api, 2, CallerVerb::Submit(job(&[(1, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Unknown);
-        wait_for_progress(&daemon.desk, 2, COMPLETED).await;
+        wait_for_progress(&daemon.job_api, 2, COMPLETED).await;
     });
 }
 
@@ -145,16 +145,16 @@
     run_test(async {
         let fleet = TestFleet::new(1);
         let (first, second) = (fleet.daemon(), fleet.daemon());
-        submit(&first.desk, 1, &job(&[(40, &[])])).await;
+        submit(&first.job_api, 1, &job(&[(40, &[])])).await;
         assert_eq!(
-            send_request(&second.desk, 1, CallerVerb::Cancel).await,
+            send_request(&second.job_api, 1, CallerVerb::Cancel).await,
             CallerAnswer::Done
         );
-        wait_for_progress(&first.desk, 1, CANCELLED).await;
+        wait_for_progress(&first.job_api, 1, CANCELLED).await;
         first.kill();
         second.kill();
         let third = fleet.daemon();
-        wait_for_progress(&third.desk, 1, CANCELLED).await;
+        wait_for_progress(&third.job_api, 1, CANCELLED).await;
     });
 }
 
@@ -163,21 +163,21 @@
     run_test(async {
         let fleet = TestFleet::new(1);
         let daemon = fleet.daemon();
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         assert_eq!(
-            send_request(&daemon.desk, 9, CallerVerb::Read).await,
+            send_request(&daemon.job_api, 9, CallerVerb::Read).await,
             CallerAnswer::NoJob
         );
         assert_eq!(
-            send_request(&daemon.desk, 9, CallerVerb::Cancel).await,
+            send_request(&daemon.job_api, 9, CallerVerb::Cancel).await,
             CallerAnswer::NoJob
         );
         assert_eq!(
-            count_waiting(&daemon.desk, "/elsewhere/").await,
+            count_waiting(&daemon.job_api, "/elsewhere/").await,
             CallerAnswer::NoQueue
         );
         let circle = job(&[(1, &[1]), (1, &[0])]);
-        let answer = send_request(&daemon.desk, 2, CallerVerb::Submit(circle)).await;
+        let answer = send_request(&daemon.job_api, 2, CallerVerb::Submit(circle)).await;
         assert!(matches!(answer, CallerAnswer::Malformed(_)), "{answer:?}");
     });
 }
@@ -189,12 +189,12 @@
         let fleet = TestFleet::new(0);
         let first = fleet.daemon();
         for number in 1..=5 {
-            submit(&first.desk, number, &job(&[(1, &[])])).await;
+            submit(&first.job_api, number, &job(&[(1, &[])])).await;
         }
         first.kill();
         let second = fleet.daemon();
         for _ in 0..200 {
-            match count_waiting(&second.desk, "/queue/").await {
+            match count_waiting(&second.job_api, "/queue/").await {
                 CallerAnswer::Refused(_) => {}
                 CallerAnswer::Waiting(waiting) => return assert_eq!(waiting, 5),
                 other => panic!("{other:?}"),
@@ -210,11 +210,11 @@
     run_test(async {
         let fleet = TestFleet::new(2);
         let (first, second) = (fleet.daemon(), fleet.daemon());
-        submit(&second.desk, 1, &job(&[(2, &[])])).await;
-        wait_for_progress(&second.desk, 1, COMPLETED).await;
+        submit(&second.job_api, 1, &job(&[(2, &[])])).await;
+        wait_for_progress(&second.job_api, 1, COMPLETED).await;
         first.stop().await;
-        submit(&second.desk, 2, &job(&[(2, &[])])).await;
-        wait_for_progress(&second.desk, 2, COMPLETED).await;
+        submit(&second.job_api, 2, &job(&[(2, &[])])).await;
+        wait_for_progress(&second.job_api, 2, COMPLETED).await;
         assert_eq!(fleet.workers.started_runs(), 4);
     });
 }
--- a/crates/fleet/tests/daemons/memory_store.rs
+++ b/crates/fleet/tests/daemons/memory_store.rs
@@ -19,10 +19,8 @@
     QueueRule, //
 };
 use jasminebend_fleet::{
-    CommitAnswer,
-    FleetRow,
+    CommitOutcome,
     FleetStore,
-    FleetTable,
     OperatorChange,
     OwnerRecord,
     RegistryChange,
@@ -30,14 +28,16 @@
     RowCommit,
     RowGuard,
     RowPage,
-    StoreError, //
+    StoreError,
+    StoreRow,
+    StoreTable, //
 };
 use tokio::{
     sync::Notify,
     time, //
 };
 
-type RowName = (FleetTable, String, String);
+type RowName = (StoreTable, String, String);
 
 /// How long a daemon waits for the answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
@@ -52,7 +52,7 @@
 
 /// An in-memory store that all daemons of a test share.
 pub(crate) struct MemoryStore {
-    rows: RefCell<Vec<(RowName, FleetRow)>>,
+    rows: RefCell<Vec<(RowName, StoreRow)>>,
     version: Cell<u64>,
     changed: Notify,
     configuration: RefCell<Versioned<Arc<FleetConfiguration>>>,
@@ -100,9 +100,9 @@
         }
     }
 
-    fn commit(&self, commit: RowCommit) -> CommitAnswer {
+    fn commit(&self, commit: RowCommit) -> CommitOutcome {
         let mut rows = self.rows.borrow_mut();
-        let find = |rows: &Vec<(RowName, FleetRow)>, guard: &RowGuard| {
+        let find = |rows: &Vec<(RowName, StoreRow)>, guard: &RowGuard| {
             let name = (guard.table, guard.part.clone(), guard.key.clone());
             rows.iter()
                 .find(|(known, _)| *known == name)
@@ -114,15 +114,15 @@
             .all(|guard| find(&rows, guard).map_or(0, |row| row.version) == guard.version);
         if !holds {
             let current = commit.guards.iter().filter_map(|guard| find(&rows, guard));
-            return CommitAnswer::Conflict(current.collect());
+            return CommitOutcome::Conflict(current.collect());
         }
         let version = self.next_version();
         for row in commit.writes {
             let name = (row.table, row.part.clone(), row.key.clone());
             rows.retain(|(known, _)| *known != name);
-            rows.push((name, FleetRow { version, ..row }));
+            rows.push((name, StoreRow { version, ..row }));
         }
-        CommitAnswer::Done(version)
+        CommitOutcome::Applied(version)
     }
 
     /// Adds a queue to the configuration.
@@ -147,7 +147,7 @@
     }
 
     /// Writes rows without guards, as another daemon would.
-    pub(crate) fn write(&self, writes: Vec<FleetRow>) {
+    pub(crate) fn write(&self, writes: Vec<StoreRow>) {
         let guards = Vec::new();
         self.commit(RowCommit { guards, writes });
     }
@@ -190,7 +190,7 @@
         let members = rows
             .into_iter()
             .filter(|((_, part, _), _)| part == "members");
-        let empty = members.map(|(_, row)| FleetRow {
+        let empty = members.map(|(_, row)| StoreRow {
             value: Vec::new().into(),
             ..row
         });
@@ -198,7 +198,7 @@
     }
 
     /// Returns the number of a table's rows.
-    pub(crate) fn count(&self, table: FleetTable) -> usize {
+    pub(crate) fn count(&self, table: StoreTable) -> usize {
         let rows = self.rows.borrow();
         rows.iter()
             .filter(|((known, ..), _)| *known == table)
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Drops the history: a watch after an earlier version fails with [`StoreError::Forgotten`].
+    /// Drops the history: a watch after an earlier version fails with [`StoreError::HistoryDropped`].
     pub(crate) fn forget_history(&self) {
         self.forgotten_version.set(self.store.next_version());
     }
@@ -278,7 +278,7 @@
         loop {
             self.check_reachable()?;
             if after < self.forgotten_version.get() {
-                return Err(StoreError::Forgotten);
+                return Err(StoreError::HistoryDropped);
             }
             let changed = self.store.changed.notified();
             let items = rows();
@@ -320,7 +320,7 @@
 
 #[async_trait(?Send)]
 impl FleetStore for StoreClient {
-    async fn commit(&self, commit: RowCommit) -> Result<CommitAnswer, StoreError> {
+    async fn commit(&self, commit: RowCommit) -> Result<CommitOutcome, StoreError> {
         let call = async {
             time::sleep(self.commit_latency.get()).await;
             for row in &commit.writes {
@@ -338,20 +338,20 @@
 
     async fn read(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         part: &str,
         from: &str,
         to: Option<&str>,
-    ) -> Result<RowPage<FleetRow>, StoreError> {
+    ) -> Result<RowPage<StoreRow>, StoreError> {
         let call = async {
             let takes = match table {
-                FleetTable::Jobs => &self.job_read_latency,
+                StoreTable::Jobs => &self.job_read_latency,
                 _ => &self.read_latency,
             };
             time::sleep(takes.get()).await;
             self.check_part_reachable(part)?;
             let rows = self.store.rows.borrow();
-            let mut items: Vec<FleetRow> = rows
+            let mut items: Vec<StoreRow> = rows
                 .iter()
                 .map(|(_, row)| row.clone())
                 .filter(|row| row.table == table && row.part == part)
@@ -365,7 +365,7 @@
 
     async fn watch(
         &self,
-        table: FleetTable,
+        table: StoreTable,
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RowChange>, StoreError> {
@@ -427,15 +427,15 @@
         self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
-    fn forget_connections(&self) {}
+    fn close_idle_connections(&self) {}
 
-    async fn tell_wave(
+    async fn write_wave_status(
         &self,
         _wave: u64,
         _completed: bool,
         _guard: RowGuard,
-    ) -> Result<CommitAnswer, StoreError> {
-        Ok(CommitAnswer::Done(self.store.version.get()))
+    ) -> Result<CommitOutcome, StoreError> {
+        Ok(CommitOutcome::Applied(self.store.version.get()))
     }
 }
 
--- a/crates/fleet/tests/daemons/partial_outage.rs
+++ b/crates/fleet/tests/daemons/partial_outage.rs
@@ -10,8 +10,8 @@
 use jasminebend_fleet::{
     CallerAnswer,
     CallerVerb,
-    FleetRow,
-    FleetTable, //
+    StoreRow,
+    StoreTable, //
 };
 use tokio::time;
 
@@ -48,8 +48,8 @@
 
 async fn serving_daemon(fleet: &TestFleet) -> TestDaemon {
     let daemon = fleet.daemon();
-    submit(&daemon.desk, 99, &job(&[(1, &[])])).await;
-    wait_for_progress(&daemon.desk, 99, COMPLETED).await;
+    submit(&daemon.job_api, 99, &job(&[(1, &[])])).await;
+    wait_for_progress(&daemon.job_api, 99, COMPLETED).await;
     daemon
 }
 
@@ -63,9 +63,9 @@
             let number = u64::from(count);
             break_parts(&daemon, number, count);
             let graph = job(&[(3, &[])]);
-            let answer = send_request(&daemon.desk, number, CallerVerb::Submit(graph)).await;
+            let answer = send_request(&daemon.job_api, number, CallerVerb::Submit(graph)).await;
             assert_eq!(answer, CallerAnswer::Done, "{count} parts are unavailable");
-            wait_for_progress(&daemon.desk, number, COMPLETED).await;
+            wait_for_progress(&daemon.job_api, number, COMPLETED).await;
             mend_parts(&daemon);
         }
         assert_eq!(fleet.workers.started_runs(), 7);
@@ -79,7 +79,7 @@
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
         break_parts(&daemon, 1, 3);
-        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
+        let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Unknown);
     });
 }
@@ -92,13 +92,13 @@
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
         daemon.store_client.lost_answers.set(1);
-        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
+        let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(job(&[(3, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Done);
-        assert_eq!(fleet.store.count(FleetTable::Jobs), 3);
-        wait_for_progress(&daemon.desk, 1, COMPLETED).await;
+        assert_eq!(fleet.store.count(StoreTable::Jobs), 3);
+        wait_for_progress(&daemon.job_api, 1, COMPLETED).await;
         daemon.kill();
         let next = fleet.daemon();
-        wait_for_progress(&next.desk, 1, COMPLETED).await;
+        wait_for_progress(&next.job_api, 1, COMPLETED).await;
         time::sleep(Duration::from_secs(10)).await;
         assert_eq!(fleet.workers.started_runs(), 4);
     });
@@ -111,17 +111,17 @@
         run_simulated(async move {
             let fleet = TestFleet::with_runtime_clock(0);
             let daemon = fleet.daemon();
-            submit(&daemon.desk, number, &job(&[(3, &[])])).await;
+            submit(&daemon.job_api, number, &job(&[(3, &[])])).await;
             break_part(&daemon, number);
             // The daemon knows the job from memory, but can't read its row.
-            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
+            let answer = send_request(&daemon.job_api, number, CallerVerb::Cancel).await;
             assert_ne!(answer, CallerAnswer::NoJob, "it is on record");
             mend_parts(&daemon);
-            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
+            let answer = send_request(&daemon.job_api, number, CallerVerb::Cancel).await;
             assert_eq!(answer, CallerAnswer::Done);
             daemon.kill();
             let next = fleet.daemon();
-            wait_for_progress(&next.desk, number, CANCELLED).await;
+            wait_for_progress(&next.job_api, number, CANCELLED).await;
         });
     }
 }
@@ -135,15 +135,15 @@
             let fleet = TestFleet::with_runtime_clock(2);
             let daemon = serving_daemon(&fleet).await;
             break_part(&daemon, number);
-            submit(&daemon.desk, number, &job(&[(1, &[]), (1, &[0])])).await;
+            submit(&daemon.job_api, number, &job(&[(1, &[]), (1, &[0])])).await;
             time::sleep(DURING_RUN).await;
-            let answer = send_request(&daemon.desk, number, CallerVerb::Cancel).await;
+            let answer = send_request(&daemon.job_api, number, CallerVerb::Cancel).await;
             assert_eq!(answer, CallerAnswer::Done);
-            wait_for_progress(&daemon.desk, number, CANCELLED).await;
+            wait_for_progress(&daemon.job_api, number, CANCELLED).await;
             mend_parts(&daemon);
             daemon.kill();
             let next = fleet.daemon();
-            wait_for_progress(&next.desk, number, CANCELLED).await;
+            wait_for_progress(&next.job_api, number, CANCELLED).await;
         });
     }
 }
@@ -154,13 +154,13 @@
     run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(2);
         let daemon = serving_daemon(&fleet).await;
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         daemon.kill();
         fleet.set_unreachable_owner();
         let other = fleet.daemon();
         time::sleep(Duration::from_secs(3)).await;
         break_part(&other, 1);
-        let answer = send_request(&other.desk, 1, CallerVerb::Read).await;
+        let answer = send_request(&other.job_api, 1, CallerVerb::Read).await;
         assert!(matches!(answer, CallerAnswer::Refused(_)), "{answer:?}");
     });
 }
@@ -171,15 +171,15 @@
     run_simulated(async {
         let fleet = TestFleet::with_runtime_clock(0);
         let daemon = fleet.daemon();
-        submit(&daemon.desk, 1, &job(&[(3, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(3, &[])])).await;
         daemon.kill();
         let key = JobKey::new(1);
         let part = format!("j{}", (key.spread(16) + 5) % 16);
-        let row = FleetRow::new(FleetTable::Jobs, &part, format!("{key}.c"), Vec::new());
+        let row = StoreRow::new(StoreTable::Jobs, &part, format!("{key}.c"), Vec::new());
         fleet.store.write(vec![row]);
         let next = fleet.daemon();
         // Before it owns the jobs it would answer from the rows alone.
         time::sleep(Duration::from_secs(10)).await;
-        wait_for_progress(&next.desk, 1, CANCELLED).await;
+        wait_for_progress(&next.job_api, 1, CANCELLED).await;
     });
 }
--- a/crates/fleet/tests/daemons/store_silence.rs
+++ b/crates/fleet/tests/daemons/store_silence.rs
@@ -9,9 +9,9 @@
 use jasminebend_fleet::{
     CallerAnswer,
     CallerVerb,
-    FleetRow,
-    FleetTable,
-    JobRecord, //
+    JobRecord,
+    StoreRow,
+    StoreTable, //
 };
 use tokio::time;
 
@@ -63,9 +63,9 @@
 }
 
 async fn knows_queue(daemon: &TestDaemon, queue: &str) -> bool {
-    let answer = count_waiting(&daemon.desk, &format!("/{queue}/")).await;
+    let answer = count_waiting(&daemon.job_api, &format!("/{queue}/")).await;
     // Without a configuration the answer for a queue that does not exist is a refusal.
-    let configured = count_waiting(&daemon.desk, "/nowhere/").await == CallerAnswer::NoQueue;
+    let configured = count_waiting(&daemon.job_api, "/nowhere/").await == CallerAnswer::NoQueue;
     configured && answer != CallerAnswer::NoQueue
 }
 
@@ -101,7 +101,7 @@
         time::sleep(NOTICE_LIMIT).await;
         let known = knows_queue(&daemon, "added").await;
         assert!(known, "silent after {phase:?}");
-        let answer = send_request(&daemon.desk, 1, CallerVerb::Submit(job(&[(1, &[])]))).await;
+        let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(job(&[(1, &[])]))).await;
         assert_eq!(answer, CallerAnswer::Done, "silent after {phase:?}");
     });
 }
@@ -115,7 +115,7 @@
         for number in 1..=3 {
             let verb = CallerVerb::Submit(job(&[(1, &[])]));
             let answer =
-                time::timeout(ANSWER_LIMIT, send_request(&daemon.desk, number, verb)).await;
+                time::timeout(ANSWER_LIMIT, send_request(&daemon.job_api, number, verb)).await;
             let answer = answer.expect("the caller is answered in time");
             let expected = match number {
                 1 => matches!(answer, CallerAnswer::Unknown),
@@ -133,7 +133,7 @@
         let (fleet, daemon) = daemon_with_unreachable_owner(phase).await;
         let asked = async {
             let verb = CallerVerb::Submit(job(&[(1, &[])]));
-            time::timeout(ANSWER_LIMIT, send_request(&daemon.desk, 1, verb)).await
+            time::timeout(ANSWER_LIMIT, send_request(&daemon.job_api, 1, verb)).await
         };
         let lost = async {
             time::sleep(Duration::from_millis(1)).await;
@@ -142,8 +142,8 @@
         let (answer, ()) = tokio::join!(asked, lost);
         assert_eq!(answer, Ok(CallerAnswer::Done), "lost after {phase:?}");
         // The first write was applied too; it is the same job.
-        assert_eq!(fleet.store.count(FleetTable::Jobs), 2);
-        let progress = send_request(&daemon.desk, 1, CallerVerb::Read).await;
+        assert_eq!(fleet.store.count(StoreTable::Jobs), 2);
+        let progress = send_request(&daemon.job_api, 1, CallerVerb::Read).await;
         assert_eq!(progress, CallerAnswer::Progress(JobProgress::Queued));
     });
 }
@@ -154,13 +154,13 @@
 fn a_caller_is_answered_at_once_when_the_connection_of_its_read_goes_silent() {
     run_at_each_phase(|phase| async move {
         let (_fleet, daemon) = daemon_with_unreachable_owner(phase).await;
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         let queued = CallerAnswer::Progress(JobProgress::Queued);
         for (verb, expected) in [
             (CallerVerb::Read, queued),
             (CallerVerb::Cancel, CallerAnswer::Done),
         ] {
-            let asked = time::timeout(ANSWER_LIMIT, send_request(&daemon.desk, 1, verb));
+            let asked = time::timeout(ANSWER_LIMIT, send_request(&daemon.job_api, 1, verb));
             let lost = async {
                 time::sleep(Duration::from_millis(1)).await;
                 daemon.store_client.lose_connections();
@@ -186,7 +186,7 @@
             .set(Duration::from_millis(720));
         for number in 1..=5 {
             let verb = CallerVerb::Submit(job(&[(1, &[])]));
-            let answer = send_request(&daemon.desk, number, verb).await;
+            let answer = send_request(&daemon.job_api, number, verb).await;
             assert_eq!(answer, CallerAnswer::Done, "slow after {phase:?}");
         }
     });
@@ -223,7 +223,7 @@
             graph: job(&[(1, &[])]),
         };
         let value = postcard::to_stdvec(&record).expect("a record can be encoded");
-        let row = FleetRow::new(FleetTable::Jobs, "j0", "0000000000000007", value);
+        let row = StoreRow::new(StoreTable::Jobs, "j0", "0000000000000007", value);
         fleet.store.write(vec![row]);
         time::sleep(IN_FORCE_LIMIT).await;
         assert_eq!(fleet.workers.started_runs(), 1, "silent after {phase:?}");
@@ -237,7 +237,7 @@
         let fleet = TestFleet::with_runtime_clock(1);
         let owner = fleet.daemon();
         wait_until_configured(&owner).await;
-        submit(&owner.desk, 1, &job(&[(2000, &[])])).await;
+        submit(&owner.job_api, 1, &job(&[(2000, &[])])).await;
         time::sleep(phase).await;
         owner.store_client.go_silent();
         time::sleep(Duration::from_secs(5)).await;
@@ -260,7 +260,7 @@
     run_at_each_phase(|_| async move {
         let fleet = TestFleet::with_runtime_clock(1);
         let daemon = fleet.daemon();
-        while fleet.store.count(FleetTable::Fleet) == 0 {
+        while fleet.store.count(StoreTable::Fleet) == 0 {
             time::sleep(Duration::from_micros(100)).await;
         }
         time::sleep(Duration::from_millis(1)).await;
@@ -269,11 +269,11 @@
             time::sleep(Duration::from_millis(1)).await;
         }
         assert_eq!(
-            fleet.store.count(FleetTable::Fleet),
+            fleet.store.count(StoreTable::Fleet),
             2,
             "the claim was done"
         );
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         time::sleep(Duration::from_secs(10)).await;
         assert_eq!(fleet.workers.started_runs(), 1);
     });
@@ -292,7 +292,7 @@
             .set(Duration::from_millis(900));
         wait_until_configured(&daemon).await;
         time::sleep(phase).await;
-        submit(&daemon.desk, 1, &job(&[(1, &[])])).await;
+        submit(&daemon.job_api, 1, &job(&[(1, &[])])).await;
         time::sleep(Duration::from_secs(10)).await;
         assert_eq!(fleet.workers.started_runs(), 1, "after {phase:?}");
     });
--- a/crates/fleet/tests/daemons/takeover.rs
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -15,9 +15,9 @@
     StartOrder, //
 };
 use jasminebend_fleet::{
-    FleetRow,
-    FleetTable,
-    JobRecord, //
+    JobRecord,
+    StoreRow,
+    StoreTable, //
 };
 use jasminebend_standins::TaskWork;
 use tokio::time;
@@ -88,7 +88,7 @@
         graph: job(&[(1, &[])]),
     };
     let value = postcard::to_stdvec(&record).expect("a record can be encoded");
-    let row = FleetRow::new(FleetTable::Jobs, "j0", "0000000000000007", value);
+    let row = StoreRow::new(StoreTable::Jobs, "j0", "0000000000000007", value);
     fleet.store.write(vec![row]);
 }
 
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -51,23 +51,23 @@
 };
 use jasminebend_fleet::{
     CallerAnswer,
-    CallerCall,
-    CallerDesk,
+    CallerRequest,
     CallerVerb,
     FleetDaemon,
-    FleetEdges,
     FleetLog,
-    FleetRow,
+    FleetPorts,
     FleetSettings,
     FleetStore,
-    FleetTable,
     FleetWorkers,
     HttpHandler,
     HttpPool,
+    JobApi,
     MemberRecord,
     OwnerRecord,
     PeerAnswer,
     PeerRequest,
+    StoreRow,
+    StoreTable,
     WorkerAddress, //
 };
 use jasminebend_ports::{
@@ -221,7 +221,11 @@
 
 #[async_trait(?Send)]
 impl FleetWorkers for MemoryWorkers {
-    async fn hold(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+    async fn renew_lease(
+        &self,
+        worker: &WorkerAddress,
+        order: HoldOrder,
+    ) -> Result<HoldReport, OrderEnd> {
         let connection_losses = self.connection_losses.get();
         let timeout = time::Instant::now() + order.wait + RENEWAL_TIMEOUT;
         time::sleep(RENEWAL_LATENCY).await;
@@ -265,7 +269,7 @@
         answer.unwrap_or(UNANSWERED)
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         _worker: &WorkerAddress,
         _task: TaskKey,
@@ -275,12 +279,12 @@
         OrderEnd::Taken
     }
 
-    fn forget(&self, _address: &str) {}
+    fn close_idle_connections(&self, _address: &str) {}
 }
 
 /// A running daemon.
 pub(crate) struct TestDaemon {
-    pub(crate) desk: Rc<CallerDesk>,
+    pub(crate) job_api: Rc<JobApi>,
     pub(crate) store_client: Rc<StoreClient>,
     peers: SocketAddr,
     stop: watch::Sender<bool>,
@@ -375,7 +379,7 @@
             vacant: false,
         };
         self.store
-            .write(vec![row(FleetTable::Fleet, "s0", "owner", &owner)]);
+            .write(vec![row(StoreTable::Fleet, "s0", "owner", &owner)]);
         self.enroll(address, members);
     }
 
@@ -388,7 +392,7 @@
                 address: address.to_string(),
                 cpu_millis: 1000,
             };
-            row(FleetTable::Fleet, "members", &member.node, &member)
+            row(StoreTable::Fleet, "members", &member.node, &member)
         });
         self.store.write(rows.collect());
     }
@@ -399,18 +403,18 @@
         let settings = FleetSettings {
             node: format!("daemon-{}", self.count.get()),
             domain: DomainName::from("domain-a"),
-            callers: free_address(),
-            ready: free_address(),
-            peers: free_address(),
-            metrics: free_address(),
+            caller_address: free_address(),
+            readiness_address: free_address(),
+            peer_address: free_address(),
+            metrics_address: free_address(),
             cpu_millis: 100,
-            grace: Duration::from_secs(4),
-            duty_lease: Duration::from_secs(1),
+            stop_timeout: Duration::from_secs(4),
+            maintenance_lease: Duration::from_secs(1),
             dispatch: DispatchSettings::default(),
         };
-        let peers = settings.peers;
+        let peers = settings.peer_address;
         let store_client = Rc::new(StoreClient::new(Rc::clone(&self.store)));
-        let edges = FleetEdges {
+        let ports = FleetPorts {
             clock: Rc::clone(&self.clock),
             store: Rc::clone(&store_client) as Rc<dyn FleetStore>,
             workers: Rc::clone(&self.workers) as Rc<dyn FleetWorkers>,
@@ -420,8 +424,8 @@
             log: FleetLog::discarding("test"),
         };
         let (stop, stopping) = watch::channel(false);
-        let daemon = FleetDaemon::new(settings, edges, stopping);
-        let desk = daemon.desk();
+        let daemon = FleetDaemon::new(settings, ports, stopping);
+        let job_api = daemon.job_api();
         let running = tokio::task::spawn_local(async move {
             daemon
                 .run(Rc::new(EmptyResponder), Rc::new(EmptyResponder))
@@ -429,7 +433,7 @@
                 .unwrap();
         });
         TestDaemon {
-            desk,
+            job_api,
             store_client,
             peers,
             stop,
@@ -454,11 +458,11 @@
     }
 }
 
-fn row<Record>(table: FleetTable, part: &str, key: &str, record: &Record) -> FleetRow
+fn row<Record>(table: StoreTable, part: &str, key: &str, record: &Record) -> StoreRow
 where
     Record: Serialize,
 {
-    FleetRow::new(table, part, key, postcard::to_stdvec(record).unwrap())
+    StoreRow::new(table, part, key, postcard::to_stdvec(record).unwrap())
 }
 
 /// Answers every request with an empty body; the tests call the daemon's caller API directly.
@@ -487,29 +491,29 @@
     }
 }
 
-pub(crate) async fn send_request(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
-    let call = CallerCall {
+pub(crate) async fn send_request(job_api: &JobApi, number: u64, verb: CallerVerb) -> CallerAnswer {
+    let call = CallerRequest {
         host: "host".to_owned(),
         path: format!("/queue/{}", JobKey::new(number)),
         verb,
     };
-    desk.answer(call).await
+    job_api.answer(call).await
 }
 
-pub(crate) async fn count_waiting(desk: &CallerDesk, path: &str) -> CallerAnswer {
-    let call = CallerCall {
+pub(crate) async fn count_waiting(job_api: &JobApi, path: &str) -> CallerAnswer {
+    let call = CallerRequest {
         host: "host".to_owned(),
         path: path.to_owned(),
         verb: CallerVerb::Read,
     };
-    desk.answer(call).await
+    job_api.answer(call).await
 }
 
 /// Submits a job, with retries until it is accepted.
-pub(crate) async fn submit(desk: &CallerDesk, number: u64, graph: &JobGraph) {
+pub(crate) async fn submit(job_api: &JobApi, number: u64, graph: &JobGraph) {
     for _ in 0..200 {
         let verb = CallerVerb::Submit(graph.clone());
-        if send_request(desk, number, verb).await == CallerAnswer::Done {
+        if send_request(job_api, number, verb).await == CallerAnswer::Done {
             return;
         }
         time::sleep(Duration::from_millis(50)).await;
@@ -518,10 +522,10 @@
 }
 
 /// Reads a job's progress until it is the expected one.
-pub(crate) async fn wait_for_progress(desk: &CallerDesk, number: u64, wanted: JobProgress) {
+pub(crate) async fn wait_for_progress(job_api: &JobApi, number: u64, wanted: JobProgress) {
     let mut last = CallerAnswer::NoJob;
     for _ in 0..400 {
-        last = send_request(desk, number, CallerVerb::Read).await;
+        last = send_request(job_api, number, CallerVerb::Read).await;
         if last == CallerAnswer::Progress(wanted) {
             return;
         }
--- a/crates/fleet/tests/daemons/worker_silence.rs
+++ b/crates/fleet/tests/daemons/worker_silence.rs
@@ -30,7 +30,7 @@
             let mut service = job(&[(4, &[])]);
             service.steps[0].lasting = true;
             service.steps[0].target = Some(Duration::from_millis(100));
-            submit(&owner.desk, 1, &service).await;
+            submit(&owner.job_api, 1, &service).await;
             time::sleep(Duration::from_secs(5) + Duration::from_millis(phase)).await;
             assert_eq!(fleet.workers.started_runs(), TASK_COUNT);
             fleet.workers.lose_connections();
--- a/crates/fleet/tests/http_pool.rs
+++ b/crates/fleet/tests/http_pool.rs
@@ -11,7 +11,7 @@
 use http::Request;
 use http_body_util::Full;
 use jasminebend_fleet::{
-    HttpFault,
+    HttpError,
     HttpPool,
     HttpReply, //
 };
@@ -108,7 +108,7 @@
     pool: Rc<HttpPool>,
     address: &str,
     count: usize,
-) -> Vec<Result<HttpReply, HttpFault>> {
+) -> Vec<Result<HttpReply, HttpError>> {
     let mut calls = JoinSet::new();
     for _ in 0..count {
         let (pool, address) = (Rc::clone(&pool), address.to_owned());
@@ -128,7 +128,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("it is bound").to_string();
         let made = start_server(listener, Some(Duration::from_millis(5)));
-        let pool = Rc::new(HttpPool::with_most(2));
+        let pool = Rc::new(HttpPool::with_limit_per_address(2));
         for _ in 0..3 {
             let replies = call_at_once(Rc::clone(&pool), &address, 20).await;
             assert!(replies.iter().all(Result::is_ok), "{replies:?}");
@@ -145,12 +145,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("it is bound").to_string();
         let made = start_server(listener, None);
-        let pool = Rc::new(HttpPool::with_most(2));
+        let pool = Rc::new(HttpPool::with_limit_per_address(2));
         let replies = call_at_once(pool, &address, 20).await;
         let faults = replies
             .into_iter()
             .map(|reply| reply.expect_err("it is silent"));
-        let sent = faults.filter(|fault| *fault == HttpFault::Unanswered);
+        let sent = faults.filter(|fault| *fault == HttpError::Unanswered);
         assert_eq!((sent.count(), made.get()), (2, 2));
     };
     LocalSet::new().run_until(calls).await;
--- a/crates/jasminebend/src/fleet_program.rs
+++ b/crates/jasminebend/src/fleet_program.rs
@@ -22,8 +22,8 @@
 use jasminebend_fleet::{
     FleetAdvice,
     FleetDaemon,
-    FleetEdges,
     FleetLog,
+    FleetPorts,
     FleetVms,
     HttpHandler,
     HttpPool,
@@ -97,7 +97,7 @@
         let calls = VmCalls::new(Rc::clone(&pool), address);
         Rc::new(calls) as Rc<dyn FleetVms>
     });
-    let edges = FleetEdges {
+    let ports = FleetPorts {
         clock: Rc::new(SystemClock::new()),
         store: Rc::new(StoreCalls::new(Rc::clone(&pool), settings.store)),
         workers: Rc::new(WorkerCalls::new()),
@@ -109,8 +109,8 @@
     let metrics = Rc::new(MetricsPage {
         hub: MetricsHub::install(),
     });
-    let daemon = FleetDaemon::new(settings.fleet, edges, stop);
-    let front = Rc::new(CallerFront::new(daemon.desk()));
+    let daemon = FleetDaemon::new(settings.fleet, ports, stop);
+    let front = Rc::new(CallerFront::new(daemon.job_api()));
     daemon.run(front, metrics).await
 }
 
