--- a/crates/cluster/src/cluster_settings.rs
+++ b/crates/cluster/src/cluster_settings.rs
@@ -98,13 +98,13 @@
     /// Sets how long a read of the table, or the word of more than half of the members, allows to
     /// start work.
     pub fn with_freshness(mut self, freshness: Duration) -> Self {
-        self.rule.freshness = freshness;
+        self.rule.validity_period = freshness;
         self
     }
 
     /// Sets how often peers are asked.
     pub fn with_heartbeat(mut self, heartbeat: Duration) -> Self {
-        self.rule.heartbeat = heartbeat;
+        self.rule.heartbeat_interval = heartbeat;
         self
     }
 
--- a/crates/cluster/src/cluster_state.rs
+++ b/crates/cluster/src/cluster_state.rs
@@ -244,7 +244,7 @@
             match self.codec.decode(&frame) {
                 Ok((_, WireBody::Member(message))) => {
                     let now = self.now();
-                    let actions = self.lock().receive(now, message);
+                    let actions = self.lock().handle_message(now, message);
                     self.carry_out(myself, actions);
                 }
                 Ok((sender, WireBody::DocumentRequest { version })) => {
@@ -279,7 +279,7 @@
 
     fn end_release(&mut self, myself: &ActorRef<ClusterMessage>, resource: ResourceId) {
         self.waiting.shift_remove(&resource);
-        self.lock().end_release(resource);
+        self.lock().finish_release(resource);
         self.tick(myself);
     }
 }
--- a/crates/cluster/src/cluster_view.rs
+++ b/crates/cluster/src/cluster_view.rs
@@ -44,7 +44,7 @@
 
     fn held(&self) -> Vec<(ResourceId, OwnerEpoch)> {
         let machine = self.lock();
-        machine.held(self.clock.monotonic())
+        machine.usable_resources(self.clock.monotonic())
     }
 
     fn idle_for(&self, resource: ResourceId) -> Duration {
--- a/crates/cluster/src/document_fetch.rs
+++ b/crates/cluster/src/document_fetch.rs
@@ -37,7 +37,10 @@
     pub(crate) fn fetch_document(&mut self, myself: &ActorRef<ClusterMessage>) {
         let (version, in_force) = {
             let machine = self.lock();
-            (machine.newest_committed(), machine.in_force())
+            (
+                machine.newest_committed_configuration(),
+                machine.configuration_in_force(),
+            )
         };
         if version <= in_force {
             return;
@@ -64,7 +67,7 @@
         if now < self.asked_peers_at + ASK_INTERVAL {
             return;
         }
-        let peer = self.lock().peer_with(version, now).cloned();
+        let peer = self.lock().peer_with_configuration(version, now).cloned();
         if let Some(daemon) = peer {
             self.asked_peers_at = now;
             self.send(
--- a/crates/cluster/src/health_report.rs
+++ b/crates/cluster/src/health_report.rs
@@ -16,7 +16,7 @@
             (
                 machine.may_start(now),
                 machine.table_is_fresh(now),
-                machine.peers_vouch(now),
+                machine.is_confirmed_by_majority(now),
             )
         };
         set("jasminebend_cluster_may_start", starts);
--- a/crates/cluster/src/liveness_checks.rs
+++ b/crates/cluster/src/liveness_checks.rs
@@ -42,7 +42,7 @@
                 "[cluster] The daemon of {} is gone: its address refuses.",
                 holder
             );
-            self.lock().observe_gone(holder);
+            self.lock().mark_terminated(holder);
         }
     }
 
@@ -77,7 +77,7 @@
     }
 
     pub(crate) fn observe_absent(&mut self, now: Duration, list: &VmSnapshot) {
-        let silent = self.lock().silent_daemons(now);
+        let silent = self.lock().silent_processes(now);
         let watched = silent.iter().filter_map(|(_, vm)| vm.clone());
         let gone = self.absences.read(now, list, watched);
         for (holder, vm) in silent {
@@ -86,7 +86,7 @@
                     "[cluster] The daemon of {} is gone: its VM left the VM list.",
                     holder
                 );
-                self.lock().observe_gone(holder);
+                self.lock().mark_terminated(holder);
             }
         }
     }
@@ -98,7 +98,7 @@
             return;
         }
         self.reset_due = now + RESET_INTERVAL;
-        let silent = self.lock().silent_peers(now);
+        let silent = self.lock().unresponsive_peer_addresses(now);
         for address in silent {
             self.link.reset(address);
         }
--- a/crates/cluster/src/proposal_steps.rs
+++ b/crates/cluster/src/proposal_steps.rs
@@ -88,10 +88,10 @@
         let current = self.configuration.borrow().clone();
         let obstacle = {
             let machine = self.lock();
-            let behind = machine.newest_committed() > current.version.0;
+            let behind = machine.newest_committed_configuration() > current.version.0;
             if behind || !machine.may_start(now) {
                 Some(RefusalReason::NotCurrent)
-            } else if machine.may_change(now) {
+            } else if machine.can_notify_majority(now) {
                 None
             } else {
                 Some(RefusalReason::TooFewMembers)
@@ -113,13 +113,13 @@
 
     fn announce(&mut self, myself: &ActorRef<ClusterMessage>, mut document: Configuration) {
         let now = self.now();
-        let Some((version, write)) = self.lock().begin_change(now) else {
+        let Some((version, write)) = self.lock().begin_configuration_change(now) else {
             return;
         };
         document.version = ConfigurationVersion(version);
         let value = serde_json::to_vec(&document).unwrap_or_default();
         if value.len() > MAX_DOCUMENT_BYTES {
-            self.lock().cancel_change();
+            self.lock().cancel_configuration_change();
             self.proposals.refuse(RefusalReason::TooLarge {
                 limit: MAX_DOCUMENT_BYTES,
             });
--- a/crates/cluster/src/shared_rows.rs
+++ b/crates/cluster/src/shared_rows.rs
@@ -43,14 +43,14 @@
 /// Reads the shared rows.
 pub(crate) async fn read_snapshot(
     table: &dyn TableService,
-    asked_at: Duration,
+    requested_at: Duration,
 ) -> Result<TableSnapshot, RowError> {
     let rows = table
         .scan(&RowKey::from(PREFIX), None, SCAN_LIMIT)
         .await
         .map_err(RowError::Table)?;
     Ok(TableSnapshot {
-        asked_at,
+        requested_at,
         members: find_row(&rows, MEMBERS)?,
         ownership: find_row(&rows, OWNERSHIP)?,
         configuration: find_row(&rows, CONFIGURATION)?,
--- a/crates/cluster/src/status_report.rs
+++ b/crates/cluster/src/status_report.rs
@@ -30,13 +30,13 @@
     let empty = TableSnapshot::default();
     let table = machine.table().unwrap_or(&empty);
     ClusterStatus {
-        seat: machine.hold().map(|hold| hold.id.seat),
+        seat: machine.held_seat().map(|hold| hold.id.seat),
         may_start: machine.may_start(now),
         table_fresh: machine.table_is_fresh(now),
-        peers_vouch: machine.peers_vouch(now),
-        in_force: ConfigurationVersion(machine.in_force()),
-        accepted: ConfigurationVersion(machine.newest_committed()),
-        announced: ConfigurationVersion(machine.newest_announced()),
+        peers_vouch: machine.is_confirmed_by_majority(now),
+        in_force: ConfigurationVersion(machine.configuration_in_force()),
+        accepted: ConfigurationVersion(machine.newest_committed_configuration()),
+        announced: ConfigurationVersion(machine.newest_known_configuration()),
         members: members_of(machine, table, now),
         domains: domains_of(machine, table, configuration, now),
         slots_unusable: count_unheld(table, &table.ownership.row.slots),
@@ -46,12 +46,12 @@
 
 fn count_unheld(table: &TableSnapshot, entries: &[OwnershipEntry]) -> usize {
     let members = &table.members.row;
-    let held = |entry: &&OwnershipEntry| entry.holder.is_some_and(|id| members.is_seated(id));
+    let held = |entry: &&OwnershipEntry| entry.holder.is_some_and(|id| members.holds_seat(id));
     entries.len() - entries.iter().filter(held).count()
 }
 
 fn members_of(machine: &MemberMachine, table: &TableSnapshot, now: Duration) -> Vec<MemberStatus> {
-    let seats = table.members.row.numbered();
+    let seats = table.members.row.numbered_seats();
     seats
         .filter_map(|(seat, record)| Some((seat, record.holder.as_ref()?)))
         .map(|(seat, holder)| member_of(machine, table, seat, holder, now))
@@ -81,8 +81,10 @@
         peer: holder.daemon.peer.to_string(),
         admin: holder.daemon.admin.map(|address| address.to_string()),
         domain: holder.daemon.domain.clone(),
-        heard: machine.is_heard(seat, now),
-        in_force: machine.peer_in_force(seat, now).map(ConfigurationVersion),
+        heard: machine.has_recent_message(seat, now),
+        in_force: machine
+            .peer_configuration_in_force(seat, now)
+            .map(ConfigurationVersion),
         slots: count(&table.ownership.row.slots),
         shards: count(&table.ownership.row.shards),
     }
@@ -120,11 +122,11 @@
         .shards
         .iter()
         .filter_map(|entry| entry.holder)
-        .filter(|id| table.members.row.is_seated(*id))
+        .filter(|id| table.members.row.holds_seat(*id))
         .map(|id| id.seat)
         .filter(|seat| {
             machine
-                .peer_in_force(*seat, now)
+                .peer_configuration_in_force(*seat, now)
                 .is_none_or(|in_force| in_force < version)
         })
         .collect();
--- a/crates/cluster/src/table_traffic.rs
+++ b/crates/cluster/src/table_traffic.rs
@@ -75,7 +75,7 @@
             CommitEnd::NotRun | CommitEnd::Unknown => self.random.random_range(REFUSAL_PAUSE_MS),
         };
         let now = self.now();
-        self.lock().end_commit(now, Duration::from_millis(pause));
+        self.lock().finish_write(now, Duration::from_millis(pause));
         self.proposals.end_write(end);
         self.tick(myself);
     }
@@ -108,14 +108,14 @@
         _asked_at: Duration,
     ) {
         self.polling = false;
-        let result = result.and_then(|snapshot| match self.lock().accepts(&snapshot) {
+        let result = result.and_then(|snapshot| match self.lock().matches_settings(&snapshot) {
             true => Ok(snapshot),
             false => Err(RowError::OtherSizes),
         });
         self.note_table(result.as_ref().err());
         if let Ok(snapshot) = result {
             let now = self.now();
-            self.lock().read_table(now, snapshot);
+            self.lock().apply_snapshot(now, snapshot);
         }
         self.tick(myself);
     }
--- a/crates/ownership/src/machine_balance.rs
+++ b/crates/ownership/src/machine_balance.rs
@@ -26,7 +26,7 @@
 
 impl MemberMachine {
     /// Records that no work begun on a resource is in progress any more.
-    pub fn end_release(&mut self, resource: ResourceId) {
+    pub fn finish_release(&mut self, resource: ResourceId) {
         if self.releasing.contains_key(&resource) {
             self.released.insert(resource);
         }
@@ -130,7 +130,7 @@
         };
         let row = &table.ownership.row;
         let mut load = load_by_holder(&table.members.row, row, kind);
-        load.retain(|holder, _| self.is_heard(holder.seat, now));
+        load.retain(|holder, _| self.has_recent_message(holder.seat, now));
         let mut excess = Vec::new();
         for (resource, _) in row.held_by(id).filter(|(resource, _)| kind(resource)) {
             let Some((receiver, least)) = least_loaded(&load) else {
--- a/crates/ownership/src/machine_configuration.rs
+++ b/crates/ownership/src/machine_configuration.rs
@@ -15,9 +15,9 @@
 impl MemberMachine {
     /// Begins a change of the configuration, and returns its version and the write that announces
     /// it. The caller adds the document to the write, and reports its completion to
-    /// [`MemberMachine::end_commit`]. Returns `None` if the table was not read recently enough, or
+    /// [`MemberMachine::finish_write`]. Returns `None` if the table was not read recently enough, or
     /// if another write or another change is in progress.
-    pub fn begin_change(&mut self, now: Duration) -> Option<(u64, SharedWrite)> {
+    pub fn begin_configuration_change(&mut self, now: Duration) -> Option<(u64, SharedWrite)> {
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
         let ready = self.may_start(now) && self.may_decide_write(now);
@@ -42,22 +42,22 @@
     }
 
     /// Cancels a change that was begun, before anything of it was written.
-    pub fn cancel_change(&mut self) {
+    pub fn cancel_configuration_change(&mut self) {
         self.write_in_progress = false;
         self.configuration_change = None;
     }
 
     /// Returns whether more than half of the members can be notified of a change now.
-    pub fn may_change(&self, now: Duration) -> bool {
+    pub fn can_notify_majority(&self, now: Duration) -> bool {
         let Some(members) = self.members() else {
             return false;
         };
         let reachable = members
-            .numbered()
+            .numbered_seats()
             .filter(|(seat, record)| {
-                record
-                    .holder_id(*seat)
-                    .is_none_or(|id| self.is_heard(*seat, now) || self.terminated.contains(&id))
+                record.holder_id(*seat).is_none_or(|id| {
+                    self.has_recent_message(*seat, now) || self.terminated.contains(&id)
+                })
             })
             .count();
         reachable * 2 > members.seats.len()
@@ -76,7 +76,7 @@
             .table
             .as_ref()
             .filter(|table| table.configuration.row.version <= version)
-            .map(|table| table.asked_at);
+            .map(|table| table.requested_at);
         if let Some(at) = confirmed {
             self.confirm_configuration(at);
         }
@@ -106,7 +106,7 @@
         if !own && !self.is_change_abandoned(now) {
             return;
         }
-        let asked_at = table.asked_at;
+        let requested_at = table.requested_at;
         let mut change = self
             .configuration_change
             .filter(|change| change.version == intent.version)
@@ -121,7 +121,7 @@
             self.last_ask_at = None;
         }
         self.configuration_change = Some(change);
-        self.poll_requested |= asked_at <= intent_seen_at;
+        self.poll_requested |= requested_at <= intent_seen_at;
     }
 
     /// Returns whether the announced change has been pending for so long that this daemon finishes
@@ -140,7 +140,7 @@
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
         let announced = header.intent?.version == change.version;
-        let seats_read_after_intent = table.asked_at > change.intent_seen_at?
+        let seats_read_after_intent = table.requested_at > change.intent_seen_at?
             || !self
                 .settings
                 .guards
--- a/crates/ownership/src/machine_peers.rs
+++ b/crates/ownership/src/machine_peers.rs
@@ -33,7 +33,7 @@
 impl MemberMachine {
     /// Handles a message from a peer, and returns the answer. A message from a process that lost
     /// its seat changes nothing, but is answered, so that its sender learns of the loss.
-    pub fn receive(&mut self, now: Duration, message: PeerMessage) -> Vec<MemberAction> {
+    pub fn handle_message(&mut self, now: Duration, message: PeerMessage) -> Vec<MemberAction> {
         if message.to != self.daemon.nonce || message.from.0 >= self.settings.seats {
             return Vec::new();
         }
@@ -127,7 +127,9 @@
     /// Returns what this daemon reports to its peers.
     fn report(&self) -> PeerReport {
         let heard = (0..self.settings.seats.min(64))
-            .filter(|seat| self.is_heard(SeatNumber(*seat), self.last_ask_at.unwrap_or_default()))
+            .filter(|seat| {
+                self.has_recent_message(SeatNumber(*seat), self.last_ask_at.unwrap_or_default())
+            })
             .fold(0u64, |bits, seat| bits | 1 << seat);
         PeerReport {
             seats: self.known_epochs.seats.clone(),
@@ -208,7 +210,7 @@
     pub(crate) fn send_asks_if_due(&mut self, now: Duration, actions: &mut Vec<MemberAction>) {
         let due = self
             .last_ask_at
-            .is_none_or(|at| now >= at.saturating_add(self.heartbeat()));
+            .is_none_or(|at| now >= at.saturating_add(self.scaled_heartbeat_interval()));
         let Some((from, epoch)) = self.sender_identity().filter(|_| due) else {
             return;
         };
@@ -240,8 +242,8 @@
 
     /// Returns the interval between two asks. Each daemon asks every other one, so among many
     /// members they ask less often, which bounds the bytes that each sends.
-    fn heartbeat(&self) -> Duration {
-        self.settings.heartbeat * self.interval_factor()
+    fn scaled_heartbeat_interval(&self) -> Duration {
+        self.settings.heartbeat_interval * self.interval_factor()
     }
 
     /// Returns the duration of silence after which a daemon is probed; it allows for some lost
@@ -314,8 +316,11 @@
             return Vec::new();
         };
         let mut targets = Vec::new();
-        for (seat, record) in members.numbered() {
-            let sitting = record.holder.iter().filter(|_| !self.is_heard(seat, now));
+        for (seat, record) in members.numbered_seats() {
+            let sitting = record
+                .holder
+                .iter()
+                .filter(|_| !self.has_recent_message(seat, now));
             let former = record.former.iter().map(|former| &former.holder);
             for holder in sitting.chain(former) {
                 let id = HolderId {
--- a/crates/ownership/src/machine_queries.rs
+++ b/crates/ownership/src/machine_queries.rs
@@ -30,7 +30,7 @@
     }
 
     /// Returns the resources on which this daemon may act now, with their epochs.
-    pub fn held(&self, now: Duration) -> Vec<(ResourceId, OwnerEpoch)> {
+    pub fn usable_resources(&self, now: Duration) -> Vec<(ResourceId, OwnerEpoch)> {
         let (Some(held_seat), Some(table)) = (self.held_seat, &self.table) else {
             return Vec::new();
         };
@@ -65,7 +65,7 @@
         };
         self.participating
             && self.known_epochs.seat(held_seat.id.seat) == held_seat.epoch
-            && (self.table_is_fresh(now) || self.peers_vouch(now))
+            && (self.table_is_fresh(now) || self.is_confirmed_by_majority(now))
             && self.configuration_is_fresh(now)
     }
 
@@ -73,12 +73,12 @@
     pub fn table_is_fresh(&self, now: Duration) -> bool {
         self.table
             .as_ref()
-            .is_some_and(|table| self.is_fresh(table.asked_at, now))
+            .is_some_and(|table| self.is_fresh(table.requested_at, now))
     }
 
     /// Returns whether more than half of the members, this one included, currently confirm that
     /// they know no newer epoch.
-    pub fn peers_vouch(&self, now: Duration) -> bool {
+    pub fn is_confirmed_by_majority(&self, now: Duration) -> bool {
         let valid_confirmations = self.valid_confirmations(now).count() + 1;
         if !self.settings.guards.is_enabled(Guard::ConfirmationMajority) {
             return valid_confirmations > 1;
@@ -97,22 +97,22 @@
     }
 
     /// Returns the configuration version by which this daemon acts.
-    pub fn in_force(&self) -> u64 {
+    pub fn configuration_in_force(&self) -> u64 {
         self.in_force
     }
 
     /// Returns the newest configuration version that is known to be committed.
-    pub fn newest_committed(&self) -> u64 {
+    pub fn newest_committed_configuration(&self) -> u64 {
         self.known_epochs.committed_configuration
     }
 
     /// Returns the newest configuration version that is known to be announced or committed.
-    pub fn newest_announced(&self) -> u64 {
+    pub fn newest_known_configuration(&self) -> u64 {
         self.known_epochs.announced_configuration
     }
 
     /// Returns the seat that this daemon holds; `None` if it holds none.
-    pub fn hold(&self) -> Option<HeldSeat> {
+    pub fn held_seat(&self) -> Option<HeldSeat> {
         self.held_seat
     }
 
@@ -123,7 +123,7 @@
 
     /// Returns the configuration version by which a seat's daemon acts; `None` if no message was
     /// received from it recently.
-    pub fn peer_in_force(&self, seat: SeatNumber, now: Duration) -> Option<u64> {
+    pub fn peer_configuration_in_force(&self, seat: SeatNumber, now: Duration) -> Option<u64> {
         if self
             .held_seat
             .is_some_and(|held_seat| held_seat.id.seat == seat)
@@ -131,13 +131,13 @@
             return Some(self.in_force);
         }
         let confirmation = self.confirmations.get(usize::from(seat.0))?;
-        (confirmation.epoch >= self.known_epochs.seat(seat) && self.is_heard(seat, now))
+        (confirmation.epoch >= self.known_epochs.seat(seat) && self.has_recent_message(seat, now))
             .then_some(confirmation.in_force)
     }
 
     /// Returns whether a message from a seat's daemon was received recently; always true for this
     /// daemon's own seat.
-    pub fn is_heard(&self, seat: SeatNumber, now: Duration) -> bool {
+    pub fn has_recent_message(&self, seat: SeatNumber, now: Duration) -> bool {
         if self
             .held_seat
             .is_some_and(|held_seat| held_seat.id.seat == seat)
@@ -180,8 +180,8 @@
     /// Returns whether less than the validity period has passed since a time. The period is reduced
     /// by the drift margin, as this clock may be slow.
     fn is_fresh(&self, since: Duration, now: Duration) -> bool {
-        let drift_margin = self.drift_margin(self.settings.freshness);
-        now < since.saturating_add(self.settings.freshness.saturating_sub(drift_margin))
+        let drift_margin = self.drift_margin(self.settings.validity_period);
+        now < since.saturating_add(self.settings.validity_period.saturating_sub(drift_margin))
     }
 
     /// Returns the margin for clock drift over a duration.
--- a/crates/ownership/src/machine_release_all.rs
+++ b/crates/ownership/src/machine_release_all.rs
@@ -31,7 +31,7 @@
         // before it.
         let read_since = self
             .seat_lost_at
-            .is_some_and(|seat_lost_at| table.asked_at > seat_lost_at);
+            .is_some_and(|seat_lost_at| table.requested_at > seat_lost_at);
         if !has_unreleased && read_since && row == table.ownership.row {
             self.lost_holder_id = None;
             self.releasing.clear();
--- a/crates/ownership/src/machine_seat.rs
+++ b/crates/ownership/src/machine_seat.rs
@@ -41,7 +41,7 @@
             return self.take_empty_seat_write(members, seat);
         }
         let seat = members
-            .numbered()
+            .numbered_seats()
             .find(|(seat, record)| {
                 record
                     .holder_id(*seat)
@@ -55,7 +55,7 @@
     /// Returns the seat of a process that listened at this process's address. Since this process
     /// listens there now, the other one has terminated.
     fn seat_at_own_address(&self, members: &MembersRow) -> Option<(SeatNumber, HolderId)> {
-        members.numbered().find_map(|(seat, record)| {
+        members.numbered_seats().find_map(|(seat, record)| {
             let holder = record.holder.as_ref()?;
             let same = holder.daemon.peer == self.daemon.peer;
             let other = holder.daemon.nonce != self.daemon.nonce;
@@ -66,7 +66,7 @@
     /// Returns the first empty seat without a pending change.
     fn find_empty_seat(&self, members: &MembersRow, now: Duration) -> Option<SeatNumber> {
         members
-            .numbered()
+            .numbered_seats()
             .find(|(seat, record)| record.holder.is_none() && self.accepts_new_intent(*seat, now))
             .map(|(seat, _)| seat)
     }
@@ -140,7 +140,7 @@
         }
         let members = self.members()?.clone();
         let seat = members
-            .numbered()
+            .numbered_seats()
             .find(|(seat, record)| self.may_evict(*seat, record, now))
             .map(|(seat, _)| seat)?;
         let reachable = self.count_reachable(&members, seat, now);
@@ -160,7 +160,7 @@
             return false;
         };
         let own = self.held_seat.is_some_and(|held_seat| held_seat.id == id);
-        if own || self.is_heard(seat, now) || !self.accepts_new_intent(seat, now) {
+        if own || self.has_recent_message(seat, now) || !self.accepts_new_intent(seat, now) {
             return false;
         }
         let delay = DELAY_PER_RANK * self.rank(now);
@@ -185,11 +185,11 @@
     /// have terminated.
     fn count_reachable(&self, members: &MembersRow, target: SeatNumber, now: Duration) -> usize {
         members
-            .numbered()
+            .numbered_seats()
             .filter(|(seat, record)| {
                 *seat != target
                     && record.holder_id(*seat).is_none_or(|id| {
-                        self.is_heard(*seat, now) || self.is_presumed_terminated(id)
+                        self.has_recent_message(*seat, now) || self.is_presumed_terminated(id)
                     })
             })
             .count()
--- a/crates/ownership/src/machine_seat_commit.rs
+++ b/crates/ownership/src/machine_seat_commit.rs
@@ -95,7 +95,10 @@
         let (Some(members), Some(first_ask_number)) = (self.members(), first_ask_number) else {
             return count;
         };
-        for (seat, record) in members.numbered().filter(|(seat, _)| Some(*seat) != target) {
+        for (seat, record) in members
+            .numbered_seats()
+            .filter(|(seat, _)| Some(*seat) != target)
+        {
             let answered = self.has_answered(seat, record, first_ask_number);
             let terminated = record
                 .holder_id(seat)
@@ -108,7 +111,7 @@
     }
 
     /// Returns whether a seat is empty, is this daemon's own, or its daemon answered an `Ask`
-    /// message numbered `told_from` or higher.
+    /// message numbered `first_ask_number` or higher.
     fn has_answered(&self, seat: SeatNumber, record: &SeatRecord, first_ask_number: u64) -> bool {
         let Some(holder) = &record.holder else {
             return true;
@@ -134,7 +137,8 @@
         }
         let majority_notified_at = seat_change.majority_notified_at?;
         let waited = now
-            >= majority_notified_at.saturating_add(self.with_drift_margin(self.settings.freshness));
+            >= majority_notified_at
+                .saturating_add(self.with_drift_margin(self.settings.validity_period));
         let needless = self.can_skip_wait(&seat_change);
         if !waited
             && !needless
--- a/crates/ownership/src/machine_table.rs
+++ b/crates/ownership/src/machine_table.rs
@@ -24,8 +24,8 @@
 impl MemberMachine {
     /// Applies a poll of the table that completed now. A snapshot that does not match the settings
     /// is ignored.
-    pub fn read_table(&mut self, now: Duration, snapshot: TableSnapshot) {
-        if !self.accepts(&snapshot) {
+    pub fn apply_snapshot(&mut self, now: Duration, snapshot: TableSnapshot) {
+        if !self.matches_settings(&snapshot) {
             return;
         }
         self.merge_snapshot(now, snapshot);
@@ -43,7 +43,7 @@
     /// Returns whether the rows have as many seats, slot shares and shards as this daemon's
     /// settings. A daemon with other settings would count majorities differently, so it must not
     /// take part.
-    pub fn accepts(&self, snapshot: &TableSnapshot) -> bool {
+    pub fn matches_settings(&self, snapshot: &TableSnapshot) -> bool {
         let (members, ownership) = (&snapshot.members, &snapshot.ownership);
         let seats = members.row.seats.len() == usize::from(self.settings.seats);
         let slots = ownership.row.slots.len() == usize::from(self.settings.slot_shares);
@@ -54,7 +54,7 @@
     /// Records that the last write ended, whatever its outcome; the next read shows the outcome. No
     /// further write is made for the duration `pause`, which reduces the load on a table that
     /// refused.
-    pub fn end_commit(&mut self, now: Duration, pause: Duration) {
+    pub fn finish_write(&mut self, now: Duration, pause: Duration) {
         self.write_in_progress = false;
         self.last_write_ended_at = Some(now);
         self.writes_paused_until = now.saturating_add(pause);
@@ -75,7 +75,7 @@
     /// itself as the holder again.
     fn merge_snapshot(&mut self, now: Duration, mut snapshot: TableSnapshot) {
         if !self.settings.guards.is_enabled(Guard::ReadAgeFromRequest) {
-            snapshot.asked_at = now;
+            snapshot.requested_at = now;
         }
         let Some(table) = &mut self.table else {
             self.table = Some(snapshot);
@@ -88,13 +88,13 @@
         keep_newer(&mut table.members, snapshot.members);
         keep_newer(&mut table.ownership, snapshot.ownership);
         keep_newer(&mut table.configuration, snapshot.configuration);
-        table.asked_at = table.asked_at.max(snapshot.asked_at);
+        table.requested_at = table.requested_at.max(snapshot.requested_at);
     }
 
     /// Applies the members' row: epochs, seat holders, announced changes, rejected evictions and
     /// replaced processes.
     fn apply_members(&mut self, now: Duration, members: &MembersRow) {
-        for (seat, record) in members.numbered() {
+        for (seat, record) in members.numbered_seats() {
             self.known_epochs.raise_seat(seat, record.newest_epoch());
             let index = usize::from(seat.0);
             if index >= self.last_received.len() {
@@ -137,7 +137,7 @@
     /// processes cannot listen at one address. This lets daemons take their seats after all of them
     /// were replaced at once.
     fn mark_replaced_terminated(&mut self, members: &MembersRow) {
-        for (seat, record) in members.numbered() {
+        for (seat, record) in members.numbered_seats() {
             let former = record.former.iter().map(|former| &former.holder);
             for holder in record.holder.iter().chain(former) {
                 if is_replaced(members, &holder.daemon) {
@@ -156,7 +156,7 @@
         self.known_epochs
             .raise_configuration(header.newest_version(), header.version);
         if header.version <= self.in_force {
-            self.confirm_configuration(table.asked_at);
+            self.confirm_configuration(table.requested_at);
         }
         let announced = header.intent.map_or(0, |intent| intent.version);
         if self.configuration_intent_seen.0 != announced {
@@ -177,7 +177,7 @@
         }
         let read_since = self
             .seat_first_seen_at
-            .is_some_and(|seated| table.asked_at >= seated);
+            .is_some_and(|seated| table.requested_at >= seated);
         self.participating |= self.held_seat.is_some() && read_since;
     }
 
@@ -204,7 +204,7 @@
     }
 
     fn find_own_seat(&self, members: &MembersRow) -> Option<HeldSeat> {
-        members.numbered().find_map(|(seat, record)| {
+        members.numbered_seats().find_map(|(seat, record)| {
             let holder = record.holder.as_ref()?;
             (holder.daemon.nonce == self.daemon.nonce).then_some(HeldSeat {
                 id: HolderId {
@@ -251,7 +251,8 @@
         let Some(held_seat) = self.held_seat else {
             return u32::from(self.settings.seats);
         };
-        let before = (0..held_seat.id.seat.0).filter(|seat| self.is_heard(SeatNumber(*seat), now));
+        let before =
+            (0..held_seat.id.seat.0).filter(|seat| self.has_recent_message(SeatNumber(*seat), now));
         before.map(|_| 1).sum()
     }
 }
--- a/crates/ownership/src/member_action.rs
+++ b/crates/ownership/src/member_action.rs
@@ -21,11 +21,11 @@
         message: PeerMessage,
     },
     /// Commit a transaction on the table, and report its completion to
-    /// [`crate::MemberMachine::end_commit`].
+    /// [`crate::MemberMachine::finish_write`].
     Commit(SharedWrite),
     /// Read the shared rows now.
     Poll,
-    /// Probe whether a process has terminated, and report to [`crate::MemberMachine::observe_gone`]
+    /// Probe whether a process has terminated, and report to [`crate::MemberMachine::mark_terminated`]
     /// if it has.
     Probe {
         /// The identity of the process.
@@ -34,6 +34,6 @@
         address: SocketAddr,
     },
     /// Wait until no work begun on the resource is in progress, and report to
-    /// [`crate::MemberMachine::end_release`].
+    /// [`crate::MemberMachine::finish_release`].
     Release(ResourceId),
 }
--- a/crates/ownership/src/member_machine.rs
+++ b/crates/ownership/src/member_machine.rs
@@ -179,7 +179,7 @@
 
     /// Records that a process is known to have terminated: its address refuses connections, or its
     /// VM has long been absent from the VM list. Silence alone is no reason to call this.
-    pub fn observe_gone(&mut self, holder: HolderId) {
+    pub fn mark_terminated(&mut self, holder: HolderId) {
         if self
             .held_seat
             .is_none_or(|held_seat| held_seat.id != holder)
@@ -234,20 +234,23 @@
     pub fn has_settled_write(&self) -> bool {
         let read = self.table.as_ref().is_some_and(|table| {
             self.last_write_ended_at
-                .is_none_or(|ended_at| table.asked_at > ended_at)
+                .is_none_or(|ended_at| table.requested_at > ended_at)
         });
         read && !self.write_in_progress
     }
 
     /// Returns the members from which no message was received recently and the processes that lost
     /// their seats, with the VMs on which they run.
-    pub fn silent_daemons(&self, now: Duration) -> Vec<(HolderId, Option<VmName>)> {
+    pub fn silent_processes(&self, now: Duration) -> Vec<(HolderId, Option<VmName>)> {
         let Some(members) = self.members() else {
             return Vec::new();
         };
         let mut silent = Vec::new();
-        for (seat, record) in members.numbered() {
-            let sitting = record.holder.iter().filter(|_| !self.is_heard(seat, now));
+        for (seat, record) in members.numbered_seats() {
+            let sitting = record
+                .holder
+                .iter()
+                .filter(|_| !self.has_recent_message(seat, now));
             let former = record.former.iter().map(|former| &former.holder);
             silent.extend(sitting.chain(former).map(|holder| {
                 let id = HolderId {
@@ -261,13 +264,13 @@
     }
 
     /// Returns the daemon of another member that acts by this configuration version or a newer one.
-    pub fn peer_with(&self, version: u64, now: Duration) -> Option<&DaemonRecord> {
+    pub fn peer_with_configuration(&self, version: u64, now: Duration) -> Option<&DaemonRecord> {
         let own = self.held_seat.map(|held_seat| held_seat.id.seat);
-        let members = self.members()?.numbered();
+        let members = self.members()?.numbered_seats();
         members
             .filter(|(seat, _)| Some(*seat) != own)
             .filter(|(seat, _)| {
-                self.peer_in_force(*seat, now)
+                self.peer_configuration_in_force(*seat, now)
                     .is_some_and(|in_force| in_force >= version)
             })
             .find_map(|(_, record)| record.holder.as_ref())
@@ -277,19 +280,20 @@
     /// Returns the addresses of the members from which no message, or no answer, was received
     /// recently. A member whose messages arrive does not necessarily receive those of this daemon:
     /// each sends on a connection of its own.
-    pub fn silent_peers(&self, now: Duration) -> Vec<SocketAddr> {
+    pub fn unresponsive_peer_addresses(&self, now: Duration) -> Vec<SocketAddr> {
         let Some(members) = self.members() else {
             return Vec::new();
         };
         members
-            .numbered()
+            .numbered_seats()
             .filter(|(seat, _)| {
                 self.held_seat
                     .is_none_or(|held_seat| held_seat.id.seat != *seat)
             })
             .filter_map(|(seat, record)| Some((seat, &record.holder.as_ref()?.daemon)))
             .filter(|(seat, daemon)| {
-                !self.is_heard(*seat, now) || !self.is_answered_by(*seat, daemon.nonce, now)
+                !self.has_recent_message(*seat, now)
+                    || !self.is_answered_by(*seat, daemon.nonce, now)
             })
             .map(|(_, daemon)| daemon.peer)
             .collect()
--- a/crates/ownership/src/members_row.rs
+++ b/crates/ownership/src/members_row.rs
@@ -37,18 +37,18 @@
     }
 
     /// Returns the seats with their numbers.
-    pub fn numbered(&self) -> impl Iterator<Item = (SeatNumber, &SeatRecord)> {
+    pub fn numbered_seats(&self) -> impl Iterator<Item = (SeatNumber, &SeatRecord)> {
         (0u8..).map(SeatNumber).zip(&self.seats)
     }
 
     /// Returns the identities of the processes that hold seats.
     pub fn holder_ids(&self) -> impl Iterator<Item = HolderId> {
-        self.numbered()
+        self.numbered_seats()
             .filter_map(|(seat, record)| record.holder_id(seat))
     }
 
     /// Returns whether a process still holds its seat.
-    pub fn is_seated(&self, id: HolderId) -> bool {
+    pub fn holds_seat(&self, id: HolderId) -> bool {
         self.seat(id.seat)
             .and_then(|record| record.holder_id(id.seat))
             == Some(id)
@@ -61,6 +61,6 @@
         let known = self
             .seat(id.seat)
             .is_some_and(|record| record.epoch >= id.incarnation);
-        known && !self.is_seated(id)
+        known && !self.holds_seat(id)
     }
 }
--- a/crates/ownership/src/ownership_settings.rs
+++ b/crates/ownership/src/ownership_settings.rs
@@ -15,11 +15,11 @@
     /// The number of shards.
     pub shards: u16,
     /// How long a daemon may act on a read of the table or on a peer's confirmation.
-    pub freshness: Duration,
+    pub validity_period: Duration,
     /// The margin for clock drift, in thousandths of a duration.
     pub drift_permille: u32,
     /// The interval at which peers are asked.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// The duration of silence after which a process is probed.
     pub probe_after: Duration,
     /// The duration of silence after which a daemon may be evicted from its seat.
@@ -43,9 +43,9 @@
             seats,
             slot_shares,
             shards,
-            freshness: Duration::from_secs(2),
+            validity_period: Duration::from_secs(2),
             drift_permille: 20,
-            heartbeat: Duration::from_millis(300),
+            heartbeat_interval: Duration::from_millis(300),
             probe_after: Duration::from_millis(1_200),
             evict_after: Duration::from_secs(3),
             eviction_retry_delay: Duration::from_secs(30),
--- a/crates/ownership/src/table_snapshot.rs
+++ b/crates/ownership/src/table_snapshot.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct TableSnapshot {
     /// When the poll was sent, on the reader's clock. The rows are at least as new as this.
-    pub asked_at: Duration,
+    pub requested_at: Duration,
     /// The members' row.
     pub members: VersionedRow<MembersRow>,
     /// The resources' row.
--- a/crates/ownership/tests/simulation/network.rs
+++ b/crates/ownership/tests/simulation/network.rs
@@ -57,7 +57,7 @@
             return;
         }
         let now = self.local_time(pid);
-        let actions = self.processes[pid].machine.receive(now, message);
+        let actions = self.processes[pid].machine.handle_message(now, message);
         self.execute_actions(pid, actions);
         if self.processes[pid].machine.wants_tick() {
             self.tick_process(pid);
@@ -88,7 +88,7 @@
             return;
         }
         let snapshot = TableSnapshot {
-            asked_at: local_now,
+            requested_at: local_now,
             ..TableSnapshot::default()
         };
         let delay = self.random_delay_ms();
@@ -123,7 +123,7 @@
         self.processes[pid].polls_in_progress -= 1;
         if let Some(snapshot) = snapshot {
             let now = self.local_time(pid);
-            self.processes[pid].machine.read_table(now, snapshot);
+            self.processes[pid].machine.apply_snapshot(now, snapshot);
         }
         self.tick_process(pid);
     }
--- a/crates/ownership/tests/simulation/simulation.rs
+++ b/crates/ownership/tests/simulation/simulation.rs
@@ -216,11 +216,12 @@
         let mut held = 0;
         for (address, pid) in &self.process_by_address {
             let machine = &self.processes[*pid].machine;
-            let ready = machine.may_start(self.local_time(*pid)) && machine.in_force() == version;
+            let ready = machine.may_start(self.local_time(*pid))
+                && machine.configuration_in_force() == version;
             if !ready {
                 return Err(Violation::NotRecovered { address: *address });
             }
-            held += machine.held(self.local_time(*pid)).len();
+            held += machine.usable_resources(self.local_time(*pid)).len();
         }
         match held == usize::from(SLOT_SHARE_COUNT + SHARD_COUNT) {
             true => Ok(()),
@@ -300,11 +301,11 @@
             Event::CommitEnded(pid, pause) => {
                 let now = self.local_time(pid);
                 let pause = Duration::from_millis(pause);
-                self.processes[pid].machine.end_commit(now, pause);
+                self.processes[pid].machine.finish_write(now, pause);
                 self.tick_process(pid);
             }
             Event::DeliverMessage(to, message) => self.deliver_message(to, message),
-            Event::ProbeRefused(pid, holder) => self.processes[pid].machine.observe_gone(holder),
+            Event::ProbeRefused(pid, holder) => self.processes[pid].machine.mark_terminated(holder),
             Event::CheckRelease(pid, resource) => self.check_release(pid, resource),
             Event::UseResources(pid) => self.use_resources(pid),
             Event::RequestArrival(pid, resource, epoch, length) => {
@@ -393,7 +394,7 @@
             .invariant_checker
             .has_no_request(self.now_ms, pid, resource)
         {
-            self.processes[pid].machine.end_release(resource);
+            self.processes[pid].machine.finish_release(resource);
             self.tick_process(pid);
         } else {
             self.schedule(100, Event::CheckRelease(pid, resource));
@@ -405,8 +406,8 @@
     fn use_resources(&mut self, pid: usize) {
         self.schedule(40, Event::UseResources(pid));
         let now = self.local_time(pid);
-        let in_force = self.processes[pid].machine.in_force();
-        for (resource, epoch) in self.processes[pid].machine.held(now) {
+        let in_force = self.processes[pid].machine.configuration_in_force();
+        for (resource, epoch) in self.processes[pid].machine.usable_resources(now) {
             self.invariant_checker
                 .check_use(self.now_ms, pid, resource, epoch.0, in_force);
             if self.chance_percent(10) {
@@ -423,14 +424,16 @@
     fn fetch_configuration(&mut self, pid: usize) {
         let now = self.local_time(pid);
         let process = &self.processes[pid];
-        let version = process.machine.newest_committed();
-        if version <= process.machine.in_force() || process.fetching_version >= version {
+        let version = process.machine.newest_committed_configuration();
+        if version <= process.machine.configuration_in_force()
+            || process.fetching_version >= version
+        {
             return;
         }
         let address = process.address;
         let from_peer = process
             .machine
-            .peer_with(version, now)
+            .peer_with_configuration(version, now)
             .is_some_and(|peer| !self.blocked_links.contains(&(address, peer.peer.port())));
         if from_peer || !self.without_table.contains(&address) {
             self.processes[pid].fetching_version = version;
@@ -447,9 +450,9 @@
             return;
         };
         let now = self.local_time(pid);
-        let majority_reachable = self.processes[pid].machine.may_change(now);
+        let majority_reachable = self.processes[pid].machine.can_notify_majority(now);
         if (majority_reachable || !self.guards.is_enabled(Guard::NotifyConfigurationMajority))
-            && let Some((_, write)) = self.processes[pid].machine.begin_change(now)
+            && let Some((_, write)) = self.processes[pid].machine.begin_configuration_change(now)
         {
             self.start_commit(pid, write);
         }
--- a/crates/ownership/tests/state_machine.rs
+++ b/crates/ownership/tests/state_machine.rs
@@ -54,7 +54,7 @@
         });
     }
     TableSnapshot {
-        asked_at: Duration::from_secs(second),
+        requested_at: Duration::from_secs(second),
         members: VersionedRow {
             version: Some(version),
             row,
@@ -66,7 +66,7 @@
 /// Returns the snapshot with a configuration header: the version in force and the announced one.
 fn with_header(mut snapshot: TableSnapshot, version: u64, announced: Option<u64>) -> TableSnapshot {
     snapshot.configuration = VersionedRow {
-        version: Some(snapshot.asked_at.as_secs()),
+        version: Some(snapshot.requested_at.as_secs()),
         row: ConfigurationHeader {
             version,
             intent: announced.map(|version| ConfigurationIntent {
@@ -105,7 +105,7 @@
         (GuardSet::new().without(Guard::ReadBeforeParticipating), 1),
     ] {
         let mut machine = new_machine(guards);
-        machine.read_table(
+        machine.apply_snapshot(
             Duration::from_secs(2),
             table_snapshot(1, 1, &[SELF_NONCE, PEER_NONCE]),
         );
@@ -113,13 +113,13 @@
             number: 1,
             report: PeerReport::default(),
         };
-        let actions = machine.receive(Duration::from_secs(2), peer_message(ask.clone()));
+        let actions = machine.handle_message(Duration::from_secs(2), peer_message(ask.clone()));
         assert_eq!(actions.len(), expected_answers, "{guards:?}");
-        machine.read_table(
+        machine.apply_snapshot(
             Duration::from_secs(4),
             table_snapshot(3, 1, &[SELF_NONCE, PEER_NONCE]),
         );
-        let actions = machine.receive(Duration::from_secs(4), peer_message(ask));
+        let actions = machine.handle_message(Duration::from_secs(4), peer_message(ask));
         assert_eq!(
             actions.len(),
             1,
@@ -139,26 +139,26 @@
     ] {
         let mut machine = new_machine(guards);
         let seconds = Duration::from_secs;
-        machine.read_table(
+        machine.apply_snapshot(
             seconds(1),
             with_header(table_snapshot(1, 1, &[SELF_NONCE]), 0, None),
         );
-        machine.read_table(
+        machine.apply_snapshot(
             seconds(2),
             with_header(table_snapshot(2, 1, &[SELF_NONCE]), 0, None),
         );
-        let (version, _) = machine.begin_change(seconds(2)).unwrap();
-        machine.end_commit(seconds(3), Duration::ZERO);
+        let (version, _) = machine.begin_configuration_change(seconds(2)).unwrap();
+        machine.finish_write(seconds(3), Duration::ZERO);
         let shown = with_header(table_snapshot(4, 1, &[SELF_NONCE]), 0, Some(version));
-        machine.read_table(seconds(5), shown);
+        machine.apply_snapshot(seconds(5), shown);
         assert_eq!(
             commits_header(&mut machine, seconds(5)),
             expected_commit,
             "{guards:?}"
         );
-        machine.end_commit(seconds(5), Duration::ZERO);
+        machine.finish_write(seconds(5), Duration::ZERO);
         let later = with_header(table_snapshot(6, 1, &[SELF_NONCE]), 0, Some(version));
-        machine.read_table(seconds(6), later);
+        machine.apply_snapshot(seconds(6), later);
         assert!(expected_commit || commits_header(&mut machine, seconds(6)));
     }
 }
@@ -181,20 +181,23 @@
     ] {
         let mut machine = new_machine(guards);
         let seconds = Duration::from_secs;
-        machine.read_table(seconds(1), table_snapshot(1, 1, &[SELF_NONCE, PEER_NONCE]));
-        machine.read_table(seconds(3), table_snapshot(2, 1, &[SELF_NONCE, PEER_NONCE]));
+        machine.apply_snapshot(seconds(1), table_snapshot(1, 1, &[SELF_NONCE, PEER_NONCE]));
+        machine.apply_snapshot(seconds(3), table_snapshot(2, 1, &[SELF_NONCE, PEER_NONCE]));
         machine.tick(seconds(4));
         let answer = PeerBody::Answer {
             number: 1,
             report: PeerReport::default(),
         };
-        machine.receive(seconds(4), peer_message(answer));
-        assert!(machine.peers_vouch(seconds(5)), "the peer holds its seat");
+        machine.handle_message(seconds(4), peer_message(answer));
+        assert!(
+            machine.is_confirmed_by_majority(seconds(5)),
+            "the peer holds its seat"
+        );
         let mut changed_holder = table_snapshot(3, 2, &[SELF_NONCE, 9]);
         changed_holder.members.row.seats[1].epoch = 2;
-        machine.read_table(seconds(5), changed_holder);
+        machine.apply_snapshot(seconds(5), changed_holder);
         assert_eq!(
-            machine.peers_vouch(seconds(5)),
+            machine.is_confirmed_by_majority(seconds(5)),
             expected_confirmed,
             "{guards:?}"
         );
@@ -222,7 +225,7 @@
             row: ownership.clone(),
         };
         let now = Duration::from_secs(second + 1);
-        machine.read_table(now, torn);
+        machine.apply_snapshot(now, torn);
         let actions = machine.tick(now);
         let commits = |action: &MemberAction| matches!(action, MemberAction::Commit(_));
         assert!(!actions.iter().any(commits), "{actions:?}");
