--- a/crates/routing/benches/queue_order.rs
+++ b/crates/routing/benches/queue_order.rs
@@ -167,13 +167,9 @@
         refuses,
     };
     let policies = [
-        policy("first in, no refusal", QueueOrder::FirstInFirstOut, false),
-        policy("first in, refusal", QueueOrder::FirstInFirstOut, true),
-        policy(
-            "adaptive last in, refusal",
-            QueueOrder::AdaptiveLastIn,
-            true,
-        ),
+        policy("first in, no refusal", QueueOrder::Fifo, false),
+        policy("first in, refusal", QueueOrder::Fifo, true),
+        policy("adaptive last in, refusal", QueueOrder::AdaptiveLifo, true),
         policy(
             "earliest deadline, no refusal",
             QueueOrder::EarliestDeadline,
--- a/crates/routing/src/admission_rule.rs
+++ b/crates/routing/src/admission_rule.rs
@@ -1,40 +1,42 @@
-//! Whether a request may wait for a slot.
+//! Admission control for requests that find no free slot.
 
 use std::time::Duration;
 
-/// Whether a request may wait.
+/// Decision on a request that finds no free slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
-    /// It may: its target can be met.
+    /// Queue the request: it is expected to meet its target.
     Wait,
-    /// It may not.
+    /// Reject the request.
     Refuse {
-        /// When a slot is likely to be free for it, counted from now.
+        /// Expected time until a slot is free for it, after which the caller may retry.
         retry_after: Duration,
     },
 }
 
-/// What the decision whether a request may wait rests on.
+/// Admission control based on the current load and the mean service time.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRule {
-    /// The slots that this daemon holds, busy ones included.
+    /// Number of slots, busy ones included, that this daemon can send requests to.
     pub slots: usize,
-    /// The requests that wait already.
+    /// Number of requests in the queue.
     pub waiting: usize,
-    /// The mean time that a request holds a slot.
+    /// Mean time for which a request occupies a slot.
     pub service_time: Duration,
 }
 
 impl AdmissionRule {
-    /// Returns how long one more request is likely to wait.
+    /// Returns the expected time in the queue for one more request.
     pub fn expected_wait(&self) -> Duration {
-        let ahead = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
+        let queue_position = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
-        self.service_time.saturating_mul(ahead) / slots
+        self.service_time.saturating_mul(queue_position) / slots
     }
 
-    /// Decides on a request that is to be answered within `left` from now. One that would miss its
-    /// target is refused at once: it would only take a slot from one that can still meet it.
+    /// Decides whether to queue a request whose target is `left` away from now.
+    ///
+    /// A request that is expected to miss its target is rejected at once: it would only occupy a
+    /// slot that another request could use to meet its own target.
     pub fn decide(&self, left: Duration) -> Admission {
         let wait = self.expected_wait();
         if self.slots > 0 && wait + self.service_time <= left {
--- a/crates/routing/src/endpoint_score.rs
+++ b/crates/routing/src/endpoint_score.rs
@@ -1,83 +1,89 @@
-//! What is known of an endpoint when one is picked.
+//! Per-endpoint statistics for load balancing.
 
 use std::time::Duration;
 
-const ERROR_WEIGHT: f64 = 0.1;
-const LATENCY_WEIGHT: f64 = 0.1;
-const ERROR_PENALTY: f64 = 20.0;
+const ERROR_RATE_EWMA_WEIGHT: f64 = 0.1;
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
+/// An endpoint whose error rate is 1 costs `1 + ERROR_RATE_COST_FACTOR` times its base cost.
+const ERROR_RATE_COST_FACTOR: f64 = 20.0;
 
-/// What is known of an endpoint when one is picked: the moving latency of its good answers, how
-/// often it errs, what is outstanding there and how far away it lies.
+/// Statistics of an endpoint from which the load balancer computes its cost: moving averages of
+/// the latency of successful responses and of the error rate, the number of outstanding requests,
+/// and the network round-trip time to its failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointScore {
     latency_secs: f64,
-    error_share: f64,
+    error_rate: f64,
     outstanding: u32,
-    distance_secs: f64,
+    round_trip_secs: f64,
     samples: u64,
 }
 
 impl EndpointScore {
-    /// Creates the score of an endpoint of which nothing is known.
+    /// Creates the score of an endpoint without observations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the round trip to the endpoint's failure domain.
-    pub fn with_distance(mut self, distance: Duration) -> Self {
-        self.distance_secs = distance.as_secs_f64();
+    /// Sets the network round-trip time to the endpoint's failure domain.
+    pub fn with_distance(mut self, round_trip: Duration) -> Self {
+        self.round_trip_secs = round_trip.as_secs_f64();
         self
     }
 
-    /// Notes that a request went out.
+    /// Records that a request was sent to the endpoint.
     pub fn started(&mut self) {
         self.outstanding = self.outstanding.saturating_add(1);
     }
 
-    /// Notes that a request is over, whatever became of it.
+    /// Records that a request to the endpoint is over, whatever its outcome.
     pub fn ended(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
-    /// Takes a good answer's latency.
+    /// Records a successful response and its latency.
     pub fn succeeded(&mut self, latency: Duration) {
-        self.error_share -= ERROR_WEIGHT * self.error_share;
+        self.error_rate -= ERROR_RATE_EWMA_WEIGHT * self.error_rate;
         let secs = latency.as_secs_f64();
         if self.samples == 0 {
             self.latency_secs = secs;
         }
         self.samples = self.samples.saturating_add(1);
-        self.latency_secs += LATENCY_WEIGHT * (secs - self.latency_secs);
+        self.latency_secs += LATENCY_EWMA_WEIGHT * (secs - self.latency_secs);
     }
 
-    /// Takes an error. Its latency counts for nothing: an endpoint that fails at once would
-    /// otherwise look like the fastest and draw all requests to itself.
+    /// Records an error.
+    ///
+    /// The latency of an error is ignored: otherwise an endpoint that fails immediately would look
+    /// like the fastest one and attract all requests.
     pub fn failed(&mut self) {
-        self.error_share += ERROR_WEIGHT * (1.0 - self.error_share);
+        self.error_rate += ERROR_RATE_EWMA_WEIGHT * (1.0 - self.error_rate);
     }
 
-    /// Returns the requests that are outstanding.
+    /// Returns the number of outstanding requests.
     pub fn outstanding(&self) -> u32 {
         self.outstanding
     }
 
-    /// Returns the share of recent answers that were errors, between 0 and 1.
-    pub fn error_share(&self) -> f64 {
-        self.error_share
+    /// Returns the moving average of the error rate, between 0 and 1.
+    pub fn error_rate(&self) -> f64 {
+        self.error_rate
     }
 
-    /// Returns the cost, in seconds, of sending one more request; `mean` stands in for an endpoint
-    /// of which nothing is known.
+    /// Returns the cost, in seconds, of sending one more request to the endpoint.
+    ///
+    /// `mean` is the mean latency of the service; it replaces the latency of an endpoint that has
+    /// no samples yet.
     pub fn cost(&self, mean: Duration) -> f64 {
         let mean = mean.as_secs_f64();
-        let known = if self.samples == 0 {
+        let latency = if self.samples == 0 {
             mean
         } else {
             self.latency_secs
         };
-        // An endpoint that errs is charged what its callers lose, whose size the mean gives: its
-        // own latency may be next to nothing.
-        let base = known.max(mean * self.error_share) + self.distance_secs;
-        base * f64::from(self.outstanding + 1) * (1.0 + ERROR_PENALTY * self.error_share)
+        // The cost of an error is what the caller loses, estimated by the mean latency: the latency
+        // of a failing endpoint itself may be close to zero.
+        let base = latency.max(mean * self.error_rate) + self.round_trip_secs;
+        base * f64::from(self.outstanding + 1) * (1.0 + ERROR_RATE_COST_FACTOR * self.error_rate)
     }
 }
--- a/crates/routing/src/hold_backoff.rs
+++ b/crates/routing/src/hold_backoff.rs
@@ -1,38 +1,42 @@
-//! How long an endpoint that wants nothing is left alone.
+//! Backoff for endpoints that do not accept requests.
 
 use std::time::Duration;
 
-const MOST_DOUBLINGS: u32 = 5;
+const MAX_DOUBLINGS: u32 = 5;
 
-/// How long an endpoint that refused a connection, answered 503 or announced its end is left
-/// alone: a base time that doubles with each occasion in a row.
+/// Exponential backoff during which an endpoint that refused a connection, answered 503 or
+/// announced its shutdown gets no requests. The time starts at a base and doubles
+/// with each call of [`Self::hold`] since the last success, up to 32 times the base.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HoldBackoff {
-    until: Duration,
-    in_row: u32,
+    active_until: Duration,
+    consecutive_backoffs: u32,
 }
 
 impl HoldBackoff {
-    /// Creates one that holds nothing.
+    /// Creates an inactive backoff.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Leaves the endpoint alone from now on for `base`, doubled with each occasion in a row, and
-    /// for at least `asked`.
-    pub fn hold(&mut self, now: Duration, base: Duration, asked: Duration) {
-        let doubled = base * 2_u32.pow(self.in_row.min(MOST_DOUBLINGS));
-        self.until = self.until.max(now + doubled.max(asked));
-        self.in_row = self.in_row.saturating_add(1);
+    /// Starts or extends the backoff.
+    ///
+    /// It lasts from `now` for `base`, doubled for each earlier call since the last success, but at
+    /// least for `minimum`, the time that the endpoint asked for.
+    pub fn hold(&mut self, now: Duration, base: Duration, minimum: Duration) {
+        let doubled = base * 2_u32.pow(self.consecutive_backoffs.min(MAX_DOUBLINGS));
+        self.active_until = self.active_until.max(now + doubled.max(minimum));
+        self.consecutive_backoffs = self.consecutive_backoffs.saturating_add(1);
     }
 
-    /// Notes a good answer.
+    /// Records a successful response: the next backoff starts again at its base time. A backoff
+    /// that is active stays so until its end.
     pub fn succeeded(&mut self) {
-        self.in_row = 0;
+        self.consecutive_backoffs = 0;
     }
 
-    /// Tells whether the endpoint is to be left alone now.
+    /// Returns whether the backoff is active at `now`.
     pub fn holds(&self, now: Duration) -> bool {
-        now < self.until
+        now < self.active_until
     }
 }
--- a/crates/routing/src/latency_estimate.rs
+++ b/crates/routing/src/latency_estimate.rs
@@ -1,14 +1,15 @@
-//! What was learned of how long answers take.
+//! Moving estimate of a latency distribution.
 
 use std::time::Duration;
 
-const MEAN_WEIGHT: f64 = 0.05;
-const QUANTILE_STEP: f64 = 0.05;
+const MEAN_EWMA_WEIGHT: f64 = 0.05;
+const QUANTILE_STEP_TO_MEAN_RATIO: f64 = 0.05;
 
-/// What was learned of how long answers take: a moving mean and a moving quantile.
+/// Moving mean and moving quantile of latencies.
 ///
-/// The quantile follows by stochastic approximation: up by a step times the quantile when a sample
-/// lies above, down by a step times the rest when below, the step relative to the mean.
+/// The mean is an exponentially weighted moving average. The quantile `q` is tracked by stochastic
+/// approximation: a sample above the estimate raises it by `step * q`, any other lowers it by
+/// `step * (1 - q)`. The step is a fixed fraction of the mean.
 #[derive(Clone, Copy, Debug)]
 pub struct LatencyEstimate {
     quantile: f64,
@@ -18,7 +19,7 @@
 }
 
 impl LatencyEstimate {
-    /// Creates an estimate that follows this quantile (between 0 and 1).
+    /// Creates an estimate without samples that tracks `quantile`, between 0 and 1.
     pub fn new(quantile: f64) -> Self {
         Self {
             quantile,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Takes a sample.
+    /// Adds a sample.
     pub fn observe(&mut self, latency: Duration) {
         let secs = latency.as_secs_f64();
         self.samples = self.samples.saturating_add(1);
@@ -37,27 +38,27 @@
             self.quantile_secs = secs;
             return;
         }
-        self.mean_secs += MEAN_WEIGHT * (secs - self.mean_secs);
-        self.move_quantile(secs);
+        self.mean_secs += MEAN_EWMA_WEIGHT * (secs - self.mean_secs);
+        self.update_quantile(secs);
     }
 
-    /// Returns the mean; zero before the first sample.
+    /// Returns the moving mean; zero before the first sample.
     pub fn mean(&self) -> Duration {
         Duration::from_secs_f64(self.mean_secs.max(0.0))
     }
 
-    /// Returns the quantile; zero before the first sample.
+    /// Returns the estimated quantile; zero before the first sample.
     pub fn quantile(&self) -> Duration {
         Duration::from_secs_f64(self.quantile_secs.max(0.0))
     }
 
-    /// Returns the number of samples.
+    /// Returns the number of samples added so far.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 
-    fn move_quantile(&mut self, secs: f64) {
-        let step = QUANTILE_STEP * self.mean_secs;
+    fn update_quantile(&mut self, secs: f64) {
+        let step = QUANTILE_STEP_TO_MEAN_RATIO * self.mean_secs;
         if secs > self.quantile_secs {
             self.quantile_secs += step * self.quantile;
         } else {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,19 @@
-//! The decisions of the request path, free of I/O, clocks and randomness of their own: which class
-//! a request belongs to, which endpoint takes it, when it waits, is refused, retried or hedged.
+//! Routing decisions of the request path: to which class a request belongs, which endpoint serves
+//! it, and when it is queued, refused, retried or hedged.
+//!
+//! This crate does no I/O and reads no clock: callers pass the current time and the random number
+//! generator.
 
 mod admission_rule;
-mod class_key;
 mod endpoint_score;
 mod hold_backoff;
 mod latency_estimate;
+mod normalize_path;
 mod pick_rule;
-mod plain_path;
 mod request_queue;
 mod retry_budget;
 mod route_entry;
+mod route_key;
 mod route_table;
 mod slot_share;
 
@@ -19,7 +22,6 @@
         Admission,
         AdmissionRule, //
     },
-    class_key::ClassKey,
     endpoint_score::EndpointScore,
     hold_backoff::HoldBackoff,
     latency_estimate::LatencyEstimate,
@@ -34,6 +36,7 @@
     },
     retry_budget::RetryBudget,
     route_entry::RouteEntry,
+    route_key::RouteKey,
     route_table::RouteTable,
     slot_share::slot_share, //
 };
--- a/crates/routing/src/pick_rule.rs
+++ b/crates/routing/src/pick_rule.rs
@@ -1,4 +1,4 @@
-//! Picks one of the free slots.
+//! Load balancing: picks one of the free slots.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 
 use crate::EndpointScore;
 
-const EXPLORE_ONE_IN: u32 = 50;
+/// One in this many [`PickRule::LeastCost`] picks, on average, is uniformly random.
+const PICKS_PER_EXPLORATION: u32 = 50;
 
-/// A free slot that a request may take, by its endpoint's score.
+/// List of the free slots that a request may take, each with the score of its endpoint.
 pub trait PickCandidate {
-    /// Returns the score of the candidate at this place.
+    /// Returns the score of the endpoint whose slot is at `index` in the list.
     fn score(&self, index: usize) -> &EndpointScore;
 }
 
@@ -23,52 +24,60 @@
     }
 }
 
-/// How one of the free slots is picked.
+/// Load balancing policy by which one of the free slots is picked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum PickRule {
-    /// Any.
+    /// Picks uniformly at random.
     Random,
-    /// In turn.
+    /// Picks the candidates in turn.
     RoundRobin,
-    /// The endpoint with the fewest requests outstanding of all.
+    /// Picks the candidate whose endpoint has the fewest outstanding requests.
     LeastOutstanding,
-    /// The endpoint of the least cost of so many drawn at random; now and then any, without which
-    /// an endpoint that once failed or was slow would never be seen to have recovered.
+    /// Draws some candidates at random and picks the one with the lowest
+    /// [`EndpointScore::cost`].
+    ///
+    /// One pick in 50, on average, is uniformly random instead. Without these, the recovery of an
+    /// endpoint that once failed or was slow would never be noticed.
     LeastCost {
-        /// The candidates that are drawn; at least one.
+        /// Number of candidates to draw, with replacement; zero counts as one.
         samples: usize,
     },
 }
 
 impl PickRule {
-    /// Returns the place of the pick among `count` candidates, or `None` if there are none; `turn`
-    /// is the number of picks made so far.
-    pub fn pick<Candidates, Source>(
+    /// Returns the index of the picked candidate, or `None` if `count` is zero.
+    ///
+    /// `count` is the number of candidates, `previous_picks` the number of picks made before this
+    /// one, and `mean` the mean latency of the service, which replaces the latency of an endpoint
+    /// without samples.
+    pub fn pick<Candidates, Generator>(
         self,
         candidates: &Candidates,
         count: usize,
-        turn: u64,
+        previous_picks: u64,
         mean: Duration,
-        source: &mut Source,
+        rng: &mut Generator,
     ) -> Option<usize>
     where
         Candidates: PickCandidate + ?Sized,
-        Source: Rng + ?Sized,
+        Generator: Rng + ?Sized,
     {
         if count == 0 {
             return None;
         }
         match self {
-            Self::Random => Some(source.random_range(0..count)),
-            Self::RoundRobin => usize::try_from(turn).ok().map(|turn| turn % count),
+            Self::Random => Some(rng.random_range(0..count)),
+            Self::RoundRobin => usize::try_from(previous_picks)
+                .ok()
+                .map(|picks| picks % count),
             Self::LeastOutstanding => {
                 (0..count).min_by_key(|index| candidates.score(*index).outstanding())
             }
-            Self::LeastCost { .. } if source.random_ratio(1, EXPLORE_ONE_IN) => {
-                Some(source.random_range(0..count))
+            Self::LeastCost { .. } if rng.random_ratio(1, PICKS_PER_EXPLORATION) => {
+                Some(rng.random_range(0..count))
             }
             Self::LeastCost { samples } => (0..samples.max(1))
-                .map(|_| source.random_range(0..count))
+                .map(|_| rng.random_range(0..count))
                 .min_by(|left, right| {
                     let left = candidates.score(*left).cost(mean);
                     left.total_cmp(&candidates.score(*right).cost(mean))
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -1,27 +1,27 @@
-//! The requests that wait for a slot.
+//! Queue of the requests that wait for a slot.
 
 use std::{
     collections::BTreeMap,
     time::Duration, //
 };
 
-/// In which order waiting requests get slots.
+/// Order in which queued requests get slots.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum QueueOrder {
-    /// The earliest arrival first.
-    FirstInFirstOut,
-    /// The earliest deadline first.
+    /// Earliest arrival first.
+    Fifo,
+    /// Earliest deadline first.
     EarliestDeadline,
-    /// The earliest arrival first, but the latest first while the earliest has waited longer than
-    /// half of its time.
-    AdaptiveLastIn,
+    /// Earliest arrival first; latest arrival first while the request that arrived earliest has
+    /// waited for more than half of the time between its arrival and its deadline.
+    AdaptiveLifo,
 }
 
-/// The place of a request in the queue.
+/// Identifies a request in the queue; keys sort in queue order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct QueueKey {
-    rank: Duration,
-    number: u64,
+    sort_time: Duration,
+    sequence: u64,
 }
 
 #[derive(Debug)]
@@ -31,23 +31,25 @@
     deadline: Duration,
 }
 
-/// The requests that wait for a slot, bounded and in order.
+/// Bounded priority queue of the requests that wait for a slot.
+///
+/// All times are relative to one origin, which the caller chooses.
 #[derive(Debug)]
 pub struct RequestQueue<Item> {
     order: QueueOrder,
-    bound: usize,
+    capacity: usize,
     entries: BTreeMap<QueueKey, QueueEntry<Item>>,
-    number: u64,
+    next_sequence: u64,
 }
 
 impl<Item> RequestQueue<Item> {
-    /// Creates an empty queue that holds at most `bound` requests.
-    pub fn new(order: QueueOrder, bound: usize) -> Self {
+    /// Creates an empty queue that holds at most `capacity` requests.
+    pub fn new(order: QueueOrder, capacity: usize) -> Self {
         Self {
             order,
-            bound,
+            capacity,
             entries: BTreeMap::new(),
-            number: 0,
+            next_sequence: 0,
         }
     }
 
@@ -55,21 +57,21 @@
     ///
     /// # Errors
     ///
-    /// Gives the request back if the queue is full.
+    /// Returns the request if the queue is full.
     pub fn push(
         &mut self,
         item: Item,
         arrival: Duration,
         deadline: Duration,
     ) -> Result<QueueKey, Item> {
-        if self.entries.len() >= self.bound {
+        if self.entries.len() >= self.capacity {
             return Err(item);
         }
         let key = QueueKey {
-            rank: self.rank(arrival, deadline),
-            number: self.number,
+            sort_time: self.sort_time(arrival, deadline),
+            sequence: self.next_sequence,
         };
-        self.number = self.number.wrapping_add(1);
+        self.next_sequence = self.next_sequence.wrapping_add(1);
         let entry = QueueEntry {
             item,
             arrival,
@@ -79,45 +81,45 @@
         Ok(key)
     }
 
-    /// Takes a request out that waits no more.
+    /// Removes a request, for example one whose caller has left; `None` if it is no longer queued.
     pub fn remove(&mut self, key: QueueKey) -> Option<Item> {
         self.entries.remove(&key).map(|entry| entry.item)
     }
 
-    /// Takes out the request that is next.
+    /// Removes and returns the next request; `None` if the queue is empty.
     pub fn pop(&mut self, now: Duration) -> Option<Item> {
-        let entry = match self.last_is_next(now) {
+        let entry = match self.is_newest_next(now) {
             true => self.entries.pop_last(),
             false => self.entries.pop_first(),
         };
         entry.map(|(_, entry)| entry.item)
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    fn rank(&self, arrival: Duration, deadline: Duration) -> Duration {
+    fn sort_time(&self, arrival: Duration, deadline: Duration) -> Duration {
         match self.order {
             QueueOrder::EarliestDeadline => deadline,
-            QueueOrder::FirstInFirstOut | QueueOrder::AdaptiveLastIn => arrival,
+            QueueOrder::Fifo | QueueOrder::AdaptiveLifo => arrival,
         }
     }
 
-    fn last_is_next(&self, now: Duration) -> bool {
-        if self.order != QueueOrder::AdaptiveLastIn {
+    fn is_newest_next(&self, now: Duration) -> bool {
+        if self.order != QueueOrder::AdaptiveLifo {
             return false;
         }
         let Some((_, entry)) = self.entries.first_key_value() else {
             return false;
         };
-        let allowed = entry.deadline.saturating_sub(entry.arrival) / 2;
-        now.saturating_sub(entry.arrival) > allowed
+        let max_fifo_wait = entry.deadline.saturating_sub(entry.arrival) / 2;
+        now.saturating_sub(entry.arrival) > max_fifo_wait
     }
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! Bounds the load that retries and hedges add.
+//! Limit on the load that retries and hedged requests add.
 
-/// Bounds the load that retries and hedges add: each first attempt earns a share of a token, each
-/// further attempt takes a whole one.
+/// Token bucket that limits the load added by retries and hedged requests: each first attempt adds
+/// a fraction of a token, each further attempt takes a whole one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -10,8 +10,10 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget; `ratio` is the further attempts allowed for each first one, `burst`
-    /// the tokens that may be saved up.
+    /// Creates a full budget.
+    ///
+    /// `ratio` is the number of further attempts allowed for each first one, `burst` the maximum
+    /// number of tokens in the bucket.
     pub fn new(ratio: f64, burst: f64) -> Self {
         Self {
             ratio,
@@ -20,12 +22,12 @@
         }
     }
 
-    /// Notes a first attempt.
+    /// Adds the tokens for a first attempt.
     pub fn earn(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Takes a token for a further attempt; `false` if there is none.
+    /// Takes a token for a further attempt; returns `false` if less than one token is left.
     pub fn spend(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -1,4 +1,4 @@
-//! What the request path needs of a service class.
+//! Route of a service class.
 
 use std::time::Duration;
 
@@ -11,23 +11,27 @@
     ServiceName, //
 };
 
-/// What the request path needs of a service class.
+/// Route of a service class, with the class settings that the request path uses.
 #[derive(Clone, Debug)]
 pub struct RouteEntry {
-    /// The class.
+    /// Name of the class.
     pub class: ClassName,
-    /// The service whose endpoints answer its requests.
+    /// Service whose endpoints answer the requests of the class.
     pub service: ServiceName,
-    /// The time from arrival within which it is to be answered.
+    /// Time from its arrival within which a request should be answered.
     pub target: Duration,
-    /// Which of its requests may run more than once.
+    /// Determines which requests are idempotent, that is, may be executed more than once.
     pub idempotency: IdempotencyRule,
+    /// Host that the route matches, in lower case; `None` matches every host.
     pub(crate) host: Option<String>,
-    pub(crate) prefix: String,
+    /// Path prefix that the route matches.
+    pub(crate) path_prefix: String,
 }
 
 impl RouteEntry {
-    pub(crate) fn of(class: &ServiceClass) -> Option<Self> {
+    /// Returns the route of `class`, or `None` if requests cannot be routed to it: a batch class,
+    /// or one without an answer time, a route or a service.
+    pub(crate) fn from_class(class: &ServiceClass) -> Option<Self> {
         if class.kind != ClassKind::Service {
             return None;
         }
@@ -41,15 +45,16 @@
             target,
             idempotency: class.idempotency,
             host: route.host.as_ref().map(|host| host.to_ascii_lowercase()),
-            prefix: route.path_prefix.clone(),
+            path_prefix: route.path_prefix.clone(),
         })
     }
 
-    pub(crate) fn takes(&self, host: &str, path: &str) -> bool {
-        let host_fits = self
+    /// Returns whether the route matches a request with this host and path.
+    pub(crate) fn matches(&self, host: &str, path: &str) -> bool {
+        let host_matches = self
             .host
             .as_deref()
-            .is_none_or(|own| own.eq_ignore_ascii_case(host));
-        host_fits && path.starts_with(&self.prefix)
+            .is_none_or(|expected| expected.eq_ignore_ascii_case(host));
+        host_matches && path.starts_with(&self.path_prefix)
     }
 }
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -1,50 +1,53 @@
-//! Finds the class that a request belongs to.
+//! Matching of requests to service classes.
 
 use std::cmp::Reverse;
 
 use jasminebend_base::Configuration;
 
 use crate::{
-    ClassKey,
     RouteEntry,
-    plain_path::plain_path, //
+    RouteKey,
+    normalize_path::normalize_path, //
 };
 
-/// Finds the class that a request belongs to: the longest path prefix wins, then a route that
-/// names the host, then the order of the configuration.
+/// Matches requests to service classes.
+///
+/// If several routes match a request, the one with the longest path prefix wins; among those, a
+/// route with a host precedes one without; then the order of the configuration decides.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     entries: Vec<RouteEntry>,
 }
 
 impl RouteTable {
-    /// Creates the table of a configuration's service classes.
+    /// Creates the route table of the service classes in `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let mut entries: Vec<_> = configuration
             .classes
             .iter()
-            .filter_map(RouteEntry::of)
+            .filter_map(RouteEntry::from_class)
             .collect();
-        entries.sort_by_key(|entry| Reverse((entry.prefix.len(), entry.host.is_some())));
+        entries.sort_by_key(|entry| Reverse((entry.path_prefix.len(), entry.host.is_some())));
         Self { entries }
     }
 
-    /// Returns the class of a request; `host` is without its port.
-    pub fn find(&self, host: &str, path: &str) -> Option<ClassKey> {
-        let path = plain_path(path);
+    /// Returns the key of the route that matches a request, or `None` if none does; `host` must not
+    /// contain a port.
+    pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
+        let path = normalize_path(path);
         let index = self
             .entries
             .iter()
-            .position(|entry| entry.takes(host, &path))?;
-        u32::try_from(index).ok().map(ClassKey)
+            .position(|entry| entry.matches(host, &path))?;
+        u32::try_from(index).ok().map(RouteKey)
     }
 
-    /// Returns what is known of a class.
-    pub fn entry(&self, key: ClassKey) -> Option<&RouteEntry> {
+    /// Returns the entry for a key that this table returned.
+    pub fn entry(&self, key: RouteKey) -> Option<&RouteEntry> {
         self.entries.get(key.index())
     }
 
-    /// Returns all classes.
+    /// Returns all entries, in order of precedence.
     pub fn entries(&self) -> &[RouteEntry] {
         &self.entries
     }
--- a/crates/routing/src/slot_share.rs
+++ b/crates/routing/src/slot_share.rs
@@ -1,58 +1,61 @@
-//! Which slot share a slot belongs to.
+//! Assignment of slots to slot shares.
 
 use std::net::{
     IpAddr,
     SocketAddr, //
 };
 
-const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// Returns the slot share, below `shares`, that an endpoint's slot belongs to.
+/// Returns the slot share, from 0 to `shares - 1`, to which a slot of an endpoint belongs.
 ///
-/// Every daemon must get the same answer, whatever its version: the hash is fixed (FNV-1a, then
-/// the finalizer of splitmix64) and is over the address alone. The VM's name and incarnation are
-/// left out on purpose: the VM list lags, so two daemons may know one address under two names, and
-/// would then give the same slot to two shares.
+/// Every daemon, of whatever version, must compute the same share. The hash function is therefore
+/// fixed (FNV-1a, then the splitmix64 finalizer), and only the address is hashed, not the name or
+/// the incarnation of the VM: the VM list is updated with a delay, so two daemons may know the same
+/// address under different VM names and would then assign the same slot to two shares.
 pub fn slot_share(address: SocketAddr, slot: u16, shares: u16) -> u16 {
     let hash = match address.ip() {
-        IpAddr::V4(ip) => hash_bytes(FNV_OFFSET, &ip.octets()),
-        IpAddr::V6(ip) => hash_bytes(FNV_OFFSET, &ip.octets()),
+        IpAddr::V4(ip) => fnv1a(FNV_OFFSET_BASIS, &ip.octets()),
+        IpAddr::V6(ip) => fnv1a(FNV_OFFSET_BASIS, &ip.octets()),
     };
-    let hash = hash_bytes(hash, &address.port().to_be_bytes());
-    let first = finish(hash) % u64::from(shares.max(1));
-    // No share has two slots of one endpoint while there are more shares than slots, and a daemon
-    // that holds shares side by side has slots of many endpoints.
-    let share = (first + spread(slot, shares)) % u64::from(shares.max(1));
+    let hash = fnv1a(hash, &address.port().to_be_bytes());
+    let first_share = splitmix64_finalize(hash) % u64::from(shares.max(1));
+    // The slots of one endpoint are in distinct shares if there are at least as many shares as
+    // slots, and a daemon that owns adjacent shares gets slots of many endpoints.
+    let share = (first_share + share_offset(slot, shares)) % u64::from(shares.max(1));
     u16::try_from(share).unwrap_or_default()
 }
 
-fn spread(slot: u16, shares: u16) -> u64 {
+/// Returns by how many shares, modulo `shares`, a slot is offset from the endpoint's first slot: a
+/// multiple of a step that is coprime to `shares` and close to 0.618 (the golden ratio) of it.
+fn share_offset(slot: u16, shares: u16) -> u64 {
     let step = u64::from(shares.max(1)) * 618 / 1000;
-    let step = coprime_from(step.max(1), u64::from(shares.max(1)));
+    let step = first_coprime_from(step.max(1), u64::from(shares.max(1)));
     u64::from(slot) * step
 }
 
-fn coprime_from(step: u64, shares: u64) -> u64 {
+/// Returns the smallest number, not below `step`, that is coprime to `shares`.
+fn first_coprime_from(step: u64, shares: u64) -> u64 {
     (step..)
-        .find(|step| divisor(*step, shares) == 1)
+        .find(|step| greatest_common_divisor(*step, shares) == 1)
         .unwrap_or(1)
 }
 
-fn divisor(left: u64, right: u64) -> u64 {
+fn greatest_common_divisor(left: u64, right: u64) -> u64 {
     if right == 0 {
         return left;
     }
-    divisor(right, left % right)
+    greatest_common_divisor(right, left % right)
 }
 
-fn hash_bytes(seed: u64, bytes: &[u8]) -> u64 {
+fn fnv1a(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(seed, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
     })
 }
 
-fn finish(hash: u64) -> u64 {
+fn splitmix64_finalize(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
--- a/crates/routing/tests/waiting.rs
+++ b/crates/routing/tests/admission_and_queueing.rs
@@ -1,8 +1,5 @@
-//! Who waits, in which order, and who is refused.
-#![expect(
-    clippy::unwrap_used,
-    reason = "a test's helpers panic as the test does"
-)]
+//! Admission control, the order of the request queue, and the retry budget.
+#![expect(clippy::unwrap_used, reason = "test helpers may panic on failure")]
 
 use std::time::Duration;
 
@@ -15,11 +12,12 @@
     RetryBudget, //
 };
 
-const fn ms(count: u64) -> Duration {
-    Duration::from_millis(count)
+const fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
-fn order_of(order: QueueOrder, now: Duration) -> Vec<u32> {
+/// Returns the items of three requests in the order in which the queue returns them at `now`.
+fn pop_order(order: QueueOrder, now: Duration) -> Vec<u32> {
     let mut queue = RequestQueue::new(order, 10);
     for (item, arrival, deadline) in [(1, 0, 400), (2, 1, 101), (3, 2, 102)] {
         queue.push(item, ms(arrival), ms(deadline)).unwrap();
@@ -28,17 +26,17 @@
 }
 
 #[test]
-fn each_order_is_as_named() {
-    assert_eq!(order_of(QueueOrder::FirstInFirstOut, ms(5)), [1, 2, 3]);
-    assert_eq!(order_of(QueueOrder::EarliestDeadline, ms(5)), [2, 3, 1]);
-    assert_eq!(order_of(QueueOrder::AdaptiveLastIn, ms(5)), [1, 2, 3]);
-    assert_eq!(order_of(QueueOrder::AdaptiveLastIn, ms(300)), [3, 2, 1]);
+fn queue_orders_return_requests_as_documented() {
+    assert_eq!(pop_order(QueueOrder::Fifo, ms(5)), [1, 2, 3]);
+    assert_eq!(pop_order(QueueOrder::EarliestDeadline, ms(5)), [2, 3, 1]);
+    assert_eq!(pop_order(QueueOrder::AdaptiveLifo, ms(5)), [1, 2, 3]);
+    assert_eq!(pop_order(QueueOrder::AdaptiveLifo, ms(300)), [3, 2, 1]);
 }
 
-// Whatever comes and goes, the queue stays within its bound, loses nobody, and always gives the
-// earliest deadline.
+// For any sequence of pushes, pops and removals, the queue must stay within its capacity, lose no
+// request, and return the request with the earliest deadline first.
 #[test]
-fn the_queue_is_bounded_and_gives_the_earliest_deadline() {
+fn queue_is_bounded_and_returns_earliest_deadline_first() {
     arbtest(|source| {
         let mut queue = RequestQueue::new(QueueOrder::EarliestDeadline, 8);
         let mut model: Vec<(u64, u32)> = Vec::new();
@@ -47,14 +45,14 @@
             let deadline = source.int_in_range(0..=9)?;
             match source.int_in_range(0..=3)? {
                 0 => {
-                    let least = model.iter().min().copied();
-                    model.retain(|entry| Some(*entry) != least);
-                    assert_eq!(queue.pop(ms(0)), least.map(|(_, item)| item));
+                    let earliest = model.iter().min().copied();
+                    model.retain(|entry| Some(*entry) != earliest);
+                    assert_eq!(queue.pop(ms(0)), earliest.map(|(_, item)| item));
                 }
                 1 if !keys.is_empty() => {
                     let (key, item) = keys.swap_remove(0);
-                    let present = model.iter().any(|(_, own)| *own == item);
-                    model.retain(|(_, own)| *own != item);
+                    let present = model.iter().any(|(_, queued)| *queued == item);
+                    model.retain(|(_, queued)| *queued != item);
                     assert_eq!(queue.remove(key), present.then_some(item));
                 }
                 _ => match queue.push(item, ms(0), ms(deadline)) {
@@ -62,7 +60,7 @@
                         keys.push((key, item));
                         model.push((deadline, item));
                     }
-                    Err(back) => assert_eq!((back, model.len()), (item, 8)),
+                    Err(rejected) => assert_eq!((rejected, model.len()), (item, 8)),
                 },
             }
             assert_eq!(queue.len(), model.len());
@@ -72,7 +70,7 @@
 }
 
 #[test]
-fn who_would_miss_its_target_is_refused_with_the_time_to_come_back() {
+fn request_that_would_miss_its_target_is_refused_with_retry_after() {
     let rule = |slots, waiting| AdmissionRule {
         slots,
         waiting,
@@ -91,10 +89,10 @@
     ));
 }
 
-// A third of the endpoints fail and every request would like to try again: what the budget lets
-// through is a tenth of the first attempts, and no more than its burst at once.
+// If a third of the endpoints fail, every request may ask for another attempt. The budget must allow
+// further attempts for only a tenth of the first attempts, and no more than its burst size at once.
 #[test]
-fn further_attempts_stay_within_the_budget() {
+fn further_attempts_stay_within_budget() {
     let mut budget = RetryBudget::new(0.1, 10.0);
     let spent: u32 = (0..10_000)
         .map(|_| {
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Which class a request belongs to.
+//! Matching of requests to classes by host and path.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 use jasminebend_routing::RouteTable;
 
-fn class(name: &str, host: Option<&str>, prefix: &str) -> ServiceClass {
+fn service_class(name: &str, host: Option<&str>, prefix: &str) -> ServiceClass {
     ServiceClass {
         name: name.into(),
         kind: ClassKind::Service,
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_then_the_named_host() {
+fn longest_prefix_wins_then_explicit_host() {
     let table = RouteTable::new(&Configuration {
         classes: vec![
-            class("any", None, "/"),
-            class("quote", None, "/quote"),
-            class("shop", Some("Shop.example"), "/"),
-            class("urgent", Some("shop.example"), "/quote/urgent"),
+            service_class("any", None, "/"),
+            service_class("quote", None, "/quote"),
+            service_class("shop", Some("Shop.example"), "/"),
+            service_class("urgent", Some("shop.example"), "/quote/urgent"),
         ],
         ..Configuration::default()
     });
@@ -58,7 +58,7 @@
 
 #[test]
 fn batch_classes_have_no_routes() {
-    let mut batch = class("night", None, "/");
+    let mut batch = service_class("night", None, "/");
     batch.kind = ClassKind::Batch;
     batch.target = ClassTarget::FinishWithin(Duration::from_secs(1));
     let table = RouteTable::new(&Configuration {
