--- a/crates/routing/benches/queue_or_forward.rs
+++ b/crates/routing/benches/queue_or_forward.rs
@@ -1,8 +1,9 @@
-//! What a daemon does when its slots are full: queue, or forward to a peer with a free slot.
+//! Policies for a daemon whose slots are all busy: queue the request, or forward it to a peer that
+//! has a free slot.
 //!
-//! Six daemons hold 11 slots each; the balancer gives each request to any daemon. A forwarded
-//! request takes 2 ms more (1 ms one way) and the hop's work on both daemons. `pooled` is the bound
-//! that no policy beats: one daemon with all slots.
+//! Simulates six daemons with 11 slots each; the load balancer in front of them sends each request
+//! to a random daemon. A forwarded request takes 2 ms more (1 ms one way) and the hop's work on both
+//! daemons. `pooled`, a single daemon with all slots, is a bound that no policy can beat.
 //!
 //! `cargo bench -p jasminebend-routing --bench queue_or_forward`
 
@@ -23,131 +24,157 @@
     EventQueue,
     SEEDS,
     exponential,
-    quantile,
-    spread, //
+    format_median_and_range,
+    quantile, //
 };
 
 const SLOTS: usize = 66;
-const WORK: Duration = Duration::from_millis(30);
-const TARGET: Duration = Duration::from_millis(200);
-const HOP: Duration = Duration::from_millis(2);
-const SPAN: Duration = Duration::from_secs(60);
+/// Mean work time of a request.
+const MEAN_WORK_TIME: Duration = Duration::from_millis(30);
+/// Time from its arrival within which a request should be answered.
+const LATENCY_TARGET: Duration = Duration::from_millis(200);
+/// Round-trip time that forwarding adds.
+const FORWARDING_ROUND_TRIP: Duration = Duration::from_millis(2);
+/// Simulated time during which requests arrive.
+const ARRIVAL_PERIOD: Duration = Duration::from_secs(60);
 
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Policy {
+    /// Queues requests at the daemon that received them.
     Queue,
-    /// Tells which peer has a free slot as of 100 ms ago.
+    /// Forwards requests to the peer with the most free slots, by counts that are refreshed every
+    /// 100 ms.
     Forward,
+    /// Has one daemon with all slots.
     Pooled,
 }
 
 enum Event {
     Arrival,
-    Gossip,
-    End { daemon: usize, arrival: Duration },
+    /// All daemons exchange their numbers of free slots.
+    FreeSlotExchange,
+    Completion {
+        daemon: usize,
+        arrival: Duration,
+    },
 }
 
-struct Daemons {
-    free: Vec<usize>,
-    told: Vec<usize>,
+struct SimulatedDaemons {
+    /// Number of free slots of each daemon.
+    free_slots: Vec<usize>,
+    /// Number of free slots of each daemon as known to its peers: the last exchanged number, less
+    /// the requests forwarded since.
+    advertised_free_slots: Vec<usize>,
+    /// Arrival times of the requests in each daemon's queue.
     queues: Vec<VecDeque<Duration>>,
-    source: SmallRng,
+    rng: SmallRng,
     events: EventQueue<Event>,
 }
 
-impl Daemons {
+impl SimulatedDaemons {
     fn new(count: usize, seed: u64) -> Self {
         Self {
-            free: vec![SLOTS / count; count],
-            told: vec![SLOTS / count; count],
+            free_slots: vec![SLOTS / count; count],
+            advertised_free_slots: vec![SLOTS / count; count],
             queues: vec![VecDeque::new(); count],
-            source: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
             events: EventQueue::new(),
         }
     }
 
     fn arrive(&mut self, now: Duration, policy: Policy) {
-        let daemon = self.source.random_range(0..self.free.len());
+        let daemon = self.rng.random_range(0..self.free_slots.len());
         let target = match policy {
-            Policy::Forward if self.free[daemon] == 0 => self.peer().unwrap_or(daemon),
+            Policy::Forward if self.free_slots[daemon] == 0 => {
+                self.reserve_peer_slot().unwrap_or(daemon)
+            }
             _ => daemon,
         };
-        let way = if target == daemon {
+        let round_trip = if target == daemon {
             Duration::ZERO
         } else {
-            HOP
+            FORWARDING_ROUND_TRIP
         };
-        if self.free[target] == 0 {
+        if self.free_slots[target] == 0 {
             self.queues[target].push_back(now);
             return;
         }
-        self.send(target, now, now + way);
+        self.send(target, now, now + round_trip);
     }
 
-    fn peer(&mut self) -> Option<usize> {
-        let place = (0..self.told.len()).max_by_key(|peer| self.told[*peer])?;
-        let free = self.told[place] > 0;
-        self.told[place] = self.told[place].saturating_sub(1);
-        free.then_some(place)
+    /// Returns the daemon that advertises the most free slots and counts one of them as used, or
+    /// `None` if no daemon advertises any.
+    fn reserve_peer_slot(&mut self) -> Option<usize> {
+        let peer = (0..self.advertised_free_slots.len())
+            .max_by_key(|peer| self.advertised_free_slots[*peer])?;
+        let has_free_slot = self.advertised_free_slots[peer] > 0;
+        self.advertised_free_slots[peer] = self.advertised_free_slots[peer].saturating_sub(1);
+        has_free_slot.then_some(peer)
     }
 
-    fn send(&mut self, daemon: usize, arrival: Duration, at: Duration) {
-        self.free[daemon] -= 1;
-        let work = exponential(&mut self.source, WORK);
-        self.events.push(at + work, Event::End { daemon, arrival });
+    fn send(&mut self, daemon: usize, arrival: Duration, start: Duration) {
+        self.free_slots[daemon] -= 1;
+        let work_time = exponential(&mut self.rng, MEAN_WORK_TIME);
+        self.events
+            .push(start + work_time, Event::Completion { daemon, arrival });
     }
 }
 
-fn run(policy: Policy, load: f64, seed: u64) -> (f64, f64) {
+/// Returns the 99th percentile of the latency, in seconds, and the number of requests that were
+/// answered within their target.
+fn simulate(policy: Policy, load: f64, seed: u64) -> (f64, f64) {
     let count = if policy == Policy::Pooled { 1 } else { 6 };
-    let mut daemons = Daemons::new(count, seed);
-    let gap = WORK.div_f64(SLOTS as f64 * load);
+    let mut daemons = SimulatedDaemons::new(count, seed);
+    let mean_interarrival = MEAN_WORK_TIME.div_f64(SLOTS as f64 * load);
     let mut latencies = Vec::new();
-    let mut good = 0_u32;
+    let mut within_target = 0_u32;
     daemons.events.push(Duration::ZERO, Event::Arrival);
-    daemons.events.push(Duration::ZERO, Event::Gossip);
+    daemons.events.push(Duration::ZERO, Event::FreeSlotExchange);
     while let Some((now, event)) = daemons.events.pop() {
         match event {
-            Event::Arrival if now < SPAN => {
+            Event::Arrival if now < ARRIVAL_PERIOD => {
                 daemons.arrive(now, policy);
-                let next = now + exponential(&mut daemons.source, gap);
+                let next = now + exponential(&mut daemons.rng, mean_interarrival);
                 daemons.events.push(next, Event::Arrival);
             }
-            Event::Gossip if now < SPAN => {
-                daemons.told = daemons.free.clone();
+            Event::FreeSlotExchange if now < ARRIVAL_PERIOD => {
+                daemons.advertised_free_slots = daemons.free_slots.clone();
                 daemons
                     .events
-                    .push(now + Duration::from_millis(100), Event::Gossip);
+                    .push(now + Duration::from_millis(100), Event::FreeSlotExchange);
             }
-            Event::Arrival | Event::Gossip => {}
-            Event::End { daemon, arrival } => {
-                good += u32::from(now - arrival <= TARGET);
+            Event::Arrival | Event::FreeSlotExchange => {}
+            Event::Completion { daemon, arrival } => {
+                within_target += u32::from(now - arrival <= LATENCY_TARGET);
                 latencies.push(now - arrival);
-                daemons.free[daemon] += 1;
+                daemons.free_slots[daemon] += 1;
                 if let Some(arrival) = daemons.queues[daemon].pop_front() {
                     daemons.send(daemon, arrival, now);
                 }
             }
         }
     }
-    let tail = quantile(&mut latencies, 0.99);
-    (tail.as_secs_f64(), f64::from(good))
+    let p99 = quantile(&mut latencies, 0.99);
+    (p99.as_secs_f64(), f64::from(within_target))
 }
 
 fn main() {
     println!("{} seeds; ratios to queueing", SEEDS.end);
     for load in [0.5, 0.7, 0.8, 0.9, 0.95, 1.05] {
         println!("load {load}:");
-        let base: Vec<_> = SEEDS.map(|seed| run(Policy::Queue, load, seed)).collect();
+        let baseline: Vec<_> = SEEDS
+            .map(|seed| simulate(Policy::Queue, load, seed))
+            .collect();
         for (name, policy) in [("forward", Policy::Forward), ("pooled", Policy::Pooled)] {
-            let own: Vec<_> = SEEDS.map(|seed| run(policy, load, seed)).collect();
-            let pairs = || own.iter().zip(&base);
-            let mut tails: Vec<_> = pairs().map(|(own, base)| own.0 / base.0).collect();
-            let mut goods: Vec<_> = pairs().map(|(own, base)| own.1 / base.1).collect();
+            let results: Vec<_> = SEEDS.map(|seed| simulate(policy, load, seed)).collect();
+            let pairs = || results.iter().zip(&baseline);
+            let mut p99_ratios: Vec<_> = pairs().map(|(result, base)| result.0 / base.0).collect();
+            let mut within_target_ratios: Vec<_> =
+                pairs().map(|(result, base)| result.1 / base.1).collect();
             println!(
                 "  {name:<10} p99 {}  within target {}",
-                spread(&mut tails),
-                spread(&mut goods)
+                format_median_and_range(&mut p99_ratios),
+                format_median_and_range(&mut within_target_ratios)
             );
         }
     }
--- a/crates/routing/benches/queue_order.rs
+++ b/crates/routing/benches/queue_order.rs
@@ -1,7 +1,9 @@
-//! In which order requests wait and when they are refused, against first in, first out.
+//! Queue orders, with and without refusal of requests that would miss their target, compared with a
+//! FIFO queue without refusal.
 //!
-//! 64 slots, two classes on one service: two thirds are to be answered within 100 ms, one third
-//! within 400 ms; the work takes 30 ms in the mean. Goodput is what was answered within its target.
+//! Simulates a service with 64 slots and two classes: two thirds of the requests should be answered
+//! within 100 ms, one third within 400 ms. The mean work time is 30 ms. Goodput is the rate of
+//! requests that are answered within their target.
 //!
 //! `cargo bench -p jasminebend-routing --bench queue_order`
 
@@ -26,104 +28,119 @@
     EventQueue,
     SEEDS,
     exponential,
-    quantile,
-    spread, //
+    format_median_and_range,
+    quantile, //
 };
 
 const SLOTS: usize = 64;
-const WORK: Duration = Duration::from_millis(30);
-const SPAN: Duration = Duration::from_secs(60);
-const TARGETS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
+/// Mean work time of a request.
+const MEAN_WORK_TIME: Duration = Duration::from_millis(30);
+/// Simulated time during which requests arrive.
+const ARRIVAL_PERIOD: Duration = Duration::from_secs(60);
+/// Times from arrival within which the requests of each class should be answered.
+const LATENCY_TARGETS: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(400)];
+/// Arrival rates as fractions of the capacity of the slots.
 const LOADS: [f64; 5] = [0.5, 0.8, 0.95, 1.2, 2.0];
 
 #[derive(Clone, Copy)]
 struct Policy {
     name: &'static str,
     order: QueueOrder,
+    /// Whether requests that are expected to miss their target are refused, on arrival or when they
+    /// leave the queue.
     refuses: bool,
 }
 
 #[derive(Clone, Copy)]
-struct Waiter {
+struct Request {
     arrival: Duration,
     deadline: Duration,
 }
 
 enum Event {
     Arrival,
-    End { waiter: Waiter, sent: Duration },
+    Completion { request: Request, sent_at: Duration },
 }
 
 #[derive(Clone, Copy)]
-struct Outcome {
+struct SimulationResult {
+    /// Requests answered within their target, per second.
     goodput: f64,
-    tail: f64,
-    refused: f64,
+    p99_millis: f64,
+    /// Share of the requests that were refused.
+    refusal_rate: f64,
 }
 
-struct Service {
+struct SimulatedService {
     policy: Policy,
-    queue: RequestQueue<Waiter>,
-    holding: LatencyEstimate,
-    free: usize,
+    queue: RequestQueue<Request>,
+    service_time: LatencyEstimate,
+    free_slots: usize,
     refused: u32,
     events: EventQueue<Event>,
-    source: SmallRng,
+    rng: SmallRng,
 }
 
-impl Service {
+impl SimulatedService {
     fn new(policy: Policy, seed: u64) -> Self {
         Self {
             policy,
             queue: RequestQueue::new(policy.order, 1000),
-            holding: LatencyEstimate::new(0.95),
-            free: SLOTS,
+            service_time: LatencyEstimate::new(0.95),
+            free_slots: SLOTS,
             refused: 0,
             events: EventQueue::new(),
-            source: SmallRng::seed_from_u64(seed),
+            rng: SmallRng::seed_from_u64(seed),
         }
     }
 
     fn arrive(&mut self, now: Duration) {
-        let target = TARGETS[usize::from(self.source.random_range(0..3) == 2)];
-        let waiter = Waiter {
+        let target = LATENCY_TARGETS[usize::from(self.rng.random_range(0..3) == 2)];
+        let request = Request {
             arrival: now,
             deadline: now + target,
         };
-        if self.free > 0 {
-            self.free -= 1;
-            return self.send(now, waiter);
+        if self.free_slots > 0 {
+            self.free_slots -= 1;
+            return self.send(now, request);
         }
         let rule = AdmissionRule {
             slots: SLOTS,
             waiting: self.queue.len(),
-            service_time: self.holding.mean(),
+            service_time: self.service_time.mean(),
         };
         let admitted = !self.policy.refuses || rule.decide(target) == Admission::Wait;
-        if !admitted || self.queue.push(waiter, now, waiter.deadline).is_err() {
+        if !admitted || self.queue.push(request, now, request.deadline).is_err() {
             self.refused += 1;
         }
     }
 
-    fn send(&mut self, now: Duration, waiter: Waiter) {
-        let work = exponential(&mut self.source, WORK);
-        self.events
-            .push(now + work, Event::End { waiter, sent: now });
+    fn send(&mut self, now: Duration, request: Request) {
+        let work_time = exponential(&mut self.rng, MEAN_WORK_TIME);
+        self.events.push(
+            now + work_time,
+            Event::Completion {
+                request,
+                sent_at: now,
+            },
+        );
     }
 
-    fn end(&mut self, now: Duration, sent: Duration) {
-        self.holding.observe(now - sent);
-        match self.next(now) {
-            Some(waiter) => self.send(now, waiter),
-            None => self.free += 1,
+    fn complete(&mut self, now: Duration, sent_at: Duration) {
+        self.service_time.observe(now - sent_at);
+        match self.next_request(now) {
+            Some(request) => self.send(now, request),
+            None => self.free_slots += 1,
         }
     }
 
-    fn next(&mut self, now: Duration) -> Option<Waiter> {
-        while let Some(waiter) = self.queue.pop(now) {
-            let hopeless = now + self.holding.mean() > waiter.deadline;
-            if !(self.policy.refuses && hopeless) {
-                return Some(waiter);
+    /// Returns the next queued request; refuses those before it that are expected to miss their
+    /// target, if the policy says so.
+    fn next_request(&mut self, now: Duration) -> Option<Request> {
+        while let Some(request) = self.queue.pop(now) {
+            let would_miss_target = now + self.service_time.mean() > request.deadline;
+            if !(self.policy.refuses && would_miss_target) {
+                return Some(request);
             }
             self.refused += 1;
         }
@@ -131,32 +148,32 @@
     }
 }
 
-fn run(policy: Policy, load: f64, seed: u64) -> Outcome {
-    let mut service = Service::new(policy, seed);
-    let gap = WORK.div_f64(SLOTS as f64 * load);
-    let (mut good, mut all) = (0_u32, 0_u32);
+fn simulate(policy: Policy, load: f64, seed: u64) -> SimulationResult {
+    let mut service = SimulatedService::new(policy, seed);
+    let mean_interarrival = MEAN_WORK_TIME.div_f64(SLOTS as f64 * load);
+    let (mut within_target, mut arrived) = (0_u32, 0_u32);
     let mut latencies = Vec::new();
     service.events.push(Duration::ZERO, Event::Arrival);
     while let Some((now, event)) = service.events.pop() {
         match event {
-            Event::Arrival if now < SPAN => {
-                all += 1;
+            Event::Arrival if now < ARRIVAL_PERIOD => {
+                arrived += 1;
                 service.arrive(now);
-                let next = now + exponential(&mut service.source, gap);
+                let next = now + exponential(&mut service.rng, mean_interarrival);
                 service.events.push(next, Event::Arrival);
             }
             Event::Arrival => {}
-            Event::End { waiter, sent } => {
-                service.end(now, sent);
-                good += u32::from(now <= waiter.deadline);
-                latencies.push(now - waiter.arrival);
+            Event::Completion { request, sent_at } => {
+                service.complete(now, sent_at);
+                within_target += u32::from(now <= request.deadline);
+                latencies.push(now - request.arrival);
             }
         }
     }
-    Outcome {
-        goodput: f64::from(good) / SPAN.as_secs_f64(),
-        tail: quantile(&mut latencies, 0.99).as_secs_f64() * 1e3,
-        refused: f64::from(service.refused) / f64::from(all),
+    SimulationResult {
+        goodput: f64::from(within_target) / ARRIVAL_PERIOD.as_secs_f64(),
+        p99_millis: quantile(&mut latencies, 0.99).as_secs_f64() * 1e3,
+        refusal_rate: f64::from(service.refused) / f64::from(arrived),
     }
 }
 
@@ -167,9 +184,9 @@
         refuses,
     };
     let policies = [
-        policy("first in, no refusal", QueueOrder::Fifo, false),
-        policy("first in, refusal", QueueOrder::Fifo, true),
-        policy("adaptive last in, refusal", QueueOrder::AdaptiveLifo, true),
+        policy("FIFO, no refusal", QueueOrder::Fifo, false),
+        policy("FIFO, refusal", QueueOrder::Fifo, true),
+        policy("adaptive LIFO, refusal", QueueOrder::AdaptiveLifo, true),
         policy(
             "earliest deadline, no refusal",
             QueueOrder::EarliestDeadline,
@@ -182,35 +199,44 @@
         ),
     ];
     println!(
-        "{} seeds; goodput as a ratio to first in, no refusal, at the same load",
+        "{} seeds; goodput as a ratio to FIFO, no refusal, at the same load",
         SEEDS.end
     );
-    let mut steady: Vec<Vec<f64>> = vec![Vec::new(); policies.len()];
+    let mut goodput_at_095: Vec<Vec<f64>> = vec![Vec::new(); policies.len()];
     for load in LOADS {
         println!("load {load}:");
-        let base: Vec<_> = SEEDS.map(|seed| run(policies[0], load, seed)).collect();
+        let baseline: Vec<_> = SEEDS
+            .map(|seed| simulate(policies[0], load, seed))
+            .collect();
         for (index, policy) in policies.into_iter().enumerate() {
-            let own: Vec<_> = SEEDS.map(|seed| run(policy, load, seed)).collect();
-            let pairs = own.iter().zip(&base);
-            let mut ratios: Vec<_> = pairs
-                .map(|(own, base)| own.goodput / base.goodput)
+            let results: Vec<_> = SEEDS.map(|seed| simulate(policy, load, seed)).collect();
+            let pairs = results.iter().zip(&baseline);
+            let mut goodput_ratios: Vec<_> = pairs
+                .map(|(result, base)| result.goodput / base.goodput)
                 .collect();
-            let mut tails: Vec<_> = own.iter().map(|own| own.tail).collect();
-            let mut refused: Vec<_> = own.iter().map(|own| own.refused).collect();
+            let mut p99_millis: Vec<_> = results.iter().map(|result| result.p99_millis).collect();
+            let mut refusal_rates: Vec<_> =
+                results.iter().map(|result| result.refusal_rate).collect();
             println!(
                 "  {:<30} goodput {}  p99 ms {}  refused {}",
                 policy.name,
-                spread(&mut ratios),
-                spread(&mut tails),
-                spread(&mut refused)
+                format_median_and_range(&mut goodput_ratios),
+                format_median_and_range(&mut p99_millis),
+                format_median_and_range(&mut refusal_rates)
             );
             if load == 0.95 {
-                steady[index] = own.iter().map(|own| own.goodput).collect();
+                goodput_at_095[index] = results.iter().map(|result| result.goodput).collect();
             }
             if load == 2.0 {
-                let pairs = own.iter().zip(&steady[index]);
-                let mut kept: Vec<_> = pairs.map(|(own, steady)| own.goodput / steady).collect();
-                println!("  {:<30} of its goodput at 0.95: {}", "", spread(&mut kept));
+                let pairs = results.iter().zip(&goodput_at_095[index]);
+                let mut overload_ratios: Vec<_> = pairs
+                    .map(|(result, at_095)| result.goodput / at_095)
+                    .collect();
+                println!(
+                    "  {:<30} goodput as a ratio to its own at load 0.95: {}",
+                    "",
+                    format_median_and_range(&mut overload_ratios)
+                );
             }
         }
     }
--- a/crates/routing/benches/support/mod.rs
+++ b/crates/routing/benches/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the measurements of the decisions share: events in the order of time, draws and quantiles.
+//! Shared parts of the benchmarks: a queue of simulated events, random durations and statistics.
 
 use std::{
     cmp::{
@@ -14,38 +14,38 @@
     rngs::SmallRng, //
 };
 
-/// The seeds of each measurement.
+/// Seeds with which each simulation is run.
 pub(crate) const SEEDS: std::ops::Range<u64> = 0..24;
 
-/// Events in the order of their times.
+/// Priority queue of simulated events: earliest time first, then in the order of insertion.
 pub(crate) struct EventQueue<Event> {
-    heap: BinaryHeap<Reverse<Entry<Event>>>,
-    number: u64,
+    heap: BinaryHeap<Reverse<TimedEvent<Event>>>,
+    next_sequence: u64,
 }
 
-struct Entry<Event> {
-    at: Duration,
-    number: u64,
+struct TimedEvent<Event> {
+    time: Duration,
+    sequence: u64,
     event: Event,
 }
 
-impl<Event> PartialEq for Entry<Event> {
+impl<Event> PartialEq for TimedEvent<Event> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<Event> Eq for Entry<Event> {}
+impl<Event> Eq for TimedEvent<Event> {}
 
-impl<Event> PartialOrd for Entry<Event> {
+impl<Event> PartialOrd for TimedEvent<Event> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<Event> Ord for Entry<Event> {
+impl<Event> Ord for TimedEvent<Event> {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.time, self.sequence).cmp(&(other.time, other.sequence))
     }
 }
 
@@ -53,39 +53,43 @@
     pub(crate) fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
-            number: 0,
+            next_sequence: 0,
         }
     }
 
-    pub(crate) fn push(&mut self, at: Duration, event: Event) {
-        let number = self.number;
-        self.number += 1;
-        self.heap.push(Reverse(Entry { at, number, event }));
+    pub(crate) fn push(&mut self, time: Duration, event: Event) {
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        self.heap.push(Reverse(TimedEvent {
+            time,
+            sequence,
+            event,
+        }));
     }
 
     pub(crate) fn pop(&mut self) -> Option<(Duration, Event)> {
-        let Reverse(entry) = self.heap.pop()?;
-        Some((entry.at, entry.event))
+        let Reverse(next) = self.heap.pop()?;
+        Some((next.time, next.event))
     }
 }
 
-/// Draws an exponential time.
-pub(crate) fn exponential(source: &mut SmallRng, mean: Duration) -> Duration {
-    let draw: f64 = source.random();
-    mean.mul_f64(-(1.0 - draw).ln())
+/// Draws an exponentially distributed duration.
+pub(crate) fn exponential(rng: &mut SmallRng, mean: Duration) -> Duration {
+    let uniform: f64 = rng.random();
+    mean.mul_f64(-(1.0 - uniform).ln())
 }
 
-/// Returns a quantile; sorts the samples.
-pub(crate) fn quantile(samples: &mut [Duration], part: f64) -> Duration {
+/// Sorts the samples and returns their `level` quantile (0 to 1); zero without samples.
+pub(crate) fn quantile(samples: &mut [Duration], level: f64) -> Duration {
     samples.sort_unstable();
-    let place = (samples.len() as f64 * part) as usize;
-    samples.get(place).copied().unwrap_or_default()
+    let index = (samples.len() as f64 * level) as usize;
+    samples.get(index).copied().unwrap_or_default()
 }
 
-/// Shows the median and the range of what the seeds gave.
-pub(crate) fn spread(values: &mut [f64]) -> String {
+/// Formats one value per seed as `median [min max]`; sorts the values.
+pub(crate) fn format_median_and_range(values: &mut [f64]) -> String {
     values.sort_by(f64::total_cmp);
-    let middle = values[values.len() / 2];
-    let (least, most) = (values[0], values[values.len() - 1]);
-    format!("{middle:6.3} [{least:6.3} {most:6.3}]")
+    let median = values[values.len() / 2];
+    let (min, max) = (values[0], values[values.len() - 1]);
+    format!("{median:6.3} [{min:6.3} {max:6.3}]")
 }
