--- a/crates/routing/benches/queue_order.rs
+++ b/crates/routing/benches/queue_order.rs
@@ -109,7 +109,7 @@
             waiting: self.queue.len(),
             service_time: self.service_time.mean(),
         };
-        let admitted = !self.policy.refuses || rule.decide(target) == Admission::Wait;
+        let admitted = !self.policy.refuses || rule.decide(target) == Admission::Queue;
         if !admitted || self.queue.push(request, now, request.deadline).is_err() {
             self.refused += 1;
         }
--- a/crates/routing/benches/retry_and_hedge.rs
+++ b/crates/routing/benches/retry_and_hedge.rs
@@ -38,7 +38,7 @@
     SingleAttempt,
     /// Limits further attempts by a [`RetryBudget`].
     Budget,
-    /// Has no budget.
+    /// Allows further attempts without a budget; retries still end after [`MAX_ATTEMPTS`].
     Unbounded,
 }
 
--- a/crates/routing/src/admission_rule.rs
+++ b/crates/routing/src/admission_rule.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Admission {
     /// Queue the request: it is expected to meet its target.
-    Wait,
+    Queue,
     /// Reject the request.
     Refuse {
         /// Expected time until a slot is free for it, after which the caller may retry.
@@ -36,11 +36,12 @@
     /// Decides whether to queue a request whose target is `left` away from now.
     ///
     /// A request that is expected to miss its target is rejected at once: it would only occupy a
-    /// slot that another request could use to meet its own target.
+    /// slot that another request could use to meet its own target. Without slots, every request is
+    /// rejected.
     pub fn decide(&self, left: Duration) -> Admission {
         let wait = self.expected_wait();
         if self.slots > 0 && wait + self.service_time <= left {
-            return Admission::Wait;
+            return Admission::Queue;
         }
         Admission::Refuse { retry_after: wait }
     }
--- a/crates/routing/tests/admission_and_queueing.rs
+++ b/crates/routing/tests/admission_and_queueing.rs
@@ -76,8 +76,8 @@
         waiting,
         service_time: ms(20),
     };
-    assert_eq!(rule(10, 0).decide(ms(22)), Admission::Wait);
-    assert_eq!(rule(10, 40).decide(ms(102)), Admission::Wait);
+    assert_eq!(rule(10, 0).decide(ms(22)), Admission::Queue);
+    assert_eq!(rule(10, 40).decide(ms(102)), Admission::Queue);
     let retry_after = ms(82);
     assert_eq!(
         rule(10, 40).decide(ms(101)),
