--- /dev/null
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -0,0 +1,250 @@
+//! Takes over the ownership: claims it, reads the records of the former owner, and runs the owner's tasks.
+
+use std::{
+    rc::Rc,
+    sync::Arc,
+    time::Duration, //
+};
+
+use jasminebend_dispatch::{
+    Dispatcher,
+    JobKey,
+    ProgressRecord, //
+};
+use serde::Serialize;
+use tokio::task::JoinSet;
+
+use crate::{
+    CommitAnswer,
+    FleetRow,
+    FleetTable,
+    LogEvent,
+    OwnerRecord,
+    RegistryChange,
+    RowCommit,
+    StoreError,
+    job_watch::{
+        JobWatchPosition,
+        apply_job_row,
+        read_jobs,
+        watch_jobs, //
+    },
+    maintenance_waves::carry_out_waves,
+    member_expiry::expire_members,
+    member_watch::apply_owner_row,
+    operator_watch::configure_dispatcher,
+    order_planning::plan_orders,
+    owner_announcement::announce_owner,
+    owner_term::OwnerTerm,
+    pool_usage_log::report_pool_usage,
+    progress_commits::commit_progress,
+    registry_watch::watch_registry,
+    shared_state::{
+        OWNER_KEY,
+        SHARD_PART,
+        SharedState, //
+    },
+    takeover_records::{
+        decode_workers,
+        restore_learned,
+        write_takeover_records, //
+    },
+    term_confirmation::confirm_term, //
+};
+
+/// This daemon began to act as the owner, or its term is over.
+#[derive(Serialize)]
+struct TakeoverLine<'a> {
+    change: &'static str,
+    token: u64,
+    former: &'a str,
+    former_gone: bool,
+    took_ms: f64,
+    jobs: usize,
+    workers: usize,
+}
+
+/// Takes over the ownership: writes the owner's row, reads all records, then starts the owner's tasks.
+pub(crate) async fn take_over(shared: &Rc<SharedState>) {
+    let started_at = shared.now();
+    let former_gone = shared.succession.borrow().is_former_owner_gone();
+    let Some((term, former)) = claim_ownership(shared, former_gone).await else {
+        return;
+    };
+    tokio::task::spawn_local(announce_owner(
+        Rc::clone(shared),
+        Rc::clone(&term),
+        former_gone,
+    ));
+    let mut positions = None;
+    while positions.is_none() && !term.is_over() {
+        positions = read_records(shared, &term, former_gone).await.ok();
+        if positions.is_none() {
+            shared.store.wait_to_retry().await;
+        }
+    }
+    let Some((job_position, registry_version)) = positions else {
+        return;
+    };
+    term.loaded.set(true);
+    configure_dispatcher(shared);
+    {
+        let dispatcher = term.dispatcher.borrow();
+        shared.log.line(
+            LogEvent::Owner,
+            TakeoverLine {
+                change: "acting",
+                token: term.token(),
+                former: &former,
+                former_gone,
+                took_ms: shared.now().saturating_sub(started_at).as_secs_f64() * 1000.0,
+                jobs: dispatcher.live_jobs(),
+                workers: dispatcher.worker_count(),
+            },
+        );
+    }
+    tokio::task::spawn_local(run_owner_tasks(
+        Rc::clone(shared),
+        term,
+        job_position,
+        registry_version,
+    ));
+}
+
+async fn claim_ownership(
+    shared: &Rc<SharedState>,
+    former_gone: bool,
+) -> Option<(Rc<OwnerTerm>, String)> {
+    let (former, version) = {
+        let succession = shared.succession.borrow();
+        (succession.owner_row().cloned(), shared.owner_version.get())
+    };
+    let record = OwnerRecord {
+        node: shared.settings.node.clone(),
+        incarnation: shared.incarnation,
+        address: shared.settings.peers.to_string(),
+        token: former.as_ref().map_or(0, |owner| owner.token) + 1,
+        vacant: false,
+    };
+    let value = postcard::to_stdvec(&record).ok()?;
+    let row = FleetRow::new(FleetTable::Fleet, SHARD_PART, OWNER_KEY, value);
+    let commit = RowCommit {
+        guards: vec![row.guard(version)],
+        writes: vec![row.clone()],
+    };
+    let sent = shared.now();
+    let version = match shared.store.commit(commit).await {
+        Ok(CommitAnswer::Done(version)) => version,
+        Ok(CommitAnswer::Conflict(rows)) => {
+            apply_owner_row(shared, rows.first().filter(|row| row.version > 0));
+            return None;
+        }
+        // If the write was applied after all, the watch shows it, and this daemon then replaces its own row.
+        Err(_) => return None,
+    };
+    let guard = row.guard(version);
+    let written = FleetRow { version, ..row };
+    apply_owner_row(shared, Some(&written));
+    let dispatcher = Dispatcher::new(record.token, shared.settings.dispatch);
+    let former_owner_until = match former_gone {
+        true => Duration::ZERO,
+        false => Duration::MAX,
+    };
+    let term =
+        OwnerTerm::new(record, guard, dispatcher, sent).with_former_owner_until(former_owner_until);
+    let term = Rc::new(term);
+    *shared.term.borrow_mut() = Some(Rc::clone(&term));
+    let former = former.map_or_else(String::new, |owner| owner.node);
+    Some((term, former))
+}
+
+/// Reads workers, jobs and their progress; returns the points from which to watch the jobs and the registry.
+async fn read_records(
+    shared: &Rc<SharedState>,
+    term: &Rc<OwnerTerm>,
+    former_gone: bool,
+) -> Result<(JobWatchPosition, u64), StoreError> {
+    let is_first_owner = term.token() == 1;
+    let store = &shared.store;
+    let registry = store.call(store.port().read_registry()).await?;
+    let (progress, _) = shared
+        .store
+        .read_all(FleetTable::Progress, SHARD_PART, "", None)
+        .await?;
+    let (jobs, job_position) = read_jobs(shared).await?;
+    let now = shared.now();
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    let until = now + dispatcher.inheritance(former_gone);
+    // The dispatcher learns the demand of short work, per pool, from the jobs read below; it needs the queues first.
+    if let Some(configuration) = shared.configuration() {
+        dispatcher.configure(configuration);
+    }
+    restore_learned(&mut dispatcher, &progress);
+    let (recorded_workers, rows) = decode_workers(&progress);
+    term.worker_row_count.set(rows);
+    for worker in recorded_workers {
+        let id = Arc::clone(&worker.id);
+        dispatcher.list_worker(worker, Some(until));
+        dispatcher.unlist_worker(&id);
+    }
+    for change in registry.items {
+        if let RegistryChange::Listed(worker) = change {
+            dispatcher.list_worker(worker, (!is_first_owner).then_some(until));
+        }
+    }
+    drop(dispatcher);
+    for row in &jobs {
+        apply_job_row(shared, term, row, true);
+    }
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    let mut versions = term.progress_versions.borrow_mut();
+    for row in &progress {
+        let record = postcard::from_bytes::<ProgressRecord>(&row.value);
+        if let (Ok(key), Ok(record)) = (row.key.parse::<JobKey>(), record) {
+            versions.insert(key, row.version);
+            dispatcher.restore(key, &record);
+        }
+    }
+    Ok((job_position, registry.version))
+}
+
+/// Runs the owner's tasks until the term is over.
+async fn run_owner_tasks(
+    shared: Rc<SharedState>,
+    term: Rc<OwnerTerm>,
+    job_position: JobWatchPosition,
+    registry_version: u64,
+) {
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(watch_jobs(
+        Rc::clone(&shared),
+        Rc::clone(&term),
+        job_position,
+    ));
+    tasks.spawn_local(watch_registry(
+        Rc::clone(&shared),
+        Rc::clone(&term),
+        registry_version,
+    ));
+    tasks.spawn_local(plan_orders(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(commit_progress(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(write_takeover_records(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(confirm_term(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(report_pool_usage(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(carry_out_waves(Rc::clone(&shared), Rc::clone(&term)));
+    tasks.spawn_local(expire_members(Rc::clone(&shared), Rc::clone(&term)));
+    term.until_over().await;
+    shared.log.line(
+        LogEvent::Owner,
+        TakeoverLine {
+            change: "over",
+            token: term.token(),
+            former: "",
+            former_gone: false,
+            took_ms: 0.0,
+            jobs: term.dispatcher.borrow().live_jobs(),
+            workers: term.dispatcher.borrow().worker_count(),
+        },
+    );
+    tasks.shutdown().await;
+}
--- /dev/null
+++ b/crates/fleet/src/progress_commits.rs
@@ -0,0 +1,149 @@
+//! Commits jobs' progress to the store.
+
+use std::{
+    rc::Rc,
+    time::Duration, //
+};
+
+use jasminebend_dispatch::{
+    JobKey,
+    ProgressRecord, //
+};
+use serde::Serialize;
+use tokio::time;
+
+use crate::{
+    CommitAnswer,
+    FleetRow,
+    FleetTable,
+    LogEvent,
+    RowCommit,
+    fleet_log::whole_millis,
+    member_watch::apply_owner_row,
+    order_planning::progress_row,
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
+};
+
+/// The most jobs in a commit: each needs a guard and a write, and the store accepts 100 entries.
+const MAX_JOBS_PER_COMMIT: usize = 45;
+/// How long progress is collected before a commit: callers wait for it, but each commit is an expensive call.
+const COMMIT_DELAY: Duration = Duration::from_millis(6);
+/// The longest time between two checks for progress to commit.
+const LONGEST_COMMIT_INTERVAL: Duration = Duration::from_millis(200);
+
+/// The outcome of a job, once it is committed.
+#[derive(Serialize)]
+struct JobOutcomeLine {
+    job: String,
+    outcome: String,
+    owner_token: u64,
+    store_version: u64,
+    age_ms: Option<u64>,
+}
+
+/// Commits the progress of jobs until the term is over.
+pub(crate) async fn commit_progress(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
+    loop {
+        // After the timeout the progress of a failed commit may still have to be committed.
+        drop(time::timeout(LONGEST_COMMIT_INTERVAL, term.commit_wakeup.notified()).await);
+        time::sleep(COMMIT_DELAY).await;
+        let records = term
+            .dispatcher
+            .borrow_mut()
+            .take_commit(MAX_JOBS_PER_COMMIT);
+        if records.is_empty() {
+            continue;
+        }
+        let commit = build_commit(&term, &records);
+        let sent = shared.now();
+        match shared.store.commit(commit).await {
+            Ok(CommitAnswer::Done(version)) => {
+                term.confirm(sent);
+                handle_applied(&shared, &term, &records, version);
+            }
+            Ok(CommitAnswer::Conflict(rows)) => handle_conflict(&shared, &term, &rows),
+            Err(_) => {
+                // If the commit was applied after all, the next attempt conflicts with the versions that it wrote.
+                term.dispatcher.borrow_mut().note_uncommitted();
+                shared.store.wait_to_retry().await;
+                term.commit_wakeup.notify_one();
+            }
+        }
+    }
+}
+
+fn build_commit(term: &OwnerTerm, records: &[(JobKey, ProgressRecord)]) -> RowCommit {
+    let versions = term.progress_versions.borrow();
+    let mut commit = RowCommit {
+        guards: vec![term.guard.clone()],
+        writes: Vec::with_capacity(records.len()),
+    };
+    for (key, record) in records {
+        let Ok(value) = postcard::to_stdvec(record) else {
+            continue;
+        };
+        let row = progress_row(*key, value);
+        let version = versions.get(key).copied().unwrap_or(0);
+        commit.guards.push(row.guard(version));
+        commit.writes.push(row);
+    }
+    commit
+}
+
+fn handle_applied(
+    shared: &SharedState,
+    term: &OwnerTerm,
+    records: &[(JobKey, ProgressRecord)],
+    version: u64,
+) {
+    let mut versions = term.progress_versions.borrow_mut();
+    let now = shared.now();
+    let mut dispatcher = term.dispatcher.borrow_mut();
+    dispatcher.note_committed();
+    for (key, record) in records {
+        versions.insert(*key, version);
+        let Some(outcome) = record.outcome else {
+            continue;
+        };
+        let age = dispatcher.age(*key, now);
+        if let Some(age) = age {
+            metrics::histogram!("jasminebend_fleet_job_seconds").record(age.as_secs_f64());
+        }
+        shared.log.line(
+            LogEvent::Job,
+            JobOutcomeLine {
+                job: key.to_string(),
+                outcome: outcome.to_string(),
+                owner_token: term.token(),
+                store_version: version,
+                age_ms: age.map(whole_millis),
+            },
+        );
+    }
+    drop(dispatcher);
+    term.committed.send_modify(|count| *count += 1);
+    if term.dispatcher.borrow().wants_commit() {
+        term.commit_wakeup.notify_one();
+    }
+}
+
+/// Handles a guard that did not hold: another daemon has become the owner, or an earlier attempt of this daemon, whose
+/// outcome was unknown, was applied.
+fn handle_conflict(shared: &SharedState, term: &OwnerTerm, rows: &[FleetRow]) {
+    term.dispatcher.borrow_mut().note_uncommitted();
+    let owner = rows.iter().find(|row| row.key == term.guard.key);
+    let replaced = owner.is_none_or(|row| row.version != term.guard.version);
+    if replaced {
+        apply_owner_row(shared, owner);
+        term.end();
+        return;
+    }
+    let mut versions = term.progress_versions.borrow_mut();
+    for row in rows.iter().filter(|row| row.table == FleetTable::Progress) {
+        if let Ok(key) = row.key.parse() {
+            versions.insert(key, row.version);
+        }
+    }
+    term.commit_wakeup.notify_one();
+}
--- a/crates/fleet/tests/daemons/memory_store.rs
+++ b/crates/fleet/tests/daemons/memory_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that fails as the test says.
+//! An in-memory store with injected faults.
 
 use std::{
     cell::{
@@ -39,17 +39,18 @@
 
 type RowName = (FleetTable, String, String);
 
-/// How long a daemon waits for the answer of a call, and beyond a watch's own wait.
+/// How long a daemon waits for the answer to a call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1200);
+/// How long a daemon waits for the answer to a watch, beyond the watch's own wait.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// A value and the store's version at its last change.
+/// A value, with the store's version at its last change.
 struct Versioned<Value> {
     value: Value,
     version: u64,
 }
 
-/// A store in memory that all daemons of a test share.
+/// An in-memory store that all daemons of a test share.
 pub(crate) struct MemoryStore {
     rows: RefCell<Vec<(RowName, FleetRow)>>,
     version: Cell<u64>,
@@ -58,31 +59,31 @@
     workers: RefCell<Versioned<Vec<FleetWorker>>>,
 }
 
-/// One daemon's way to the store, with what goes wrong on it.
-pub(crate) struct StoreWay {
+/// One daemon's client of the store, with the faults injected for this daemon.
+pub(crate) struct StoreClient {
     pub(crate) store: Rc<MemoryStore>,
-    /// Whether every call is turned away.
-    pub(crate) down: Cell<bool>,
-    /// The parts of which every call is broken off.
-    pub(crate) broken_parts: RefCell<Vec<String>>,
-    /// How many of the next commits are made without an answer.
+    /// Whether every call is refused.
+    pub(crate) refuses_calls: Cell<bool>,
+    /// The parts whose calls all fail with an unknown outcome.
+    pub(crate) failing_parts: RefCell<Vec<String>>,
+    /// How many of the next commits are applied but not answered.
     pub(crate) lost_answers: Cell<u32>,
-    /// Whether no call is heard.
+    /// Whether calls are lost on their way to the store.
     silent: Cell<bool>,
-    /// How long the store takes for a read.
-    pub(crate) read_takes: Cell<Duration>,
-    /// How long it takes for a read of jobs.
-    pub(crate) jobs_take: Cell<Duration>,
-    /// How long it takes for a commit.
-    pub(crate) commit_takes: Cell<Duration>,
-    /// How often the connections that were open went silent for good.
-    losses: Cell<u32>,
-    /// The version up to which changes are no longer told.
-    forgotten: Cell<u64>,
+    /// The latency of a read, except of jobs.
+    pub(crate) read_latency: Cell<Duration>,
+    /// The latency of a read of jobs.
+    pub(crate) job_read_latency: Cell<Duration>,
+    /// The latency of a commit.
+    pub(crate) commit_latency: Cell<Duration>,
+    /// How many times all open connections went silent for good.
+    connection_losses: Cell<u32>,
+    /// The version up to which the store no longer keeps changes.
+    forgotten_version: Cell<u64>,
 }
 
 impl MemoryStore {
-    /// Creates a store that lists workers.
+    /// Creates a store whose registry lists these workers.
     pub(crate) fn new(listed: Vec<FleetWorker>) -> Self {
         Self {
             rows: RefCell::new(Vec::new()),
@@ -115,7 +116,7 @@
             let current = commit.guards.iter().filter_map(|guard| find(&rows, guard));
             return CommitAnswer::Conflict(current.collect());
         }
-        let version = self.raise_version();
+        let version = self.next_version();
         for row in commit.writes {
             let name = (row.table, row.part.clone(), row.key.clone());
             rows.retain(|(known, _)| *known != name);
@@ -124,7 +125,7 @@
         CommitAnswer::Done(version)
     }
 
-    /// Puts a configuration in force that has one queue more.
+    /// Adds a queue to the configuration.
     pub(crate) fn add_queue(&self, name: &str) {
         let mut known = self.configuration.borrow_mut();
         let mut new = FleetConfiguration::clone(&known.value);
@@ -132,50 +133,51 @@
         new.queues.insert(name.into(), queue(name));
         *known = Versioned {
             value: Arc::new(new),
-            version: self.raise_version(),
+            version: self.next_version(),
         };
     }
 
-    /// Lists all workers as about to leave.
+    /// Marks all workers as draining.
     pub(crate) fn drain_workers(&self) {
         let mut known = self.workers.borrow_mut();
         for worker in &mut known.value {
             worker.draining = true;
         }
-        known.version = self.raise_version();
+        known.version = self.next_version();
     }
 
-    /// Writes rows as another daemon would.
+    /// Writes rows without guards, as another daemon would.
     pub(crate) fn write(&self, writes: Vec<FleetRow>) {
         let guards = Vec::new();
         self.commit(RowCommit { guards, writes });
     }
 
-    fn raise_version(&self) -> u64 {
+    /// Increments the store's version, wakes all watches, and returns the new version.
+    fn next_version(&self) -> u64 {
         self.version.set(self.version.get() + 1);
         self.changed.notify_waiters();
         self.version.get()
     }
 
-    fn operator_rows(&self) -> Vec<OperatorChange> {
+    fn operator_changes(&self) -> Vec<OperatorChange> {
         let configuration = Arc::clone(&self.configuration.borrow().value);
         vec![OperatorChange::Configured(configuration)]
     }
 
-    fn registry_rows(&self) -> Vec<RegistryChange> {
+    fn registry_changes(&self) -> Vec<RegistryChange> {
         let workers = self.workers.borrow();
         let workers = workers.value.iter().cloned();
         workers.map(RegistryChange::Listed).collect()
     }
 
-    /// Returns who owns the jobs.
+    /// Returns the owner's row.
     pub(crate) fn owner(&self) -> Option<OwnerRecord> {
         let rows = self.rows.borrow();
         let (_, row) = rows.iter().find(|((_, _, key), _)| key == "owner")?;
         postcard::from_bytes(&row.value).ok()
     }
 
-    /// Counts the members.
+    /// Returns the number of members.
     pub(crate) fn members(&self) -> usize {
         let rows = self.rows.borrow();
         let members = rows.iter().filter(|((_, part, _), _)| part == "members");
@@ -195,6 +197,7 @@
         self.write(empty.collect());
     }
 
+    /// Returns the number of a table's rows.
     pub(crate) fn count(&self, table: FleetTable) -> usize {
         let rows = self.rows.borrow();
         rows.iter()
@@ -203,53 +206,57 @@
     }
 }
 
-impl StoreWay {
+impl StoreClient {
     pub(crate) fn new(store: Rc<MemoryStore>) -> Self {
         Self {
             store,
-            down: Cell::new(false),
-            broken_parts: RefCell::new(Vec::new()),
+            refuses_calls: Cell::new(false),
+            failing_parts: RefCell::new(Vec::new()),
             lost_answers: Cell::new(0),
             silent: Cell::new(false),
-            read_takes: Cell::new(Duration::from_millis(2)),
-            jobs_take: Cell::new(Duration::from_millis(2)),
-            commit_takes: Cell::new(Duration::from_millis(2)),
-            losses: Cell::new(0),
-            forgotten: Cell::new(0),
+            read_latency: Cell::new(Duration::from_millis(2)),
+            job_read_latency: Cell::new(Duration::from_millis(2)),
+            commit_latency: Cell::new(Duration::from_millis(2)),
+            connection_losses: Cell::new(0),
+            forgotten_version: Cell::new(0),
         }
     }
 
-    /// Drops the history: a watch from before has to read all again.
+    /// Drops the history: a watch after an earlier version fails with [`StoreError::Forgotten`].
     pub(crate) fn forget_history(&self) {
-        self.forgotten.set(self.store.raise_version());
+        self.forgotten_version.set(self.store.next_version());
     }
 
-    /// Leaves calls unanswered from now on; their connections stay open.
-    pub(crate) fn fall_silent(&self) {
+    /// Leaves all calls unanswered from now on; their connections stay open.
+    pub(crate) fn go_silent(&self) {
         self.silent.set(true);
         self.lose_connections();
     }
 
-    /// Hears new calls again; connections that fell silent stay so.
+    /// Answers new calls again; calls on connections that went silent stay unanswered.
     pub(crate) fn answer_again(&self) {
         self.silent.set(false);
     }
 
-    /// Has all open connections fall silent for good; new ones work.
+    /// Lets all open connections go silent for good; new ones work.
     pub(crate) fn lose_connections(&self) {
-        self.losses.set(self.losses.get() + 1);
+        self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
-    /// Carries a call to the store and its answer back, as far as they get through.
-    async fn carry<Answer, Call>(&self, timeout: Duration, call: Call) -> Result<Answer, StoreError>
+    /// Makes a call; if the call or its answer is lost, fails with an unknown outcome after `timeout`.
+    async fn deliver<Answer, Call>(
+        &self,
+        timeout: Duration,
+        call: Call,
+    ) -> Result<Answer, StoreError>
     where
         Call: Future<Output = Result<Answer, StoreError>>,
     {
         let deadline = time::Instant::now() + timeout;
-        let losses = self.losses.get();
+        let connection_losses = self.connection_losses.get();
         if !self.silent.get() {
             let answer = call.await;
-            if self.losses.get() == losses {
+            if self.connection_losses.get() == connection_losses {
                 return answer;
             }
         }
@@ -257,8 +264,8 @@
         Err(StoreError::Unknown)
     }
 
-    /// Waits until `rows` finds changes, or the wait is over.
-    async fn follow<Item, Rows>(
+    /// Waits until `rows` returns changes, or `wait` has passed.
+    async fn wait_for_changes<Item, Rows>(
         &self,
         after: u64,
         wait: Duration,
@@ -269,8 +276,8 @@
     {
         let until = time::Instant::now() + wait;
         loop {
-            self.reach()?;
-            if after < self.forgotten.get() {
+            self.check_reachable()?;
+            if after < self.forgotten_version.get() {
                 return Err(StoreError::Forgotten);
             }
             let changed = self.store.changed.notified();
@@ -278,7 +285,7 @@
             if !items.is_empty() || time::Instant::now() >= until {
                 return Ok(self.page(items));
             }
-            // An outage is noticed, too.
+            // Checks for an injected outage at intervals.
             drop(time::timeout(Duration::from_millis(100), changed).await);
         }
     }
@@ -291,20 +298,20 @@
         }
     }
 
-    fn reach_part(&self, part: &str) -> Result<(), StoreError> {
+    fn check_part_reachable(&self, part: &str) -> Result<(), StoreError> {
         match self
-            .broken_parts
+            .failing_parts
             .borrow()
             .iter()
             .any(|broken| broken == part)
         {
             true => Err(StoreError::Unknown),
-            false => self.reach(),
+            false => self.check_reachable(),
         }
     }
 
-    fn reach(&self) -> Result<(), StoreError> {
-        match self.down.get() {
+    fn check_reachable(&self) -> Result<(), StoreError> {
+        match self.refuses_calls.get() {
             true => Err(StoreError::Refused),
             false => Ok(()),
         }
@@ -312,12 +319,12 @@
 }
 
 #[async_trait(?Send)]
-impl FleetStore for StoreWay {
+impl FleetStore for StoreClient {
     async fn commit(&self, commit: RowCommit) -> Result<CommitAnswer, StoreError> {
         let call = async {
-            time::sleep(self.commit_takes.get()).await;
+            time::sleep(self.commit_latency.get()).await;
             for row in &commit.writes {
-                self.reach_part(&row.part)?;
+                self.check_part_reachable(&row.part)?;
             }
             let answer = self.store.commit(commit);
             if self.lost_answers.get() > 0 {
@@ -326,7 +333,7 @@
             }
             Ok(answer)
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn read(
@@ -338,11 +345,11 @@
     ) -> Result<RowPage<FleetRow>, StoreError> {
         let call = async {
             let takes = match table {
-                FleetTable::Jobs => &self.jobs_take,
-                _ => &self.read_takes,
+                FleetTable::Jobs => &self.job_read_latency,
+                _ => &self.read_latency,
             };
             time::sleep(takes.get()).await;
-            self.reach_part(part)?;
+            self.check_part_reachable(part)?;
             let rows = self.store.rows.borrow();
             let mut items: Vec<FleetRow> = rows
                 .iter()
@@ -353,7 +360,7 @@
             items.sort_by(|left, right| left.key.cmp(&right.key));
             Ok(self.page(items))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch(
@@ -362,7 +369,7 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RowChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             let rows = self.store.rows.borrow();
             let rows = rows.iter().map(|(_, row)| row);
             rows.filter(|row| row.table == table && row.version > after)
@@ -373,15 +380,15 @@
                 })
                 .collect()
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     async fn read_operator(&self) -> Result<RowPage<OperatorChange>, StoreError> {
         let call = async {
-            self.reach()?;
-            Ok(self.page(self.store.operator_rows()))
+            self.check_reachable()?;
+            Ok(self.page(self.store.operator_changes()))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch_operator(
@@ -389,21 +396,21 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<OperatorChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             match self.store.configuration.borrow().version > after {
-                true => self.store.operator_rows(),
+                true => self.store.operator_changes(),
                 false => Vec::new(),
             }
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     async fn read_registry(&self) -> Result<RowPage<RegistryChange>, StoreError> {
         let call = async {
-            self.reach()?;
-            Ok(self.page(self.store.registry_rows()))
+            self.check_reachable()?;
+            Ok(self.page(self.store.registry_changes()))
         };
-        self.carry(CALL_TIMEOUT, call).await
+        self.deliver(CALL_TIMEOUT, call).await
     }
 
     async fn watch_registry(
@@ -411,13 +418,13 @@
         after: u64,
         wait: Duration,
     ) -> Result<RowPage<RegistryChange>, StoreError> {
-        let call = self.follow(after, wait, || {
+        let call = self.wait_for_changes(after, wait, || {
             match self.store.workers.borrow().version > after {
-                true => self.store.registry_rows(),
+                true => self.store.registry_changes(),
                 false => Vec::new(),
             }
         });
-        self.carry(wait + WATCH_TIMEOUT, call).await
+        self.deliver(wait + WATCH_TIMEOUT, call).await
     }
 
     fn forget_connections(&self) {}
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -1,4 +1,4 @@
-//! Daemons in one process, with a store and workers in memory that fail as the test says.
+//! Daemons in one process, with an in-memory store and in-memory workers into which tests inject faults.
 
 #![expect(
     clippy::unwrap_used,
@@ -67,7 +67,7 @@
     MemberRecord,
     OwnerRecord,
     PeerAnswer,
-    PeerCall,
+    PeerRequest,
     WorkerAddress, //
 };
 use jasminebend_ports::{
@@ -92,54 +92,54 @@
 
 use crate::memory_store::{
     MemoryStore,
-    StoreWay, //
+    StoreClient, //
 };
 
-/// Plays a story on a runtime whose time stands still while anything runs.
-pub(crate) fn play_paused<Story>(story: Story)
+/// Runs a test on a runtime with simulated time, which advances only while all tasks wait.
+pub(crate) fn run_simulated<Test>(test: Test)
 where
-    Story: Future<Output = ()>,
+    Test: Future<Output = ()>,
 {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build();
-    LocalSet::new().block_on(&runtime.unwrap(), story);
+    LocalSet::new().block_on(&runtime.unwrap(), test);
 }
 
-/// Workers in memory.
+/// In-memory workers, and the calls to them.
 pub(crate) struct MemoryWorkers {
     clock: Rc<dyn ClockSource>,
     workers: RefCell<BTreeMap<String, StepWorker>>,
-    /// How long a task works.
-    pub(crate) lasts: Cell<Duration>,
-    /// Whether a renewal is answered only at an end, or after its wait.
-    pub(crate) waits: Cell<bool>,
-    /// How often the connections that were open went silent for good.
-    losses: Cell<u32>,
-    /// The workers that no daemon reaches.
-    unreached: RefCell<BTreeSet<String>>,
+    /// How long a run takes.
+    pub(crate) run_time: Cell<Duration>,
+    /// Whether a lease renewal is answered only when a run ends or its wait is over.
+    pub(crate) delays_answers: Cell<bool>,
+    /// How many times all open connections went silent for good.
+    connection_losses: Cell<u32>,
+    /// The workers that no daemon can reach.
+    partitioned: RefCell<BTreeSet<String>>,
 }
 
 impl MemoryWorkers {
     fn now(&self) -> Duration {
-        // The workers have booted a while ago.
+        // The workers booted 10 s before the daemons.
         self.clock.monotonic() + Duration::from_secs(10)
     }
 
-    fn with<Answer>(
+    fn with_reachable_worker<Answer>(
         &self,
         address: &WorkerAddress,
         act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
     ) -> Option<Answer> {
-        match self.unreached.borrow().contains(address.id.as_ref()) {
+        match self.partitioned.borrow().contains(address.id.as_ref()) {
             true => None,
-            false => self.act_on(address.id.as_ref(), act),
+            false => self.with_worker(address.id.as_ref(), act),
         }
     }
 
-    /// Acts on a worker, also on one that no daemon reaches.
-    pub(crate) fn act_on<Answer>(
+    /// Calls `act` with a worker, also with one that no daemon can reach.
+    pub(crate) fn with_worker<Answer>(
         &self,
         id: &str,
         act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
@@ -151,12 +151,12 @@
 
     /// Partitions a worker from all daemons.
     pub(crate) fn partition(&self, id: &str) {
-        self.unreached.borrow_mut().insert(id.to_owned());
+        self.partitioned.borrow_mut().insert(id.to_owned());
     }
 
-    /// Renews a worker's lease as the owner of that token would.
+    /// Renews a worker's lease as the owner with this token would.
     pub(crate) fn renew(&self, id: &str, token: u64) {
-        self.act_on(id, |worker, now| {
+        self.with_worker(id, |worker, now| {
             let order = HoldOrder {
                 deadline: Some(now + Duration::from_secs(5)),
                 acknowledged: 0,
@@ -168,35 +168,38 @@
 
     /// Lets daemons reach all workers again.
     pub(crate) fn heal(&self) {
-        self.unreached.borrow_mut().clear();
+        self.partitioned.borrow_mut().clear();
     }
 
-    /// Has all open connections fall silent for good; new ones work.
+    /// Lets all open connections go silent for good; new ones work.
     pub(crate) fn lose_connections(&self) {
-        self.losses.set(self.losses.get() + 1);
+        self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
-    fn hear(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
-        let report = self.with(worker, |state, now| state.hold(now, worker.token, order));
-        report.unwrap_or(Err(LOST))
+    fn renew_now(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+        let report =
+            self.with_reachable_worker(worker, |state, now| state.hold(now, worker.token, order));
+        report.unwrap_or(Err(UNANSWERED))
     }
 
     async fn wait_for_end(&self, worker: &WorkerAddress, order: &HoldOrder) {
-        let look = HoldOrder {
+        // Without a deadline the order reads the report and renews nothing.
+        let report_request = HoldOrder {
             deadline: None,
             ..*order
         };
         let until = time::Instant::now() + order.wait;
-        let works_on = || {
-            self.hear(worker, look)
+        let nothing_ended = || {
+            self.renew_now(worker, report_request)
                 .is_ok_and(|seen| seen.ended.is_empty())
         };
-        while time::Instant::now() < until && works_on() {
-            time::sleep(LOOK_EVERY).await;
+        while time::Instant::now() < until && nothing_ended() {
+            time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    pub(crate) fn begins(&self) -> usize {
+    /// Returns how many runs all workers have started.
+    pub(crate) fn started_runs(&self) -> usize {
         let workers = self.workers.borrow();
         let deeds = workers.values().flat_map(|worker| worker.deeds());
         deeds
@@ -206,31 +209,31 @@
 }
 
 const PROBE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a renewal is on its way.
-const WAY: Duration = Duration::from_millis(20);
-/// How often a worker that holds back its answer looks for an end.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// How long an answer is waited for beyond a renewal's own wait.
-const HOLD_TIMEOUT: Duration = Duration::from_millis(700);
+/// The network latency of a lease renewal.
+const RENEWAL_LATENCY: Duration = Duration::from_millis(20);
+/// The interval at which a worker that delays its answer checks for a run that has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How long a daemon waits for the answer to a renewal, beyond the renewal's own wait.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// What becomes of a call to a worker that is partitioned, or is none of the test's.
-const LOST: OrderEnd = OrderEnd::Unknown;
+/// The outcome of a call to a worker that is partitioned or does not exist.
+const UNANSWERED: OrderEnd = OrderEnd::Unknown;
 
 #[async_trait(?Send)]
 impl FleetWorkers for MemoryWorkers {
     async fn hold(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
-        let losses = self.losses.get();
-        let timeout = time::Instant::now() + order.wait + HOLD_TIMEOUT;
-        time::sleep(WAY).await;
+        let connection_losses = self.connection_losses.get();
+        let timeout = time::Instant::now() + order.wait + RENEWAL_TIMEOUT;
+        time::sleep(RENEWAL_LATENCY).await;
         let mut answer = Err(OrderEnd::Unknown);
-        if self.losses.get() == losses {
-            answer = self.hear(worker, order);
-            if self.waits.get() {
+        if self.connection_losses.get() == connection_losses {
+            answer = self.renew_now(worker, order);
+            if self.delays_answers.get() {
                 self.wait_for_end(worker, &order).await;
-                answer = self.hear(worker, order);
+                answer = self.renew_now(worker, order);
             }
         }
-        if self.losses.get() != losses {
+        if self.connection_losses.get() != connection_losses {
             time::sleep_until(timeout).await;
             return Err(OrderEnd::Unknown);
         }
@@ -245,21 +248,21 @@
     ) -> OrderEnd {
         time::sleep(Duration::from_millis(1)).await;
         let work = TaskWork {
-            lasts: self.lasts.get(),
+            lasts: self.run_time.get(),
             fails: false,
             size: ResourceAmount::new(1000, 100),
         };
-        let answer = self.with(worker, |state, now| {
+        let answer = self.with_reachable_worker(worker, |state, now| {
             state.start(now, worker.token, order, deadline, work)
         });
-        answer.unwrap_or(LOST)
+        answer.unwrap_or(UNANSWERED)
     }
 
     async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd {
-        let answer = self.with(worker, |state, now| {
+        let answer = self.with_reachable_worker(worker, |state, now| {
             state.stop(now, worker.token, task, run)
         });
-        answer.unwrap_or(LOST)
+        answer.unwrap_or(UNANSWERED)
     }
 
     async fn pace(
@@ -275,25 +278,25 @@
     fn forget(&self, _address: &str) {}
 }
 
-/// A daemon of the test.
+/// A running daemon.
 pub(crate) struct TestDaemon {
     pub(crate) desk: Rc<CallerDesk>,
-    pub(crate) way: Rc<StoreWay>,
+    pub(crate) store_client: Rc<StoreClient>,
     peers: SocketAddr,
     stop: watch::Sender<bool>,
     running: JoinHandle<()>,
 }
 
 impl TestDaemon {
-    /// Ends it as a loss of power would.
+    /// Ends the daemon as a loss of power would.
     pub(crate) fn kill(&self) {
-        self.way.down.set(true);
+        self.store_client.refuses_calls.set(true);
         self.running.abort();
     }
 
-    /// Asks it as the owner of that token would, and returns the token that it knows.
+    /// Probes the daemon as the owner with this token would, and returns the token that it reports.
     pub(crate) async fn known_token(&self, token: u64) -> u64 {
-        let body = postcard::to_stdvec(&PeerCall::Probe { token }).unwrap();
+        let body = postcard::to_stdvec(&PeerRequest::Probe { token }).unwrap();
         let request = Request::post("/peer").header("host", "daemon");
         let request = request.body(Full::new(Bytes::from(body))).unwrap();
         let address = self.peers.to_string();
@@ -324,13 +327,13 @@
         Self::with_clock(workers, Rc::new(SystemClock::new()))
     }
 
-    /// Creates a fleet whose clock is the runtime's, which a test may have stopped.
+    /// Creates a fleet with the runtime's clock, which may be simulated.
     pub(crate) fn with_runtime_clock(workers: usize) -> Self {
         Self::with_clock(workers, Rc::new(RuntimeClock(time::Instant::now())))
     }
 
     fn with_clock(workers: usize, clock: Rc<dyn ClockSource>) -> Self {
-        let lasts = Duration::from_millis(150);
+        let run_time = Duration::from_millis(150);
         let mut all = BTreeMap::new();
         for number in 0..workers {
             let id = format!("worker-{number}");
@@ -346,23 +349,24 @@
             workers: Rc::new(MemoryWorkers {
                 clock: Rc::clone(&clock),
                 workers: RefCell::new(all),
-                lasts: Cell::new(lasts),
-                waits: Cell::new(false),
-                losses: Cell::new(0),
-                unreached: RefCell::default(),
+                run_time: Cell::new(run_time),
+                delays_answers: Cell::new(false),
+                connection_losses: Cell::new(0),
+                partitioned: RefCell::default(),
             }),
             clock,
             count: Cell::new(0),
         }
     }
 
-    /// Has another daemon own the jobs, one that nobody reaches; no daemon of the test takes over before a long while.
-    pub(crate) fn own_elsewhere(&self) {
-        self.own_at(free_address(), MEMBERS_BEFORE);
+    /// Makes an unreachable daemon the owner, with so many members that no daemon of the test takes over soon.
+    pub(crate) fn set_unreachable_owner(&self) {
+        self.set_owner(free_address(), EARLIER_CLAIMANTS);
     }
 
-    /// Has another daemon own the jobs, and so many members go before a daemon of the test where it is to be replaced.
-    pub(crate) fn own_at(&self, address: SocketAddr, members: u32) {
+    /// Makes a daemon at `address` the owner, with `members` members that claim the ownership before a daemon of the
+    /// test.
+    pub(crate) fn set_owner(&self, address: SocketAddr, members: u32) {
         let owner = OwnerRecord {
             node: "elsewhere".to_owned(),
             incarnation: 1,
@@ -375,7 +379,7 @@
         self.enroll(address, members);
     }
 
-    /// Enrolls members that all are at one address.
+    /// Enrolls members that all have the same address.
     pub(crate) fn enroll(&self, address: SocketAddr, members: u32) {
         let rows = (0..members).map(|number| {
             let member = MemberRecord {
@@ -405,28 +409,28 @@
             dispatch: DispatchSettings::default(),
         };
         let peers = settings.peers;
-        let way = Rc::new(StoreWay::new(Rc::clone(&self.store)));
+        let store_client = Rc::new(StoreClient::new(Rc::clone(&self.store)));
         let edges = FleetEdges {
             clock: Rc::clone(&self.clock),
-            store: Rc::clone(&way) as Rc<dyn FleetStore>,
+            store: Rc::clone(&store_client) as Rc<dyn FleetStore>,
             workers: Rc::clone(&self.workers) as Rc<dyn FleetWorkers>,
             advice: None,
             vms: None,
             pool: Rc::new(HttpPool::new()),
-            log: FleetLog::silent("test"),
+            log: FleetLog::discarding("test"),
         };
         let (stop, stopping) = watch::channel(false);
         let daemon = FleetDaemon::new(settings, edges, stopping);
         let desk = daemon.desk();
         let running = tokio::task::spawn_local(async move {
             daemon
-                .run(Rc::new(Nothing), Rc::new(Nothing))
+                .run(Rc::new(EmptyResponder), Rc::new(EmptyResponder))
                 .await
                 .unwrap();
         });
         TestDaemon {
             desk,
-            way,
+            store_client,
             peers,
             stop,
             running,
@@ -434,10 +438,10 @@
     }
 }
 
-/// How many daemons take over before a daemon of the test, where another owns the jobs.
-const MEMBERS_BEFORE: u32 = 500;
+/// The number of members that claim the ownership before a daemon of the test.
+const EARLIER_CLAIMANTS: u32 = 500;
 
-/// The clock of the runtime, which stands still while anything runs if it was started so.
+/// The runtime's clock, which is simulated on a runtime that was started paused.
 struct RuntimeClock(time::Instant);
 
 impl ClockSource for RuntimeClock {
@@ -457,16 +461,17 @@
     FleetRow::new(table, part, key, postcard::to_stdvec(record).unwrap())
 }
 
-/// Answers nothing; the tests ask the desk itself.
-struct Nothing;
+/// Answers every request with an empty body; the tests call the daemon's caller API directly.
+struct EmptyResponder;
 
 #[async_trait(?Send)]
-impl HttpHandler for Nothing {
+impl HttpHandler for EmptyResponder {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
         Response::new(Full::new(Bytes::new()))
     }
 }
 
+/// Returns a job with these steps: the number of tasks, and the indices of the steps that come before.
 pub(crate) fn job(steps: &[(u32, &[u16])]) -> JobGraph {
     let steps = steps.iter().map(|(count, after)| StepSpec {
         count: *count,
@@ -482,7 +487,7 @@
     }
 }
 
-pub(crate) async fn ask(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
+pub(crate) async fn send_request(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
     let call = CallerCall {
         host: "host".to_owned(),
         path: format!("/queue/{}", JobKey::new(number)),
@@ -491,7 +496,7 @@
     desk.answer(call).await
 }
 
-pub(crate) async fn count(desk: &CallerDesk, path: &str) -> CallerAnswer {
+pub(crate) async fn count_waiting(desk: &CallerDesk, path: &str) -> CallerAnswer {
     let call = CallerCall {
         host: "host".to_owned(),
         path: path.to_owned(),
@@ -500,11 +505,11 @@
     desk.answer(call).await
 }
 
-/// Hands a job in, again and again until it is taken.
+/// Submits a job, with retries until it is accepted.
 pub(crate) async fn submit(desk: &CallerDesk, number: u64, graph: &JobGraph) {
     for _ in 0..200 {
         let verb = CallerVerb::Submit(graph.clone());
-        if ask(desk, number, verb).await == CallerAnswer::Done {
+        if send_request(desk, number, verb).await == CallerAnswer::Done {
             return;
         }
         time::sleep(Duration::from_millis(50)).await;
@@ -512,11 +517,11 @@
     panic!("the job was never taken");
 }
 
-/// Reads a job's progress until it is as wanted.
-pub(crate) async fn reach(desk: &CallerDesk, number: u64, wanted: JobProgress) {
+/// Reads a job's progress until it is the expected one.
+pub(crate) async fn wait_for_progress(desk: &CallerDesk, number: u64, wanted: JobProgress) {
     let mut last = CallerAnswer::NoJob;
     for _ in 0..400 {
-        last = ask(desk, number, CallerVerb::Read).await;
+        last = send_request(desk, number, CallerVerb::Read).await;
         if last == CallerAnswer::Progress(wanted) {
             return;
         }
@@ -525,7 +530,7 @@
     panic!("job {number} is at {last:?}, not at {wanted:?}");
 }
 
-/// Returns an address that nothing listens on; no two tests of a process get the same.
+/// Returns an address that nothing listens on, a different one for each call in the process.
 pub(crate) fn free_address() -> SocketAddr {
     static PORTS: LazyLock<PortBlock> = LazyLock::new(|| PortBlock::new().unwrap());
     PORTS.address().unwrap()
