--- a/crates/placement/benches/decisions/main.rs
+++ b/crates/placement/benches/decisions/main.rs
@@ -1,23 +1,23 @@
-//! The decisions against simple ones, in one run: service targets missed, batch finished by its time,
-//! evictions, and work done over an hour in which a failure domain leaves and returns. Every figure is
-//! a ratio to the policy's own, over many seeds, with its spread.
+//! The decisions against simple ones, in one run: service targets missed, batch finished by its
+//! time, evictions, and work done over an hour in which a failure domain leaves and returns. Every
+//! figure is a ratio to the policy's own, over many seeds, with its spread.
 //!
 //! `cargo bench -p jasminebend-placement --bench decisions -- [SEEDS]`
 
-mod fake_cluster;
-mod fake_load;
-mod fake_task;
 mod hour_outcome;
 mod rule_set;
+mod simulated_cluster;
+mod simulated_load;
+mod simulated_task;
 
 use crate::{
-    fake_cluster::FakeCluster,
-    fake_load::{
-        FakeLoad,
-        VmShape, //
-    },
     hour_outcome::HourOutcome,
     rule_set::RuleSet, //
+    simulated_cluster::SimulatedCluster,
+    simulated_load::{
+        DeploymentShape, //
+        SimulatedLoad,
+    },
 };
 
 const SEEDS: u64 = 24;
@@ -25,7 +25,7 @@
 fn main() {
     let seeds = std::env::args().filter_map(|text| text.parse().ok()).next();
     let seeds = seeds.unwrap_or(SEEDS);
-    for shape in [VmShape::SWAN_COAST, VmShape::HAI_PHONG] {
+    for shape in [DeploymentShape::SWAN_COAST, DeploymentShape::HAI_PHONG] {
         println!(
             "\n{}: {} workers of {} cores and {} GB, {} to a rack; {seeds} seeds",
             shape.name, shape.workers, shape.cores, shape.memory_gb, shape.rack
@@ -34,10 +34,12 @@
     }
 }
 
-fn compare(shape: VmShape, seeds: u64) {
+fn compare(shape: DeploymentShape, seeds: u64) {
     let run = |rules: RuleSet| -> Vec<HourOutcome> {
         (0..seeds)
-            .map(|seed| FakeCluster::new(shape, FakeLoad::new(shape, seed), rules, seed).run())
+            .map(|seed| {
+                SimulatedCluster::new(shape, SimulatedLoad::new(shape, seed), rules, seed).run()
+            })
             .collect()
     };
     let own = run(RuleSet::own());
--- a/crates/placement/benches/decisions/rule_set.rs
+++ b/crates/placement/benches/decisions/rule_set.rs
@@ -2,7 +2,7 @@
 
 /// How a task's place is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum PlaceRule {
+pub(crate) enum PlacementRule {
     /// The policy's own.
     Own,
     /// The first worker with room by declared size.
@@ -13,7 +13,7 @@
 
 /// What is done when a service is slow.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum PressureRule {
+pub(crate) enum OverloadRule {
     /// The ladder.
     Ladder,
     /// One batch task is evicted at each reading over the target.
@@ -25,11 +25,11 @@
 /// The rules of one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RuleSet {
-    pub(crate) place: PlaceRule,
+    pub(crate) place: PlacementRule,
     pub(crate) learns_sizes: bool,
     pub(crate) learns_pairs: bool,
     pub(crate) by_laxity: bool,
-    pub(crate) pressure: PressureRule,
+    pub(crate) pressure: OverloadRule,
     /// Whether one harmless class is believed to be harmful at first.
     pub(crate) wrong_belief: bool,
 }
@@ -37,11 +37,11 @@
 impl RuleSet {
     pub(crate) fn own() -> Self {
         Self {
-            place: PlaceRule::Own,
+            place: PlacementRule::Own,
             learns_sizes: true,
             learns_pairs: true,
             by_laxity: true,
-            pressure: PressureRule::Ladder,
+            pressure: OverloadRule::Ladder,
             wrong_belief: false,
         }
     }
@@ -59,19 +59,19 @@
         vec![
             (
                 "first fit",
-                simple(PlaceRule::FirstFit, PressureRule::Nothing),
+                simple(PlacementRule::FirstFit, OverloadRule::Nothing),
             ),
             (
                 "first fit + ladder",
-                simple(PlaceRule::FirstFit, PressureRule::Ladder),
+                simple(PlacementRule::FirstFit, OverloadRule::Ladder),
             ),
             (
                 "least loaded",
-                simple(PlaceRule::LeastLoaded, PressureRule::Nothing),
+                simple(PlacementRule::LeastLoaded, OverloadRule::Nothing),
             ),
             (
                 "least loaded + ladder",
-                simple(PlaceRule::LeastLoaded, PressureRule::Ladder),
+                simple(PlacementRule::LeastLoaded, OverloadRule::Ladder),
             ),
             (
                 "no interference model",
@@ -97,7 +97,7 @@
             (
                 "evict at once",
                 Self {
-                    pressure: PressureRule::EvictAtOnce,
+                    pressure: OverloadRule::EvictAtOnce,
                     ..own
                 },
             ),
@@ -111,7 +111,7 @@
             (
                 "no ladder",
                 Self {
-                    pressure: PressureRule::Nothing,
+                    pressure: OverloadRule::Nothing,
                     ..own
                 },
             ),
--- a/crates/placement/benches/decisions/fake_cluster.rs
+++ b/crates/placement/benches/decisions/simulated_cluster.rs
@@ -10,14 +10,14 @@
 };
 use jasminebend_placement::{
     ClassKey,
+    InterferenceModel,
     LadderAction,
     LadderReading,
     LatestStart,
     LoadLadder,
-    PairModel,
     PlacementPolicy,
+    ResourceUsageModel,
     ServiceReading,
-    SizeModel,
     TaskDemand,
     WorkerCondition,
     WorkerKey,
@@ -30,19 +30,19 @@
 };
 
 use crate::{
-    fake_load::{
-        FakeLoad,
-        HOUR,
-        SERVICES,
-        VmShape, //
-    },
-    fake_task::FakeTask,
     hour_outcome::HourOutcome,
     rule_set::{
-        PlaceRule,
-        PressureRule,
+        OverloadRule,
+        PlacementRule,
         RuleSet, //
     },
+    simulated_load::{
+        DeploymentShape, //
+        HOUR,
+        SERVICES,
+        SimulatedLoad,
+    },
+    simulated_task::SimulatedTask,
 };
 
 const STEP: f64 = 5.0;
@@ -61,16 +61,16 @@
     memory: f64,
 }
 
-pub(crate) struct FakeCluster {
-    load: FakeLoad,
+pub(crate) struct SimulatedCluster {
+    load: SimulatedLoad,
     rules: RuleSet,
     policy: PlacementPolicy,
     pool: WorkerPool,
     keys: Vec<WorkerKey>,
-    pairs: PairModel,
-    sizes: SizeModel,
+    pairs: InterferenceModel,
+    sizes: ResourceUsageModel,
     ladders: Vec<LoadLadder>,
-    tasks: Vec<FakeTask>,
+    tasks: Vec<SimulatedTask>,
     on: Vec<Vec<usize>>,
     queue: Vec<usize>,
     readings: Vec<LateReading>,
@@ -81,8 +81,13 @@
     requests: f64,
 }
 
-impl FakeCluster {
-    pub(crate) fn new(shape: VmShape, load: FakeLoad, rules: RuleSet, seed: u64) -> Self {
+impl SimulatedCluster {
+    pub(crate) fn new(
+        shape: DeploymentShape,
+        load: SimulatedLoad,
+        rules: RuleSet,
+        seed: u64,
+    ) -> Self {
         let mut pool = WorkerPool::new();
         let mut keys = Vec::new();
         for place in 0..shape.workers {
@@ -92,7 +97,7 @@
             pool.set_condition(key, WorkerCondition::Open);
             keys.push(key);
         }
-        let mut pairs = PairModel::new();
+        let mut pairs = InterferenceModel::new();
         for service in 0..SERVICES {
             pairs.set_target(ClassKey(service), Duration::from_millis(100));
         }
@@ -100,7 +105,7 @@
             believe_wrongly(&mut pairs);
         }
         Self {
-            policy: PlacementPolicy::new().with_pairs(rules.learns_pairs),
+            policy: PlacementPolicy::new().with_interference(rules.learns_pairs),
             ladders: vec![LoadLadder::new(); keys.len()],
             on: vec![Vec::new(); keys.len()],
             tasks: load.tasks.clone(),
@@ -109,7 +114,7 @@
             pool,
             keys,
             pairs,
-            sizes: SizeModel::new(),
+            sizes: ResourceUsageModel::new(),
             queue: Vec::new(),
             readings: Vec::new(),
             random: SmallRng::seed_from_u64(seed ^ 0x5eed),
@@ -231,12 +236,12 @@
         };
         let keys = self.keys.iter().copied();
         match self.rules.place {
-            PlaceRule::FirstFit => keys.clone().find(fits),
-            PlaceRule::LeastLoaded => keys.filter(fits).max_by_key(|key| {
+            PlacementRule::FirstFit => keys.clone().find(fits),
+            PlacementRule::LeastLoaded => keys.filter(fits).max_by_key(|key| {
                 let room = self.pool.worker(*key).room();
                 (room.cpu_millis, room.memory_mib)
             }),
-            PlaceRule::Own => {
+            PlacementRule::Own => {
                 let start = self.latest_start(task);
                 let task = &self.tasks[task];
                 let demand = TaskDemand {
@@ -424,10 +429,10 @@
             memory_share: reading.memory,
         };
         match self.rules.pressure {
-            PressureRule::Nothing => {}
-            PressureRule::EvictAtOnce if worst > 1.0 => self.evict_one(place, true),
-            PressureRule::EvictAtOnce => {}
-            PressureRule::Ladder => {
+            OverloadRule::Nothing => {}
+            OverloadRule::EvictAtOnce if worst > 1.0 => self.evict_one(place, true),
+            OverloadRule::EvictAtOnce => {}
+            OverloadRule::Ladder => {
                 let action = self.ladders[place].observe(duration(time), &seen);
                 self.climb(place, action);
             }
@@ -551,7 +556,7 @@
 }
 
 /// Has the model believe that the first batch class doubles and more the latency of every service.
-fn believe_wrongly(pairs: &mut PairModel) {
+fn believe_wrongly(pairs: &mut InterferenceModel) {
     for service in 0..SERVICES {
         for beside in [0.0, 1.0].repeat(20) {
             pairs.observe(&ServiceReading {
--- a/crates/placement/benches/decisions/fake_load.rs
+++ b/crates/placement/benches/decisions/simulated_load.rs
@@ -11,7 +11,7 @@
     rngs::SmallRng, //
 };
 
-use crate::fake_task::FakeTask;
+use crate::simulated_task::SimulatedTask;
 
 pub(crate) const HOUR: f64 = 3600.0;
 pub(crate) const SERVICES: u16 = 3;
@@ -22,7 +22,7 @@
 
 /// One of today's deployments.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct VmShape {
+pub(crate) struct DeploymentShape {
     pub(crate) name: &'static str,
     pub(crate) workers: usize,
     pub(crate) cores: u64,
@@ -34,7 +34,7 @@
     pub(crate) patience: f64,
 }
 
-impl VmShape {
+impl DeploymentShape {
     pub(crate) const SWAN_COAST: Self = Self {
         name: "Swan Coast (loose answers, tight batch)",
         workers: 50,
@@ -60,16 +60,16 @@
 }
 
 /// The load of an hour.
-pub(crate) struct FakeLoad {
-    pub(crate) tasks: Vec<FakeTask>,
+pub(crate) struct SimulatedLoad {
+    pub(crate) tasks: Vec<SimulatedTask>,
     pub(crate) effects: Vec<[f64; BATCHES as usize]>,
     pub(crate) tightness: f64,
     phases: [f64; SERVICES as usize],
     square: f64,
 }
 
-impl FakeLoad {
-    pub(crate) fn new(shape: VmShape, seed: u64) -> Self {
+impl SimulatedLoad {
+    pub(crate) fn new(shape: DeploymentShape, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut effects: Vec<[f64; BATCHES as usize]> = (0..SERVICES)
             .map(|_| std::array::from_fn(|_| effect(&mut random)))
@@ -118,7 +118,7 @@
     }
 }
 
-fn services(shape: VmShape, random: &mut SmallRng) -> Vec<FakeTask> {
+fn services(shape: DeploymentShape, random: &mut SmallRng) -> Vec<SimulatedTask> {
     let cores = shape.cores * 1000;
     let each = shape.workers * 2 / 3;
     let mut tasks = Vec::new();
@@ -126,7 +126,7 @@
         for _ in 0..each {
             let cpu = cores * random.random_range(10..16) / 100;
             let size = ResourceAmount::new(cpu, shape.memory_gb * 1024 / 12);
-            tasks.push(FakeTask {
+            tasks.push(SimulatedTask {
                 class: ClassKey(class),
                 kind: ClassKind::Service,
                 declared: size,
@@ -146,11 +146,11 @@
 }
 
 fn batch_wave(
-    shape: VmShape,
+    shape: DeploymentShape,
     wave: f64,
     off: &[f64],
     random: &mut SmallRng,
-    tasks: &mut Vec<FakeTask>,
+    tasks: &mut Vec<SimulatedTask>,
 ) {
     // Enough for two thirds of the cores that services leave.
     let mut budget = shape.workers as f64 * shape.cores as f64 * 0.5 * WAVE_EVERY * 0.75;
@@ -167,7 +167,7 @@
         );
         let arrives = wave + random.random_range(0.0..60.0);
         budget -= cores * run;
-        tasks.push(FakeTask {
+        tasks.push(SimulatedTask {
             class: ClassKey(SERVICES + class),
             kind: ClassKind::Batch,
             declared,
--- a/crates/placement/benches/decisions/fake_task.rs
+++ b/crates/placement/benches/decisions/simulated_task.rs
@@ -11,7 +11,7 @@
 
 /// A task of the fake cluster.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FakeTask {
+pub(crate) struct SimulatedTask {
     pub(crate) class: ClassKey,
     pub(crate) kind: ClassKind,
     pub(crate) declared: ResourceAmount,
--- a/crates/placement/benches/scale.rs
+++ b/crates/placement/benches/scale.rs
@@ -19,9 +19,9 @@
 };
 use jasminebend_placement::{
     ClassKey,
+    InterferenceModel,
     JobId,
     LatestStart,
-    PairModel,
     PlacementPolicy,
     ReadyQueue,
     ServiceReading,
@@ -60,7 +60,7 @@
     let mut random = SmallRng::seed_from_u64(workers as u64);
     let mut pool = WorkerPool::new();
     (0..workers).for_each(|place| add(&mut pool, place));
-    let mut pairs = PairModel::new();
+    let mut pairs = InterferenceModel::new();
     for service in 0..SERVICES {
         pairs.set_target(ClassKey(service), Duration::from_millis(100));
     }
@@ -116,7 +116,7 @@
 }
 
 /// Teaches the model all pairs, of which one in twenty hurts; returns the time per reading.
-fn learn(pairs: &mut PairModel, random: &mut SmallRng) -> f64 {
+fn learn(pairs: &mut InterferenceModel, random: &mut SmallRng) -> f64 {
     let readings: Vec<(f64, Vec<(ClassKey, f64)>)> = (0..READINGS)
         .map(|_| {
             let service = ClassKey(random.random_range(0..SERVICES));
@@ -129,10 +129,10 @@
     let began = Instant::now();
     for (load, company) in &readings {
         let service = company[0].0;
-        let hurts = |class: &ClassKey| (class.0 * 7 + service.0).is_multiple_of(20);
+        let interferes = |class: &ClassKey| (class.0 * 7 + service.0).is_multiple_of(20);
         let bad = company[1..]
             .iter()
-            .filter(|(class, _)| hurts(class))
+            .filter(|(class, _)| interferes(class))
             .count();
         pairs.observe(&ServiceReading {
             measured: NOW,
@@ -148,7 +148,7 @@
 /// Ends a run and places the next, over and over; returns the time of both.
 fn decide(
     pool: &mut WorkerPool,
-    pairs: &PairModel,
+    pairs: &InterferenceModel,
     policy: PlacementPolicy,
     runs: &mut Vec<(WorkerKey, ClassKey, ResourceAmount)>,
     random: &mut SmallRng,
--- a/crates/placement/src/checkpoint_name.rs
+++ b/crates/placement/src/checkpoint_name.rs
@@ -1,4 +1,4 @@
-//! The name of a checkpoint.
+//! The name of a task's checkpoint.
 
 use derive_more::{
     AsRef,
@@ -10,7 +10,7 @@
     Serialize, //
 };
 
-/// The name under which a worker kept a task's state.
+/// The name under which a worker stored a checkpoint of a task's state.
 #[derive(AsRef, Clone, Debug, Deserialize, Display, Eq, From, Hash, PartialEq, Serialize)]
 #[as_ref(str)]
 #[from(String, &str)]
--- a/crates/placement/src/class_key.rs
+++ b/crates/placement/src/class_key.rs
@@ -1,10 +1,11 @@
-//! The key of a class of a team.
+//! The compact key of a team's class.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// The key of a class in a [`crate::WorkerPool`]'s company lists and the models.
+/// Identifies a team's class in the task counts of a [`crate::PoolWorker`] and in the learned
+/// models. It is the index at which [`crate::ClassRegistry`] holds the class.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ClassKey(pub u16);
--- a/crates/placement/src/class_book.rs
+++ b/crates/placement/src/class_registry.rs
@@ -1,4 +1,4 @@
-//! The classes of all teams.
+//! Compact keys for the classes of all teams.
 
 use indexmap::IndexSet;
 use jasminebend_base::{
@@ -12,32 +12,34 @@
 
 use crate::ClassKey;
 
-/// The classes of all teams: what is learned of a class is learned for each team by itself.
+/// Assigns a compact key to each class of each team. Classes of the same name in two teams have
+/// different keys, so that what is learned about a class is learned for each team separately.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct ClassBook {
+pub struct ClassRegistry {
     classes: IndexSet<(TeamName, ClassName)>,
 }
 
-impl ClassBook {
-    /// Creates an empty book.
+impl ClassRegistry {
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the key of a team's class.
+    /// Returns the key of a team's class, and assigns one if the class has none. All classes from
+    /// the 65,536th on share the key `u16::MAX`.
     pub fn key(&mut self, team: &TeamName, class: &ClassName) -> ClassKey {
         let (index, _) = self.classes.insert_full((team.clone(), class.clone()));
         ClassKey(u16::try_from(index).unwrap_or(u16::MAX))
     }
 
-    /// Returns the key of a team's class that was asked for before.
+    /// Returns the key of a team's class, or `None` if no key was assigned to it.
     pub fn find(&self, team: &TeamName, class: &ClassName) -> Option<ClassKey> {
-        // The pair is cloned: the set's key is owned.
+        // The lookup needs an owned pair, because the set's elements are owned.
         let index = self.classes.get_index_of(&(team.clone(), class.clone()))?;
         u16::try_from(index).ok().map(ClassKey)
     }
 
-    /// Returns the class of a key.
+    /// Returns the team and the class that a key stands for.
     pub fn name(&self, key: ClassKey) -> Option<&(TeamName, ClassName)> {
         self.classes.get_index(usize::from(key.0))
     }
--- a/crates/placement/src/job_id.rs
+++ b/crates/placement/src/job_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a job.
+//! The ID of a job.
 
 use std::str::FromStr;
 
@@ -13,7 +13,7 @@
 
 use crate::JobIdError;
 
-/// The identity of a job: sixteen hexadecimal digits.
+/// The ID of a job, displayed as sixteen hexadecimal digits.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, From, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/placement/src/job_id_error.rs
+++ b/crates/placement/src/job_id_error.rs
@@ -1,11 +1,11 @@
-//! Why a text is no job's identity.
+//! The error for a text that is not a job ID.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// The text is no job's identity.
+/// The text is not a job ID.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
-#[display("a job's identity is up to sixteen hexadecimal digits")]
+#[display("a job ID has up to sixteen hexadecimal digits")]
 pub struct JobIdError;
--- a/crates/placement/src/job_ledger.rs
+++ b/crates/placement/src/job_ledger.rs
@@ -17,8 +17,9 @@
     TaskState, //
 };
 
-/// The durable state of a shard's jobs: what replaying its journal gives. The same transitions give
-/// the same ledger, and a transition that does not follow is refused.
+/// The durable state of a shard's jobs, rebuilt by replaying the shard's journal. The same
+/// transitions always give the same ledger, and a transition that is invalid in the current state
+/// is rejected.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobLedger {
     jobs: IndexMap<JobId, JobRecord>,
@@ -30,26 +31,27 @@
         Self::default()
     }
 
-    /// Returns a job that was not yet removed.
+    /// Returns a job, or `None` if it was never accepted or is already closed.
     pub fn job(&self, job: JobId) -> Option<&JobRecord> {
         self.jobs.get(&job)
     }
 
-    /// Returns a task of such a job.
+    /// Returns a task, or `None` if its job is unknown or closed, or has no task of this index.
     pub fn task(&self, task: TaskId) -> Option<&TaskRecord> {
         self.jobs.get(&task.job)?.tasks.get(task.index as usize)
     }
 
-    /// Returns all such jobs.
+    /// Returns all jobs that are not closed.
     pub fn jobs(&self) -> impl Iterator<Item = (JobId, &JobRecord)> {
         self.jobs.iter().map(|(job, record)| (*job, record))
     }
 
-    /// Makes a transition. A job of which nothing is left to do stays until it is closed.
+    /// Applies a transition. A job whose tasks are all finished or cancelled stays until it is
+    /// closed.
     ///
     /// # Errors
     ///
-    /// Returns why the transition does not follow; the ledger is then unchanged.
+    /// Returns why the transition is invalid in the current state; the ledger is then unchanged.
     pub fn apply(&mut self, transition: &JobTransition) -> Result<(), LedgerError> {
         match transition {
             JobTransition::Accepted {
@@ -67,22 +69,22 @@
                 worker,
                 reserved,
             } => {
-                let place = TaskState::Placed {
+                let placed = TaskState::Placed {
                     worker: worker.clone(),
                     reserved: *reserved,
                 };
-                self.place(*task, *attempt, place)
+                self.place_run(*task, *attempt, placed)
             }
             JobTransition::Ended {
                 task,
                 attempt,
                 end,
                 ran_ms,
-            } => self.end(*task, *attempt, end, *ran_ms),
+            } => self.end_run(*task, *attempt, end, *ran_ms),
             JobTransition::Cancelled { job } => self.cancel(*job),
             JobTransition::Closed { job } => self.close(*job),
             JobTransition::Held { job, reason } => {
-                self.record(*job)?.held = Some(reason.clone());
+                self.job_mut(*job)?.held = Some(reason.clone());
                 Ok(())
             }
         }
@@ -96,40 +98,45 @@
         Ok(())
     }
 
-    fn place(&mut self, task: TaskId, attempt: u32, place: TaskState) -> Result<(), LedgerError> {
-        let record = self.record(task.job)?;
-        let found = task_of(record, task, attempt)?;
-        if found.state != TaskState::Queued || found.attempt + 1 != attempt {
+    fn place_run(
+        &mut self,
+        task: TaskId,
+        attempt: u32,
+        placed: TaskState,
+    ) -> Result<(), LedgerError> {
+        let record = self.job_mut(task.job)?;
+        let task_record = task_mut(record, task, attempt)?;
+        if task_record.state != TaskState::Queued || task_record.attempt + 1 != attempt {
             return Err(LedgerError::OutOfOrder { task, attempt });
         }
-        found.state = place;
-        found.attempt = attempt;
+        task_record.state = placed;
+        task_record.attempt = attempt;
         Ok(())
     }
 
-    fn end(
+    fn end_run(
         &mut self,
         task: TaskId,
         attempt: u32,
         end: &TaskEnd,
         ran_ms: u64,
     ) -> Result<(), LedgerError> {
-        let record = self.record(task.job)?;
+        let record = self.job_mut(task.job)?;
         let cancelled = record.cancelled;
-        let found = task_of(record, task, attempt)?;
-        let running = matches!(found.state, TaskState::Placed { .. });
-        if !running || found.attempt != attempt {
+        let task_record = task_mut(record, task, attempt)?;
+        let running = matches!(task_record.state, TaskState::Placed { .. });
+        if !running || task_record.attempt != attempt {
             return Err(LedgerError::OutOfOrder { task, attempt });
         }
-        found.end(end, cancelled, ran_ms);
-        if found.state != TaskState::Queued {
+        task_record.end_run(end, cancelled, ran_ms);
+        if task_record.state != TaskState::Queued {
             record.open -= 1;
         }
         Ok(())
     }
 
     fn cancel(&mut self, job: JobId) -> Result<(), LedgerError> {
-        let record = self.record(job)?;
+        let record = self.job_mut(job)?;
         record.cancelled = true;
         for task in &mut record.tasks {
             if task.state == TaskState::Queued {
@@ -141,24 +148,24 @@
     }
 
     fn close(&mut self, job: JobId) -> Result<(), LedgerError> {
-        if !self.record(job)?.ended() {
+        if !self.job_mut(job)?.ended() {
             return Err(LedgerError::OpenTasks { job });
         }
         self.jobs.swap_remove(&job);
         Ok(())
     }
 
-    fn record(&mut self, job: JobId) -> Result<&mut JobRecord, LedgerError> {
-        let found = self.jobs.get_mut(&job);
-        found.ok_or(LedgerError::UnknownJob { job })
+    fn job_mut(&mut self, job: JobId) -> Result<&mut JobRecord, LedgerError> {
+        let record = self.jobs.get_mut(&job);
+        record.ok_or(LedgerError::UnknownJob { job })
     }
 }
 
-fn task_of(
+fn task_mut(
     record: &mut JobRecord,
     task: TaskId,
     attempt: u32,
 ) -> Result<&mut TaskRecord, LedgerError> {
-    let found = record.tasks.get_mut(task.index as usize);
-    found.ok_or(LedgerError::OutOfOrder { task, attempt })
+    let task_record = record.tasks.get_mut(task.index as usize);
+    task_record.ok_or(LedgerError::OutOfOrder { task, attempt })
 }
--- a/crates/placement/src/job_record.rs
+++ b/crates/placement/src/job_record.rs
@@ -1,4 +1,4 @@
-//! A job as the ledger keeps it.
+//! The record of a job in the ledger.
 
 use jasminebend_base::ClassKind;
 use serde::{
@@ -13,27 +13,27 @@
     TaskState, //
 };
 
-/// A job as the ledger keeps it.
+/// The state of a job and its tasks in a [`crate::JobLedger`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobRecord {
-    /// As it was submitted.
+    /// The job as it was submitted.
     pub spec: JobSpec,
-    /// The kind of its class when it was submitted.
+    /// The kind that the job's class had when the job was submitted.
     pub kind: ClassKind,
-    /// When it was submitted, in milliseconds of the time of day since 1970.
+    /// When the job was submitted, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Whether it was given up.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Why it is held, if it is.
+    /// Why the job is held; `None` if it is not.
     pub held: Option<HoldReason>,
-    /// Its tasks, in their order.
+    /// The job's tasks, in the order of their index.
     pub tasks: Vec<TaskRecord>,
-    /// The number of its tasks that are neither finished nor given up.
+    /// The number of tasks that are neither finished nor cancelled.
     pub open: u32,
 }
 
 impl JobRecord {
-    /// Creates a job none of whose tasks ran.
+    /// Creates the record of a job whose tasks are all queued.
     pub fn new(spec: JobSpec, kind: ClassKind, submitted_ms: u64) -> Self {
         let tasks = vec![TaskRecord::default(); spec.tasks as usize];
         Self {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Tells whether none of its tasks will ever run again.
+    /// Returns whether every task is finished or cancelled, so that none will run again.
     pub fn ended(&self) -> bool {
         self.open == 0
     }
 
-    /// Counts the tasks in a state.
+    /// Counts the tasks whose state passes a test.
     pub fn count<Test>(&self, test: Test) -> u32
     where
         Test: Fn(&TaskState) -> bool,
--- a/crates/placement/src/job_transition.rs
+++ b/crates/placement/src/job_transition.rs
@@ -18,57 +18,57 @@
     TaskId, //
 };
 
-/// One entry of a shard's journal.
+/// One entry of a shard's journal: a change of a job's or a task's state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum JobTransition {
-    /// A job was taken in.
+    /// A job was accepted.
     Accepted {
         /// The job.
         job: JobId,
-        /// As it was submitted.
+        /// The job as it was submitted.
         spec: Box<JobSpec>,
-        /// The kind of its class.
+        /// The kind of the job's class.
         kind: ClassKind,
-        /// When it was submitted, in milliseconds of the time of day since 1970.
+        /// When the job was submitted, in milliseconds since the Unix epoch.
         submitted_ms: u64,
     },
-    /// A run was decided on; only then may it be started.
+    /// A worker was chosen for a run. The run may be started only after this entry is committed.
     Placed {
         /// The task.
         task: TaskId,
-        /// The run, counted from one.
+        /// The number of the run, counted from one.
         attempt: u32,
         /// The only worker that may run it.
         worker: VmName,
-        /// What it takes there.
+        /// The resources reserved for the run on that worker.
         reserved: ResourceAmount,
     },
     /// A run ended.
     Ended {
         /// The task.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         attempt: u32,
-        /// How.
+        /// How the run ended.
         end: TaskEnd,
-        /// How long it ran, as far as its owner knows, in milliseconds.
+        /// How long the run took, as far as the shard's owner knows, in milliseconds.
         ran_ms: u64,
     },
-    /// Operators or the submitter gave a job up.
+    /// An operator or the submitter cancelled a job.
     Cancelled {
         /// The job.
         job: JobId,
     },
-    /// A job of which nothing was left to do was told to have ended, and is forgotten.
+    /// The outcome of a job without open tasks was reported; the ledger removes the job.
     Closed {
         /// The job.
         job: JobId,
     },
-    /// A job was held.
+    /// A job was put on hold.
     Held {
         /// The job.
         job: JobId,
-        /// Why.
+        /// Why the job is held.
         reason: HoldReason,
     },
 }
--- a/crates/placement/src/ladder_action.rs
+++ b/crates/placement/src/ladder_action.rs
@@ -1,20 +1,20 @@
-//! What a worker under pressure calls for.
+//! The action to take on an overloaded worker.
 
 use derive_more::Display;
 
-/// What a worker under pressure calls for.
+/// The action to take on the batch tasks of an overloaded worker.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum LadderAction {
-    /// Nothing new.
+    /// Change nothing.
     #[display("hold")]
     Hold,
-    /// The batch tasks to blame get this share of their speed, in thousandths.
+    /// Limit the batch tasks that cause the overload to this share of full speed, in thousandths.
     #[display("throttle to {_0}/1000")]
     Throttle(u32),
-    /// One batch task leaves by checkpoint.
+    /// Checkpoint one batch task and remove it from the worker.
     #[display("evict")]
     Evict,
-    /// One batch task is stopped without a checkpoint.
+    /// Stop one batch task without a checkpoint.
     #[display("stop")]
     Stop,
 }
--- a/crates/placement/src/ladder_reading.rs
+++ b/crates/placement/src/ladder_reading.rs
@@ -1,18 +1,18 @@
-//! What was measured on a worker.
+//! One measurement of the load on a worker.
 
 use std::time::Duration;
 
-/// What was measured on a worker at one time.
+/// One measurement of the load on a worker, with the predictions for it.
 #[derive(Clone, Copy, Debug)]
 pub struct LadderReading {
-    /// When it was measured, on the planner's monotonic clock.
+    /// When the measurement was made, on the planner's monotonic clock.
     pub measured: Duration,
-    /// The worst latency of its services over their targets; zero without services.
+    /// The highest ratio of latency to target among the worker's services; zero without services.
     pub latency_ratio: f64,
-    /// The worst latency over target that is predicted for now.
+    /// The highest ratio of latency to target that is predicted for the present load.
     pub predicted_ratio: f64,
-    /// The same with every throttle lifted, at the peak of the load.
+    /// The highest ratio that is predicted for the peak load with every throttle lifted.
     pub lifted_ratio: f64,
-    /// The memory in use over the worker's.
+    /// The memory in use as a share of the worker's memory.
     pub memory_share: f64,
 }
--- a/crates/placement/src/learned_state.rs
+++ b/crates/placement/src/learned_state.rs
@@ -1,4 +1,4 @@
-//! What a shard's owner learned.
+//! What a shard's owner learned about classes and services.
 
 use std::time::Duration;
 
@@ -8,25 +8,26 @@
 };
 
 use crate::{
-    ClassBook,
-    PairModel,
-    SizeModel, //
+    ClassRegistry,
+    InterferenceModel,
+    ResourceUsageModel, //
 };
 
-/// What a shard's owner learned, with the keys of the classes that it speaks of. No safety rests on
-/// it; its loss costs the time to learn it again.
+/// What a shard's owner learned about classes and services, with the keys that identify the
+/// classes. No safety property depends on it: if it is lost, it only has to be learned again.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LearnedState {
-    /// The classes.
-    pub book: ClassBook,
-    /// What they use.
-    pub sizes: SizeModel,
-    /// How they hurt services.
-    pub pairs: PairModel,
+    /// The classes that the keys in both models stand for.
+    pub book: ClassRegistry,
+    /// The resources and the run time that tasks of each class use.
+    pub sizes: ResourceUsageModel,
+    /// How much each class slows each service.
+    pub pairs: InterferenceModel,
 }
 
 impl LearnedState {
-    /// Goes on at another clock's time.
+    /// Moves the stored times to `now` on the present owner's monotonic clock, since the times of
+    /// the former owner's clock mean nothing here.
     pub fn rebase(&mut self, now: Duration) {
         self.pairs.rebase(now);
     }
--- a/crates/placement/src/ledger_error.rs
+++ b/crates/placement/src/ledger_error.rs
@@ -1,4 +1,4 @@
-//! Why a transition does not follow.
+//! Why a transition is invalid.
 
 use derive_more::{
     Display,
@@ -10,33 +10,33 @@
     TaskId, //
 };
 
-/// Why a transition does not follow from the ledger's state.
+/// Why a transition is invalid in the ledger's current state.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum LedgerError {
-    /// The job is not known.
+    /// The job is not in the ledger.
     #[display("job {job} is not in the journal")]
     UnknownJob {
         /// The job.
         job: JobId,
     },
-    /// The job is known already.
+    /// A job with this ID is already in the ledger.
     #[display("job {job} is in the journal twice")]
     DuplicateJob {
         /// The job.
         job: JobId,
     },
-    /// The job still has something to do.
-    #[display("job {job} is closed before its end")]
+    /// The job still has tasks that are neither finished nor cancelled.
+    #[display("job {job} is closed while it has open tasks")]
     OpenTasks {
         /// The job.
         job: JobId,
     },
-    /// The run does not follow the task's earlier runs.
-    #[display("run {attempt} of task {task} does not follow from the journal")]
+    /// The run is not the one that the task's state allows, or the job has no such task.
+    #[display("run {attempt} of task {task} does not match the task's state in the journal")]
     OutOfOrder {
         /// The task.
         task: TaskId,
-        /// The run.
+        /// The number of the run.
         attempt: u32,
     },
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,11 +1,13 @@
-//! Where tasks go, and the durable state machine of jobs. Nothing here does I/O, reads a clock or
-//! draws a random number of its own: the same inputs give the same decisions.
+//! Task placement and the durable state machine of jobs. This crate does no I/O, reads no clock and
+//! draws no random numbers: the same inputs always give the same decisions.
 
 mod checkpoint_name;
-mod class_book;
 mod class_key;
-mod domain_gate;
+mod class_registry;
+mod domain_admission;
+mod free_capacity_index;
 mod hold_reason;
+mod interference_model;
 mod job_id;
 mod job_id_error;
 mod job_ledger;
@@ -14,22 +16,20 @@
 mod job_transition;
 mod ladder_action;
 mod ladder_reading;
+mod latency_regression;
 mod latest_start;
 mod learned_state;
 mod ledger_error;
 mod load_ladder;
-mod load_track;
-mod pair_model;
-mod place_search;
+mod load_tracker;
 mod placement_policy;
+mod placement_search;
 mod pool_worker;
 mod ratio_sketch;
 mod ready_queue;
-mod room_index;
+mod resource_usage_model;
 mod service_reading;
-mod service_regression;
 mod shard_hash;
-mod size_model;
 mod task_demand;
 mod task_end;
 mod task_id;
@@ -44,9 +44,10 @@
 
 pub use self::{
     checkpoint_name::CheckpointName,
-    class_book::ClassBook,
     class_key::ClassKey,
+    class_registry::ClassRegistry,
     hold_reason::HoldReason,
+    interference_model::InterferenceModel,
     job_id::JobId,
     job_id_error::JobIdError,
     job_ledger::JobLedger,
@@ -59,16 +60,15 @@
     learned_state::LearnedState,
     ledger_error::LedgerError,
     load_ladder::LoadLadder,
-    pair_model::PairModel,
     placement_policy::PlacementPolicy,
     pool_worker::PoolWorker,
     ready_queue::ReadyQueue,
+    resource_usage_model::ResourceUsageModel,
     service_reading::ServiceReading,
     shard_hash::{
         shard_of_job,
         shard_of_rack, //
     },
-    size_model::SizeModel,
     task_demand::TaskDemand,
     task_end::TaskEnd,
     task_id::TaskId,
--- a/crates/placement/src/load_ladder.rs
+++ b/crates/placement/src/load_ladder.rs
@@ -1,4 +1,4 @@
-//! Throttle, checkpoint and evict, stop.
+//! The overload control of one worker: throttle, evict with a checkpoint, stop.
 
 use std::time::Duration;
 
@@ -7,143 +7,162 @@
     LadderReading, //
 };
 
-/// Latency over target from which a rung is climbed, and below which one is climbed down.
-const HIGH: f64 = 1.0;
-const LOW: f64 = 0.85;
-/// The readings in a row that it takes to climb up and down.
-const READINGS_UP: u32 = 2;
-const READINGS_DOWN: u32 = 3;
-/// How long the worker must have been calm before it climbs down; doubled each time that pressure
-/// comes back soon after, up to the limit.
-const CALM_TIME: Duration = Duration::from_secs(30);
-const CALM_LIMIT: Duration = Duration::from_secs(480);
-/// Memory in use from which a task leaves at once, and from which it is not even checkpointed.
-const MEMORY_HIGH: f64 = 0.95;
-const MEMORY_FULL: f64 = 1.0;
-const SPEEDS: [u32; 3] = [1000, 500, 250];
+/// Ratio of latency to target above which the throttle level rises.
+const OVERLOAD_LATENCY_RATIO: f64 = 1.0;
+/// Ratio of latency to target below which a reading counts as calm.
+const CALM_LATENCY_RATIO: f64 = 0.85;
+/// Consecutive readings over the target that raise the level.
+const READINGS_TO_RAISE: u32 = 2;
+/// Consecutive calm readings needed to lower the level.
+const READINGS_TO_LOWER: u32 = 3;
+/// How long the worker must be calm before the level is lowered. Doubled each time that the
+/// overload returns soon after, up to `MAX_CALM_DURATION`.
+const MIN_CALM_DURATION: Duration = Duration::from_secs(30);
+const MAX_CALM_DURATION: Duration = Duration::from_secs(480);
+/// Share of the memory in use from which a task is evicted at once.
+const EVICT_MEMORY_SHARE: f64 = 0.95;
+/// Share of the memory in use above which a task is stopped without a checkpoint.
+const STOP_MEMORY_SHARE: f64 = 1.0;
+/// Speed of the throttled tasks at each level, in thousandths of full speed.
+const SPEED_MILLIS_BY_LEVEL: [u32; 3] = [1000, 500, 250];
 
-/// The ladder of one worker; its rungs are for the batch tasks that are to blame. Measurements are late, so a rung is judged only by readings made after
-/// it was climbed; otherwise the ladder would run to its top on the readings of one peak. A load
-/// that comes and goes would swing it: each return of pressure doubles the calm that it takes to
-/// climb down.
+/// Decides when the batch tasks that cause an overload of one worker are throttled, evicted or
+/// stopped. Measurements arrive late, so a level is judged only by readings made after it was set;
+/// otherwise the readings of a single peak would raise it to the maximum. To prevent oscillation
+/// under a load that rises and falls, each return of the overload doubles the calm time needed to
+/// lower the level.
 #[derive(Clone, Debug)]
 pub struct LoadLadder {
-    rung: usize,
-    changed: Duration,
-    high: u32,
-    low: u32,
+    /// The index of the present speed in `SPEED_MILLIS_BY_LEVEL`; zero is not throttled.
+    level: usize,
+    /// When the level last changed or a task was last evicted or stopped.
+    last_action: Duration,
+    /// Consecutive readings over the target.
+    overload_readings: u32,
+    /// Consecutive calm readings.
+    calm_readings: u32,
+    /// When the first of these calm readings was measured.
     calm_since: Option<Duration>,
-    calm_time: Duration,
-    descended: Option<Duration>,
+    /// How long the worker must be calm before the level is lowered.
+    required_calm: Duration,
+    /// When the level was last lowered, if it was not raised since.
+    last_lowered: Option<Duration>,
 }
 
 impl Default for LoadLadder {
     fn default() -> Self {
         Self {
-            rung: 0,
-            changed: Duration::ZERO,
-            high: 0,
-            low: 0,
+            level: 0,
+            last_action: Duration::ZERO,
+            overload_readings: 0,
+            calm_readings: 0,
             calm_since: None,
-            calm_time: CALM_TIME,
-            descended: None,
+            required_calm: MIN_CALM_DURATION,
+            last_lowered: None,
         }
     }
 }
 
 impl LoadLadder {
-    /// Creates a ladder at its foot.
+    /// Creates a ladder that does not throttle.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the share of their speed that batch tasks have, in thousandths.
+    /// Returns the speed to which batch tasks are throttled, in thousandths of full speed.
     pub fn speed_millis(&self) -> u32 {
-        SPEEDS[self.rung]
+        SPEED_MILLIS_BY_LEVEL[self.level]
     }
 
-    /// Goes on from the rung of a worker whose tasks were found throttled.
+    /// Continues from the level of a worker whose tasks were found throttled to `speed_millis`;
+    /// never lowers the level.
     pub fn resume(&mut self, speed_millis: u32) {
-        let rung = SPEEDS.iter().position(|speed| *speed <= speed_millis);
-        self.rung = self.rung.max(rung.unwrap_or(SPEEDS.len() - 1));
+        let level = SPEED_MILLIS_BY_LEVEL
+            .iter()
+            .position(|speed| *speed <= speed_millis);
+        self.level = self
+            .level
+            .max(level.unwrap_or(SPEED_MILLIS_BY_LEVEL.len() - 1));
     }
 
-    /// Takes a reading in.
+    /// Evaluates a reading that arrived at `now`, and returns the action to take.
     pub fn observe(&mut self, now: Duration, reading: &LadderReading) -> LadderAction {
-        // A prediction knows of the rung that was just climbed; a measurement may not yet.
-        if reading.predicted_ratio > HIGH {
-            return self.climb(now);
+        // A prediction includes the latest change of the level; a measurement may be older than it.
+        if reading.predicted_ratio > OVERLOAD_LATENCY_RATIO {
+            return self.raise_level(now);
         }
-        if reading.measured < self.changed {
+        if reading.measured < self.last_action {
             return LadderAction::Hold;
         }
-        if reading.memory_share >= MEMORY_HIGH {
-            return self.relieve_memory(now, reading.memory_share);
+        if reading.memory_share >= EVICT_MEMORY_SHARE {
+            return self.act_on_memory_share(now, reading.memory_share);
         }
-        if reading.latency_ratio > HIGH {
-            return self.note_high(now);
+        if reading.latency_ratio > OVERLOAD_LATENCY_RATIO {
+            return self.record_overload(now);
         }
-        self.high = 0;
-        if reading.latency_ratio < LOW && reading.lifted_ratio < HIGH {
-            return self.note_low(now, reading.measured);
+        self.overload_readings = 0;
+        if reading.latency_ratio < CALM_LATENCY_RATIO
+            && reading.lifted_ratio < OVERLOAD_LATENCY_RATIO
+        {
+            return self.record_calm(now, reading.measured);
         }
-        self.low = 0;
+        self.calm_readings = 0;
         self.calm_since = None;
         LadderAction::Hold
     }
 
-    fn relieve_memory(&mut self, now: Duration, share: f64) -> LadderAction {
-        self.changed = now;
-        match share > MEMORY_FULL {
+    fn act_on_memory_share(&mut self, now: Duration, share: f64) -> LadderAction {
+        self.last_action = now;
+        match share > STOP_MEMORY_SHARE {
             true => LadderAction::Stop,
             false => LadderAction::Evict,
         }
     }
 
-    fn note_high(&mut self, now: Duration) -> LadderAction {
-        self.high += 1;
-        if self.high < READINGS_UP {
+    fn record_overload(&mut self, now: Duration) -> LadderAction {
+        self.overload_readings += 1;
+        if self.overload_readings < READINGS_TO_RAISE {
             return LadderAction::Hold;
         }
-        self.climb(now)
+        self.raise_level(now)
     }
 
-    fn climb(&mut self, now: Duration) -> LadderAction {
-        self.high = 0;
-        self.low = 0;
+    fn raise_level(&mut self, now: Duration) -> LadderAction {
+        self.overload_readings = 0;
+        self.calm_readings = 0;
         self.calm_since = None;
-        self.changed = now;
-        self.note_return(now);
-        if self.rung + 1 < SPEEDS.len() {
-            self.rung += 1;
+        self.last_action = now;
+        self.adjust_required_calm(now);
+        if self.level + 1 < SPEED_MILLIS_BY_LEVEL.len() {
+            self.level += 1;
             return LadderAction::Throttle(self.speed_millis());
         }
         LadderAction::Evict
     }
 
-    fn note_return(&mut self, now: Duration) {
-        let Some(descended) = self.descended.take() else {
+    fn adjust_required_calm(&mut self, now: Duration) {
+        let Some(last_lowered) = self.last_lowered.take() else {
             return;
         };
-        let soon = now.saturating_sub(descended) < self.calm_time * 4;
-        self.calm_time = match soon {
-            true => (self.calm_time * 2).min(CALM_LIMIT),
-            false => CALM_TIME,
+        let soon = now.saturating_sub(last_lowered) < self.required_calm * 4;
+        self.required_calm = match soon {
+            true => (self.required_calm * 2).min(MAX_CALM_DURATION),
+            false => MIN_CALM_DURATION,
         };
     }
 
-    fn note_low(&mut self, now: Duration, measured: Duration) -> LadderAction {
-        self.low += 1;
+    fn record_calm(&mut self, now: Duration, measured: Duration) -> LadderAction {
+        self.calm_readings += 1;
         let since = *self.calm_since.get_or_insert(measured);
-        let calm = measured.saturating_sub(since) >= self.calm_time;
-        if self.rung == 0 || self.low < READINGS_DOWN || !calm {
+        let calm = measured.saturating_sub(since) >= self.required_calm;
+        if self.level == 0 || self.calm_readings < READINGS_TO_LOWER || !calm {
             return LadderAction::Hold;
         }
-        self.low = 0;
+        self.calm_readings = 0;
         self.calm_since = None;
-        self.changed = now;
-        self.descended = Some(now);
-        self.rung -= 1;
+        self.last_action = now;
+        self.last_lowered = Some(now);
+        self.level -= 1;
         LadderAction::Throttle(self.speed_millis())
     }
 }
--- a/crates/placement/src/placement_policy.rs
+++ b/crates/placement/src/placement_policy.rs
@@ -1,4 +1,4 @@
-//! Where a task goes.
+//! The choice of a worker for a task.
 
 use std::time::Duration;
 
@@ -8,46 +8,51 @@
 };
 
 use crate::{
-    PairModel,
+    InterferenceModel,
     PoolWorker,
     TaskDemand,
     WaitReason,
     WorkerKey,
     WorkerPool,
-    place_search::PlaceSearch,
+    placement_search::PlacementSearch,
     worker_pool::PoolDomain, //
 };
 
-/// The workers with room that are compared, and those that are looked at in each failure domain: the
-/// fullest for packing, and some of the emptiest where services beside the fullest keep a task out.
-const COMPARED: usize = 8;
-const FULLEST: usize = 24;
-const EMPTIEST: usize = 8;
-/// How much worse a worker is whose services are slowed already.
-const PRESSED: f64 = 1.0;
-
-/// Where a task goes: only where it fits, where no service is slowed beyond its target, services
-/// spread over failure domains, batch work packed.
+/// The number of workers with enough free capacity that are scored.
+const MAX_SCORED_WORKERS: usize = 8;
+/// The fullest workers that are examined in each failure domain, to pack batch tasks.
+const MAX_FULLEST_EXAMINED: usize = 24;
+/// The emptiest workers that are examined in each failure domain: for services, and for batch tasks
+/// that interference keeps off the fullest workers.
+const MAX_EMPTIEST_EXAMINED: usize = 8;
+/// What is added to the score of a worker whose services are already slowed.
+const SLOWED_SERVICES_PENALTY: f64 = 1.0;
+
+/// Chooses a worker for a task: one with enough free capacity on which no service is slowed beyond
+/// its target. Services are spread over failure domains, batch tasks are packed.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementPolicy {
-    minds_pairs: bool,
+    /// Whether learned interference is taken into account.
+    avoids_interference: bool,
 }
 
 impl Default for PlacementPolicy {
     fn default() -> Self {
-        Self { minds_pairs: true }
+        Self {
+            avoids_interference: true,
+        }
     }
 }
 
 impl PlacementPolicy {
-    /// Creates the policy.
+    /// Creates a policy that takes learned interference into account.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets whether learned pairs count.
-    pub fn with_pairs(mut self, minds_pairs: bool) -> Self {
-        self.minds_pairs = minds_pairs;
+    /// Sets whether learned interference is taken into account.
+    pub fn with_interference(mut self, avoids_interference: bool) -> Self {
+        self.avoids_interference = avoids_interference;
         self
     }
 
@@ -55,30 +60,31 @@
     ///
     /// # Errors
     ///
-    /// Returns why none will do now.
+    /// Returns why no worker can take the task at present.
     pub fn choose(
         &self,
         pool: &WorkerPool,
-        pairs: &PairModel,
+        model: &InterferenceModel,
         demand: &TaskDemand<'_>,
         now: Duration,
     ) -> Result<WorkerKey, WaitReason> {
-        let mut search = PlaceSearch::new();
-        // Batch work takes the first good places that it finds; where the search begins goes round,
-        // so that no failure domain fills first.
+        let mut search = PlacementSearch::new();
+        // The search for a batch task ends once enough workers are scored. Its first failure domain
+        // rotates, so that none fills up before the others.
         let count = pool.domains.len();
-        let first = pool.releases() as usize % count.max(1);
+        let first_domain = pool.releases() as usize % count.max(1);
         for offset in 0..count {
-            let Some((name, domain)) = pool.domains.get_index((first + offset) % count) else {
+            let Some((name, domain)) = pool.domains.get_index((first_domain + offset) % count)
+            else {
                 continue;
             };
-            if !domain.gate.admits(now) {
-                search.note(domain_reason(domain, demand));
+            if !domain.admission.admits_start(now) {
+                search.record_reason(closed_domain_reason(domain, demand));
                 continue;
             }
-            search.crowd = crowd_of(demand, name);
-            self.search_domain(pool, domain, pairs, demand, &mut search);
-            if demand.kind == ClassKind::Batch && search.compared >= COMPARED {
+            search.job_tasks_in_domain = job_tasks_in_domain(demand, name);
+            self.search_domain(pool, domain, model, demand, &mut search);
+            if demand.kind == ClassKind::Batch && search.scored >= MAX_SCORED_WORKERS {
                 break;
             }
         }
@@ -89,74 +95,88 @@
         &self,
         pool: &WorkerPool,
         domain: &PoolDomain,
-        pairs: &PairModel,
+        model: &InterferenceModel,
         demand: &TaskDemand<'_>,
-        search: &mut PlaceSearch,
+        search: &mut PlacementSearch,
     ) {
         let fits = |key: &WorkerKey| fits(pool.worker(*key), demand);
-        let emptiest = domain.index.emptiest_first(demand.size).filter(fits);
-        let emptiest = emptiest.take(EMPTIEST);
+        let emptiest = domain
+            .free_capacity
+            .emptiest_first(demand.size)
+            .filter(fits);
+        let emptiest = emptiest.take(MAX_EMPTIEST_EXAMINED);
         if demand.kind == ClassKind::Service {
-            return self.rate(pool, emptiest, pairs, demand, search);
+            return self.score_workers(pool, emptiest, model, demand, search);
         }
-        let fullest = domain.index.fullest_first(demand.size).filter(fits);
-        self.rate(pool, fullest.take(FULLEST), pairs, demand, search);
-        if search.compared == 0 {
-            self.rate(pool, emptiest, pairs, demand, search);
+        let fullest = domain.free_capacity.fullest_first(demand.size).filter(fits);
+        self.score_workers(
+            pool,
+            fullest.take(MAX_FULLEST_EXAMINED),
+            model,
+            demand,
+            search,
+        );
+        if search.scored == 0 {
+            self.score_workers(pool, emptiest, model, demand, search);
         }
     }
 
-    fn rate<Keys>(
+    fn score_workers<Keys>(
         &self,
         pool: &WorkerPool,
         keys: Keys,
-        pairs: &PairModel,
+        model: &InterferenceModel,
         demand: &TaskDemand<'_>,
-        search: &mut PlaceSearch,
+        search: &mut PlacementSearch,
     ) where
         Keys: Iterator<Item = WorkerKey>,
     {
-        let mut compared = 0;
+        let mut scored = 0;
         for key in keys {
-            match self.score(pool.worker(key), pairs, demand) {
-                Some(score) => search.take(score, key),
+            match self.score(pool.worker(key), model, demand) {
+                Some(score) => search.offer(score, key),
                 None => {
-                    search.note(WaitReason::Interference);
+                    search.record_reason(WaitReason::Interference);
                     continue;
                 }
             }
-            compared += 1;
-            if compared >= COMPARED {
+            scored += 1;
+            if scored >= MAX_SCORED_WORKERS {
                 return;
             }
         }
     }
 
-    /// The lower the better; `None` where a service would be slowed beyond its target.
+    /// Returns a worker's score, lower being better, or `None` if a service would be slowed beyond
+    /// its target.
     fn score(
         &self,
         worker: &PoolWorker,
-        pairs: &PairModel,
+        model: &InterferenceModel,
         demand: &TaskDemand<'_>,
     ) -> Option<f64> {
-        let harm = match self.minds_pairs {
-            true => harm_of(worker, pairs, demand)?,
+        let interference = match self.avoids_interference {
+            true => interference_cost(worker, model, demand)?,
             false => 0.0,
         };
-        let left = share_left(worker, demand);
+        let free_share = free_share_after(worker, demand);
         match demand.kind {
-            ClassKind::Service => Some(harm - left),
-            ClassKind::Batch => Some(harm + left),
+            ClassKind::Service => Some(interference - free_share),
+            ClassKind::Batch => Some(interference + free_share),
         }
     }
 }
 
-fn harm_of(worker: &PoolWorker, pairs: &PairModel, demand: &TaskDemand<'_>) -> Option<f64> {
-    let harm = pairs.harm(worker, demand.class, demand.kind, demand.urgent)?;
+fn interference_cost(
+    worker: &PoolWorker,
+    model: &InterferenceModel,
+    demand: &TaskDemand<'_>,
+) -> Option<f64> {
+    let interference = model.harm(worker, demand.class, demand.kind, demand.urgent)?;
     match (worker.pressed, demand.kind) {
-        (true, ClassKind::Batch) if pairs.may_hurt(worker, demand.class) => None,
-        (true, _) => Some(harm + PRESSED),
-        (false, _) => Some(harm),
+        (true, ClassKind::Batch) if model.may_interfere(worker, demand.class) => None,
+        (true, _) => Some(interference + SLOWED_SERVICES_PENALTY),
+        (false, _) => Some(interference),
     }
 }
 
@@ -164,21 +184,25 @@
     demand.size.fits_in(worker.room()) && !demand.failed_on.contains(&worker.name)
 }
 
-fn share_left(worker: &PoolWorker, demand: &TaskDemand<'_>) -> f64 {
-    let room = worker.room().saturating_sub(demand.size);
-    let cpu = room.cpu_millis as f64 / worker.capacity.cpu_millis.max(1) as f64;
-    let memory = room.memory_mib as f64 / worker.capacity.memory_mib.max(1) as f64;
+fn free_share_after(worker: &PoolWorker, demand: &TaskDemand<'_>) -> f64 {
+    let remaining = worker.room().saturating_sub(demand.size);
+    let cpu = remaining.cpu_millis as f64 / worker.capacity.cpu_millis.max(1) as f64;
+    let memory = remaining.memory_mib as f64 / worker.capacity.memory_mib.max(1) as f64;
     (cpu + memory) / 2.0
 }
 
-fn crowd_of(demand: &TaskDemand<'_>, domain: &DomainName) -> u32 {
+fn job_tasks_in_domain(demand: &TaskDemand<'_>, domain: &DomainName) -> u32 {
     let found = demand.spread.iter().find(|(name, _)| name == domain);
     found.map_or(0, |(_, count)| *count)
 }
 
-fn domain_reason(domain: &PoolDomain, demand: &TaskDemand<'_>) -> WaitReason {
-    let has_room = domain.index.emptiest_first(demand.size).next().is_some();
-    match has_room {
+fn closed_domain_reason(domain: &PoolDomain, demand: &TaskDemand<'_>) -> WaitReason {
+    let has_capacity = domain
+        .free_capacity
+        .emptiest_first(demand.size)
+        .next()
+        .is_some();
+    match has_capacity {
         true => WaitReason::Domain,
         false => WaitReason::NoRoom,
     }
--- a/crates/placement/src/pool_worker.rs
+++ b/crates/placement/src/pool_worker.rs
@@ -1,4 +1,4 @@
-//! A worker as the pool sees it.
+//! The state of a worker in the pool.
 
 use jasminebend_base::{
     DomainName,
@@ -11,27 +11,28 @@
     WorkerCondition, //
 };
 
-/// A worker as the pool sees it.
+/// The state of a worker in a [`crate::WorkerPool`].
 #[derive(Clone, Debug)]
 pub struct PoolWorker {
-    /// Its VM.
+    /// The name of the worker's VM.
     pub name: VmName,
-    /// Its failure domain.
+    /// The failure domain of the VM.
     pub domain: DomainName,
-    /// What it can hold.
+    /// The total capacity of the VM.
     pub capacity: ResourceAmount,
-    /// What its tasks take together.
+    /// The sum of the reservations of the tasks on the worker.
     pub reserved: ResourceAmount,
-    /// Whether its services are slowed, so that no batch task that may hurt them is added.
+    /// Whether the worker's services are slowed, so that it gets no batch task that may slow them
+    /// further.
     pub pressed: bool,
-    /// Whether it may take tasks.
+    /// Whether the worker may take tasks.
     pub condition: WorkerCondition,
-    /// The classes that it runs, with the number of tasks of each.
+    /// The classes of the tasks on the worker, each with its number of tasks.
     pub company: Vec<(ClassKey, u16)>,
 }
 
 impl PoolWorker {
-    /// Creates a silent worker that runs nothing.
+    /// Creates a silent worker without tasks.
     pub fn new(name: VmName, domain: DomainName, capacity: ResourceAmount) -> Self {
         Self {
             name,
@@ -44,25 +45,25 @@
         }
     }
 
-    /// Returns what is left to give.
+    /// Returns the capacity that is not reserved.
     pub fn room(&self) -> ResourceAmount {
         self.capacity.saturating_sub(self.reserved)
     }
 
-    /// Returns the number of its tasks of a class.
+    /// Returns the number of tasks of a class on the worker.
     pub fn count(&self, class: ClassKey) -> u16 {
         let found = self.company.iter().find(|(key, _)| *key == class);
         found.map_or(0, |(_, count)| *count)
     }
 
-    pub(crate) fn join(&mut self, class: ClassKey) {
+    pub(crate) fn add_task(&mut self, class: ClassKey) {
         match self.company.iter_mut().find(|(key, _)| *key == class) {
             Some((_, count)) => *count += 1,
             None => self.company.push((class, 1)),
         }
     }
 
-    pub(crate) fn part(&mut self, class: ClassKey) {
+    pub(crate) fn remove_task(&mut self, class: ClassKey) {
         if let Some((_, count)) = self.company.iter_mut().find(|(key, _)| *key == class) {
             *count = count.saturating_sub(1);
         }
--- a/crates/placement/src/ready_queue.rs
+++ b/crates/placement/src/ready_queue.rs
@@ -1,4 +1,4 @@
-//! The jobs that have tasks to start.
+//! The queue of jobs with tasks to start.
 
 use std::collections::BTreeSet;
 
@@ -10,19 +10,22 @@
     TaskId, //
 };
 
+/// A job in the queue.
 #[derive(Clone, Debug)]
 struct ReadyJob {
-    start: LatestStart,
+    latest_start: LatestStart,
+    /// The indices of the tasks to start.
     tasks: Vec<u32>,
 }
 
-/// The jobs that have tasks to start, the one with the least laxity first. It is ordered by jobs, of
-/// which there are far fewer than tasks.
+/// The queue of jobs with tasks to start, ordered by laxity, the least first. It is ordered by job
+/// and not by task because there are far fewer jobs than tasks.
 #[derive(Clone, Debug, Default)]
 pub struct ReadyQueue {
     jobs: IndexMap<JobId, ReadyJob>,
-    order: BTreeSet<(LatestStart, JobId)>,
-    tasks: usize,
+    jobs_by_latest_start: BTreeSet<(LatestStart, JobId)>,
+    /// The number of queued tasks of all jobs.
+    task_count: usize,
 }
 
 impl ReadyQueue {
@@ -31,58 +34,65 @@
         Self::default()
     }
 
-    /// Adds a task of a job; `start` replaces the job's latest start if it is earlier.
-    pub fn push(&mut self, task: TaskId, start: LatestStart) {
-        self.tasks += 1;
+    /// Adds a task of a job; `latest_start` replaces that of the job if it is earlier.
+    pub fn push(&mut self, task: TaskId, latest_start: LatestStart) {
+        self.task_count += 1;
         let Some(job) = self.jobs.get_mut(&task.job) else {
             let tasks = vec![task.index];
-            self.jobs.insert(task.job, ReadyJob { start, tasks });
-            self.order.insert((start, task.job));
+            self.jobs.insert(
+                task.job,
+                ReadyJob {
+                    latest_start,
+                    tasks,
+                },
+            );
+            self.jobs_by_latest_start.insert((latest_start, task.job));
             return;
         };
         job.tasks.push(task.index);
-        if start < job.start {
-            self.order.remove(&(job.start, task.job));
-            job.start = start;
-            self.order.insert((start, task.job));
+        if latest_start < job.latest_start {
+            self.jobs_by_latest_start
+                .remove(&(job.latest_start, task.job));
+            job.latest_start = latest_start;
+            self.jobs_by_latest_start.insert((latest_start, task.job));
         }
     }
 
-    /// Returns the number of tasks.
+    /// Returns the number of queued tasks.
     pub fn len(&self) -> usize {
-        self.tasks
+        self.task_count
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no task is queued.
     pub fn is_empty(&self) -> bool {
-        self.tasks == 0
+        self.task_count == 0
     }
 
-    /// Returns the job that follows `after` in the order of laxity.
+    /// Returns the job that follows `after` in the order of laxity, or the first job for `None`.
     pub fn next_after(&self, after: Option<(LatestStart, JobId)>) -> Option<(LatestStart, JobId)> {
-        let from = match after {
+        let lower_bound = match after {
             Some(key) => std::ops::Bound::Excluded(key),
             None => std::ops::Bound::Unbounded,
         };
-        self.order
-            .range((from, std::ops::Bound::Unbounded))
+        self.jobs_by_latest_start
+            .range((lower_bound, std::ops::Bound::Unbounded))
             .next()
             .copied()
     }
 
-    /// Returns the next task of a job.
+    /// Returns the next task to start of a job: the one that was added last.
     pub fn peek(&self, job: JobId) -> Option<TaskId> {
         let index = *self.jobs.get(&job)?.tasks.last()?;
         Some(TaskId { job, index })
     }
 
-    /// Removes the next task of a job.
+    /// Removes the task of a job that [`Self::peek`] returns.
     pub fn pop(&mut self, job: JobId) {
         let Some(ready) = self.jobs.get_mut(&job) else {
             return;
         };
         if ready.tasks.pop().is_some() {
-            self.tasks -= 1;
+            self.task_count -= 1;
         }
         if ready.tasks.is_empty() {
             self.remove(job);
@@ -94,7 +104,7 @@
         let Some(ready) = self.jobs.swap_remove(&job) else {
             return;
         };
-        self.tasks -= ready.tasks.len();
-        self.order.remove(&(ready.start, job));
+        self.task_count -= ready.tasks.len();
+        self.jobs_by_latest_start.remove(&(ready.latest_start, job));
     }
 }
--- a/crates/placement/src/service_reading.rs
+++ b/crates/placement/src/service_reading.rs
@@ -1,21 +1,22 @@
-//! A late measurement of a service.
+//! A measurement of a service on one worker.
 
 use std::time::Duration;
 
 use crate::ClassKey;
 
-/// A late measurement of a service, with the classes that shared its VM when it was made.
+/// A measurement of a service on one worker, which arrives late, with the classes that shared the
+/// VM when the measurement was made.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceReading<'a> {
-    /// When it was made.
+    /// When the measurement was made.
     pub measured: Duration,
-    /// The service's class.
+    /// The class of the service.
     pub service: ClassKey,
-    /// The time that 99 of 100 of its requests stayed below.
+    /// The 99th percentile of the latency of the service's requests.
     pub latency_p99: Duration,
-    /// Its load then: the processors that it used over those that it declares.
+    /// The load of the service at that time: the ratio of used to declared CPU.
     pub load: f64,
-    /// The classes that shared the VM then, each with the number of its tasks, a throttled one counted
-    /// as the share of its speed.
+    /// The classes that shared the VM at that time, each with its number of tasks. A throttled task
+    /// counts as the share of full speed at which it runs.
     pub company: &'a [(ClassKey, f64)],
 }
--- a/crates/placement/src/task_demand.rs
+++ b/crates/placement/src/task_demand.rs
@@ -1,4 +1,4 @@
-//! What a task asks of a place.
+//! The requirements of a task on its worker.
 
 use jasminebend_base::{
     ClassKind,
@@ -9,19 +9,19 @@
 
 use crate::ClassKey;
 
-/// What a task asks of a place.
+/// The requirements of a task on the worker that is to run it.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskDemand<'a> {
-    /// Its class.
+    /// The class of the task.
     pub class: ClassKey,
-    /// Whether it serves requests or is batch work.
+    /// Whether the task is a service or batch work.
     pub kind: ClassKind,
-    /// What it will take.
+    /// The resources to reserve for the task.
     pub size: ResourceAmount,
-    /// The workers that it failed on, to be avoided.
+    /// The workers on which the task failed, which are excluded.
     pub failed_on: &'a [VmName],
-    /// The failure domains of its job's other tasks, with their number; for services.
+    /// The number of the job's other tasks in each failure domain; used for services only.
     pub spread: &'a [(DomainName, u32)],
-    /// Whether it has next to no time left until its latest start.
+    /// Whether next to no time is left until the latest start.
     pub urgent: bool,
 }
--- a/crates/placement/src/task_end.rs
+++ b/crates/placement/src/task_end.rs
@@ -1,4 +1,4 @@
-//! How a run of a task ended.
+//! The outcome of a run of a task.
 
 use derive_more::Display;
 use serde::{
@@ -8,43 +8,43 @@
 
 use crate::CheckpointName;
 
-/// How a run of a task ended.
+/// The outcome of a run of a task.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum TaskEnd {
-    /// It finished with this result.
+    /// The task finished with this result.
     #[display("finished")]
     Finished {
         /// The result.
         result: String,
     },
-    /// It failed of itself.
+    /// The task itself failed.
     #[display("failed with code {code}")]
     Failed {
-        /// The worker's code of the failure.
+        /// The failure code that the worker reported.
         code: i32,
     },
-    /// It was stopped after its state was kept.
+    /// The run was stopped after its state was checkpointed.
     #[display("evicted with a checkpoint")]
     Checkpointed {
         /// The checkpoint.
         checkpoint: CheckpointName,
     },
-    /// It was stopped; the work since its last checkpoint is lost.
+    /// The run was stopped; the work since the last checkpoint is lost.
     #[display("stopped")]
     Stopped,
-    /// Its worker was lost, or lost it, and kept this checkpoint if any.
+    /// The worker was lost, or lost the run; this checkpoint was kept, if any.
     #[display("lost with its worker")]
     Lost {
         /// The checkpoint.
         checkpoint: Option<CheckpointName>,
     },
-    /// It never began.
-    #[display("never begun")]
+    /// The run was never started.
+    #[display("never started")]
     NotStarted,
 }
 
 impl TaskEnd {
-    /// Tells whether the work of the run is lost.
+    /// Returns whether the work of the run is lost.
     pub fn loses_work(&self) -> bool {
         match self {
             Self::Failed { .. } | Self::Stopped | Self::Lost { checkpoint: None } => true,
--- a/crates/placement/src/task_id.rs
+++ b/crates/placement/src/task_id.rs
@@ -1,4 +1,4 @@
-//! The identity of a task.
+//! The ID of a task.
 
 use derive_more::Display;
 use serde::{
@@ -8,7 +8,7 @@
 
 use crate::JobId;
 
-/// The identity of a task: its job, and its place in it.
+/// The ID of a task: its job, and its index there.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -16,6 +16,6 @@
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// The task's place in it, from zero.
+    /// The index of the task in the job, from zero.
     pub index: u32,
 }
--- a/crates/placement/src/task_record.rs
+++ b/crates/placement/src/task_record.rs
@@ -1,4 +1,4 @@
-//! A task as the ledger keeps it.
+//! The record of a task in the ledger.
 
 use jasminebend_base::VmName;
 use serde::{
@@ -12,28 +12,28 @@
     TaskState, //
 };
 
-/// A task as the ledger keeps it.
+/// The state and the history of a task in a [`crate::JobLedger`].
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TaskRecord {
-    /// Where it stands.
+    /// The current state of the task.
     pub state: TaskState,
-    /// The number of its last run; zero before the first.
+    /// The number of the last run; zero before the first.
     pub attempt: u32,
-    /// Where its next run resumes from.
+    /// The checkpoint from which the next run resumes; `None` starts from the beginning.
     pub checkpoint: Option<CheckpointName>,
-    /// The workers on which it failed of itself, each once.
+    /// The workers on which the task itself failed, each listed once.
     pub failed_on: Vec<VmName>,
-    /// The number of its evictions.
+    /// How often the task was evicted, with or without a checkpoint.
     pub evictions: u32,
-    /// The time of its runs whose work was lost, in milliseconds.
+    /// The total duration of the runs whose work was lost, in milliseconds.
     pub lost_ms: u64,
-    /// The code of its last failure.
+    /// The code of the last failure; zero before the first.
     pub last_code: i32,
 }
 
 impl TaskRecord {
-    /// Ends the current run.
-    pub(crate) fn end(&mut self, end: &TaskEnd, cancelled: bool, ran_ms: u64) {
+    /// Ends the current run: the task finishes, is queued again, or is cancelled with its job.
+    pub(crate) fn end_run(&mut self, end: &TaskEnd, cancelled: bool, ran_ms: u64) {
         if end.loses_work() && !cancelled {
             self.lost_ms += ran_ms;
         }
@@ -48,7 +48,7 @@
                 };
                 return;
             }
-            TaskEnd::Failed { code } => self.note_failure(worker, *code),
+            TaskEnd::Failed { code } => self.record_failure(worker, *code),
             TaskEnd::Checkpointed { checkpoint } => {
                 self.checkpoint = Some(checkpoint.clone());
                 self.evictions += u32::from(!cancelled);
@@ -66,7 +66,7 @@
         }
     }
 
-    fn note_failure(&mut self, worker: Option<VmName>, code: i32) {
+    fn record_failure(&mut self, worker: Option<VmName>, code: i32) {
         self.last_code = code;
         let Some(worker) = worker else { return };
         if !self.failed_on.contains(&worker) {
--- a/crates/placement/src/task_state.rs
+++ b/crates/placement/src/task_state.rs
@@ -1,4 +1,4 @@
-//! Where a task stands.
+//! The state of a task.
 
 use jasminebend_base::{
     ResourceAmount,
@@ -9,24 +9,24 @@
     Serialize, //
 };
 
-/// Where a task stands.
+/// The state of a task.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum TaskState {
-    /// It waits for a place.
+    /// The task waits to be placed on a worker.
     #[default]
     Queued,
-    /// Its current run is this worker's.
+    /// A run of the task is assigned to this worker.
     Placed {
         /// The worker.
         worker: VmName,
-        /// What it takes there.
+        /// The resources reserved for the run on that worker.
         reserved: ResourceAmount,
     },
-    /// It finished with this result.
+    /// The task finished with this result.
     Finished {
         /// The result.
         result: String,
     },
-    /// It was given up.
+    /// The task was cancelled with its job.
     Cancelled,
 }
--- a/crates/placement/src/wait_reason.rs
+++ b/crates/placement/src/wait_reason.rs
@@ -6,35 +6,41 @@
     Serialize, //
 };
 
-/// Why a task waits, and what would change it.
+/// Why a task waits. The displayed text also says what ends the wait.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
-    /// It was not looked at yet.
-    #[display("it was submitted just now; it is looked at within a second")]
+    /// The task was not considered for placement yet.
+    #[display("it was submitted just now; it is considered for placement within a second")]
     New,
-    /// No worker has room.
-    #[display("no worker has room; it starts when running tasks end or workers are added")]
+    /// No worker has enough free capacity.
+    #[display(
+        "no worker has enough free capacity; it starts when running tasks end or workers are added"
+    )]
     NoRoom,
-    /// Room there is, but beside services that it would slow beyond their target.
+    /// The workers with enough free capacity run services that the task would slow beyond their
+    /// target.
     #[display(
-        "the workers with room run services that it would slow beyond their target; it starts when other workers have room or its latest start comes near"
+        "the workers with enough free capacity run services that it would slow beyond their target; it starts when other workers have enough free capacity or its latest start is near"
     )]
     Interference,
-    /// The team's running tasks are at its quota.
+    /// The team's running tasks use up its quota.
     #[display(
         "the team's quota is used up; it starts when the team's tasks end or its quota grows"
     )]
     Quota,
-    /// Only failure domains that are out, or that fill slowly after their return, have room.
+    /// Only failure domains that are out, or that fill slowly after their return, have enough free
+    /// capacity.
     #[display(
-        "the failure domains with room are out or filling after their return; it starts when they have filled"
+        "the failure domains with enough free capacity are out or filling up after their return; it starts when they have filled up"
     )]
     Domain,
-    /// The planner is taking the shard over.
-    #[display("its shard is being taken over; it starts when its workers answered")]
+    /// A new planner is taking over the shard.
+    #[display(
+        "a new planner is taking over its shard; it starts when the shard's workers have answered"
+    )]
     TakeOver,
-    /// The table service is not there.
-    #[display("the table service gives no answer; it starts when a run can be committed")]
+    /// The table service does not respond.
+    #[display("the table service does not respond; it starts when a run can be committed")]
     Table,
 }
--- a/crates/placement/src/worker_condition.rs
+++ b/crates/placement/src/worker_condition.rs
@@ -1,21 +1,21 @@
-//! Whether a worker may take tasks.
+//! Whether a worker accepts tasks.
 
 use derive_more::Display;
 
-/// Whether a worker may take tasks.
+/// Whether a worker accepts tasks, and why not.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 pub enum WorkerCondition {
-    /// Not yet, or no longer, heard.
+    /// Nothing was received from the worker yet, or for too long.
     #[default]
     #[display("silent")]
     Silent,
-    /// It takes tasks.
+    /// The worker accepts tasks.
     #[display("open")]
     Open,
-    /// Its VM or its failure domain is leaving.
+    /// The worker's VM or its failure domain is leaving.
     #[display("leaving")]
     Leaving,
-    /// Distinct jobs failed on it.
+    /// The worker is quarantined because several different jobs failed on it.
     #[display("set aside")]
     SetAside,
 }
--- a/crates/placement/src/worker_pool.rs
+++ b/crates/placement/src/worker_pool.rs
@@ -1,4 +1,4 @@
-//! The workers of a shard and what is left on them.
+//! The workers of a shard and their free capacity.
 
 use std::time::Duration;
 
@@ -14,26 +14,30 @@
     PoolWorker,
     WorkerCondition,
     WorkerKey,
-    domain_gate::DomainGate,
-    room_index::RoomIndex, //
+    domain_admission::DomainAdmission,
+    free_capacity_index::FreeCapacityIndex, //
 };
 
 /// The workers of one failure domain.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolDomain {
-    pub(crate) gate: DomainGate,
-    pub(crate) index: RoomIndex,
-    pub(crate) workers: usize,
+    pub(crate) admission: DomainAdmission,
+    /// The open workers of the domain by free capacity.
+    pub(crate) free_capacity: FreeCapacityIndex,
+    /// The number of all workers of the domain.
+    pub(crate) worker_count: usize,
 }
 
-/// The workers of a shard and what is left on them. What a task takes is set aside here before its
-/// run is even committed, so that two decisions never count on the same room.
+/// The workers of a shard and their free capacity. The resources of a task are reserved here before
+/// its run is committed, so that no two decisions use the same free capacity.
 #[derive(Clone, Debug, Default)]
 pub struct WorkerPool {
     workers: Vec<PoolWorker>,
-    names: IndexMap<VmName, WorkerKey>,
+    key_by_name: IndexMap<VmName, WorkerKey>,
     pub(crate) domains: IndexMap<DomainName, PoolDomain>,
-    largest: Vec<ResourceAmount>,
+    /// The capacities that do not fit into another worker's.
+    maximal_capacities: Vec<ResourceAmount>,
+    /// How often capacity may have become free.
     releases: u64,
 }
 
@@ -43,14 +47,14 @@
         Self::default()
     }
 
-    /// Adds a worker, or finds the one of this name. Its condition is silent at first.
+    /// Adds a worker, which is silent at first, or updates the capacity of the worker of this name.
     pub fn add(
         &mut self,
         name: &VmName,
         domain: &DomainName,
         capacity: ResourceAmount,
     ) -> WorkerKey {
-        if let Some(key) = self.names.get(name) {
+        if let Some(key) = self.key_by_name.get(name) {
             let key = *key;
             self.set_capacity(key, capacity);
             return key;
@@ -58,188 +62,197 @@
         let key = WorkerKey(u32::try_from(self.workers.len()).unwrap_or(u32::MAX));
         let worker = PoolWorker::new(name.clone(), domain.clone(), capacity);
         self.workers.push(worker);
-        self.names.insert(name.clone(), key);
-        self.domain_entry(domain).workers += 1;
-        self.note_capacity(capacity);
+        self.key_by_name.insert(name.clone(), key);
+        self.domain_or_insert(domain).worker_count += 1;
+        self.record_capacity(capacity);
         key
     }
 
-    /// Returns the worker of this name.
+    /// Returns the key of the worker of this name.
     pub fn find(&self, name: &VmName) -> Option<WorkerKey> {
-        self.names.get(name).copied()
+        self.key_by_name.get(name).copied()
     }
 
-    /// Returns a worker.
+    /// Returns the worker that has this key.
     pub fn worker(&self, key: WorkerKey) -> &PoolWorker {
-        &self.workers[key.slot()]
+        &self.workers[key.index()]
     }
 
-    /// Returns all workers.
+    /// Returns all workers with their keys.
     pub fn workers(&self) -> impl Iterator<Item = (WorkerKey, &PoolWorker)> {
         (0..).map(WorkerKey).zip(&self.workers)
     }
 
-    /// Returns a number that grows whenever room may have become free.
+    /// Returns a counter that increases whenever capacity may have become free for a waiting task.
     pub fn releases(&self) -> u64 {
         self.releases
     }
 
-    /// Tells whether any worker, were it empty, could hold this much.
+    /// Returns whether the total capacity of any worker is large enough for this size.
     pub fn could_hold(&self, size: ResourceAmount) -> bool {
-        self.largest.iter().any(|capacity| size.fits_in(*capacity))
+        self.maximal_capacities
+            .iter()
+            .any(|capacity| size.fits_in(*capacity))
     }
 
-    /// Returns the capacities that no other worker's exceeds.
+    /// Returns the maximal capacities: those that do not fit into any other worker's capacity.
     pub fn largest(&self) -> &[ResourceAmount] {
-        &self.largest
+        &self.maximal_capacities
     }
 
-    /// Sets whether a worker may take tasks.
+    /// Sets whether a worker accepts tasks.
     pub fn set_condition(&mut self, key: WorkerKey, condition: WorkerCondition) {
-        if self.workers[key.slot()].condition == condition {
+        if self.workers[key.index()].condition == condition {
             return;
         }
-        self.workers[key.slot()].condition = condition;
+        self.workers[key.index()].condition = condition;
         self.releases += 1;
-        self.reindex(key);
+        self.update_index(key);
     }
 
     /// Sets whether a worker's services are slowed.
     pub fn set_pressed(&mut self, key: WorkerKey, pressed: bool) {
-        let worker = &mut self.workers[key.slot()];
+        let worker = &mut self.workers[key.index()];
         self.releases += u64::from(worker.pressed && !pressed);
         worker.pressed = pressed;
     }
 
-    /// Sets what a worker can hold.
+    /// Sets the total capacity of a worker.
     pub fn set_capacity(&mut self, key: WorkerKey, capacity: ResourceAmount) {
-        if self.workers[key.slot()].capacity == capacity {
+        if self.workers[key.index()].capacity == capacity {
             return;
         }
-        self.workers[key.slot()].capacity = capacity;
-        self.note_capacity(capacity);
+        self.workers[key.index()].capacity = capacity;
+        self.record_capacity(capacity);
         self.releases += 1;
-        self.reindex(key);
+        self.update_index(key);
     }
 
-    /// Sets room aside for a task.
+    /// Reserves resources for a task on a worker.
     pub fn reserve(&mut self, key: WorkerKey, class: ClassKey, size: ResourceAmount) {
-        let worker = &mut self.workers[key.slot()];
+        let worker = &mut self.workers[key.index()];
         worker.reserved += size;
-        worker.join(class);
-        self.reindex(key);
+        worker.add_task(class);
+        self.update_index(key);
     }
 
-    /// Gives a task's room back.
+    /// Releases the resources of a task on a worker.
     pub fn release(&mut self, key: WorkerKey, class: ClassKey, size: ResourceAmount) {
-        let worker = &mut self.workers[key.slot()];
+        let worker = &mut self.workers[key.index()];
         worker.reserved = worker.reserved.saturating_sub(size);
-        worker.part(class);
+        worker.remove_task(class);
         self.releases += 1;
-        self.reindex(key);
+        self.update_index(key);
     }
 
-    /// Sets room aside for a run that belongs nowhere and still runs.
+    /// Reserves resources for an orphaned run: one that still runs although the journal assigns it
+    /// to another worker or to none.
     pub fn reserve_stray(&mut self, key: WorkerKey, size: ResourceAmount) {
-        self.workers[key.slot()].reserved += size;
-        self.reindex(key);
+        self.workers[key.index()].reserved += size;
+        self.update_index(key);
     }
 
-    /// Gives the room of such a run back.
+    /// Releases the resources of an orphaned run.
     pub fn release_stray(&mut self, key: WorkerKey, size: ResourceAmount) {
-        let worker = &mut self.workers[key.slot()];
+        let worker = &mut self.workers[key.index()];
         worker.reserved = worker.reserved.saturating_sub(size);
         self.releases += 1;
-        self.reindex(key);
+        self.update_index(key);
     }
 
-    /// Counts more, or less, for a task that is measured.
+    /// Replaces the reservation of a task whose use was measured.
     pub fn recount(&mut self, key: WorkerKey, before: ResourceAmount, after: ResourceAmount) {
-        let worker = &mut self.workers[key.slot()];
+        let worker = &mut self.workers[key.index()];
         worker.reserved = worker.reserved.saturating_sub(before) + after;
-        self.reindex(key);
+        self.update_index(key);
     }
 
-    /// Sets whether a failure domain takes work; one that comes back fills slowly.
+    /// Opens or closes a failure domain for task starts. The starts in a domain that reopens are
+    /// rate-limited for a while.
     pub fn set_domain(&mut self, domain: &DomainName, takes_work: bool, now: Duration) {
-        let entry = self.domain_entry(domain);
-        if entry.gate.is_open() == takes_work {
+        let entry = self.domain_or_insert(domain);
+        if entry.admission.is_open() == takes_work {
             return;
         }
         if takes_work {
-            entry.gate.reopen(now);
+            entry.admission.reopen(now);
         } else {
-            entry.gate.close();
+            entry.admission.close();
         }
         self.releases += 1;
     }
 
-    /// Tells whether a worker's failure domain takes one more start now.
+    /// Returns whether a worker's failure domain admits one more start at present.
     pub fn domain_admits(&self, key: WorkerKey, now: Duration) -> bool {
         let entry = self.domains.get(&self.worker(key).domain);
-        entry.is_none_or(|entry| entry.gate.admits(now))
+        entry.is_none_or(|entry| entry.admission.admits_start(now))
     }
 
-    /// Returns a worker in a failure domain that takes work with room for this much, if the emptiest
-    /// ones have it.
+    /// Returns a worker with this free capacity in an open failure domain. Examines only the
+    /// emptiest worker of each domain, so that `None` does not rule out that another has it.
     pub fn some_room(&self, size: ResourceAmount) -> Option<WorkerKey> {
-        let open = self.domains.values().filter(|entry| entry.gate.is_open());
-        let mut emptiest = open.filter_map(|entry| entry.index.emptiest_first(size).next());
-        emptiest.find(|key| size.fits_in(self.worker(*key).room()))
+        let open = self
+            .domains
+            .values()
+            .filter(|entry| entry.admission.is_open());
+        let mut candidates =
+            open.filter_map(|entry| entry.free_capacity.emptiest_first(size).next());
+        candidates.find(|key| size.fits_in(self.worker(*key).room()))
     }
 
-    /// Tells whether a failure domain takes work.
+    /// Returns whether a failure domain is open for task starts.
     pub fn domain_takes_work(&self, domain: &DomainName) -> bool {
         self.domains
             .get(domain)
-            .is_none_or(|entry| entry.gate.is_open())
+            .is_none_or(|entry| entry.admission.is_open())
     }
 
-    /// Counts the time that passed for the failure domains that fill.
+    /// Admits more starts to the failure domains that reopened, for the time since the last call.
     pub fn count_time(&mut self, now: Duration) {
         for domain in self.domains.values_mut() {
-            let admitted = domain.gate.admits(now);
-            domain.gate.count_time(now, domain.workers);
-            if !admitted && domain.gate.admits(now) {
+            let admitted = domain.admission.admits_start(now);
+            domain.admission.refill_tokens(now, domain.worker_count);
+            if !admitted && domain.admission.admits_start(now) {
                 self.releases += 1;
             }
         }
     }
 
-    /// Counts a start in a failure domain.
+    /// Counts a start against the rate limit of the worker's failure domain.
     pub fn note_start(&mut self, key: WorkerKey) {
-        let domain = self.workers[key.slot()].domain.clone();
-        self.domain_entry(&domain).gate.note_start();
+        let domain = self.workers[key.index()].domain.clone();
+        self.domain_or_insert(&domain).admission.take_token();
     }
 
-    fn domain_entry(&mut self, domain: &DomainName) -> &mut PoolDomain {
+    fn domain_or_insert(&mut self, domain: &DomainName) -> &mut PoolDomain {
         if !self.domains.contains_key(domain) {
             let entry = PoolDomain {
-                gate: DomainGate::new(),
-                index: RoomIndex::new(),
-                workers: 0,
+                admission: DomainAdmission::new(),
+                free_capacity: FreeCapacityIndex::new(),
+                worker_count: 0,
             };
             self.domains.insert(domain.clone(), entry);
         }
         &mut self.domains[domain]
     }
 
-    fn note_capacity(&mut self, capacity: ResourceAmount) {
+    fn record_capacity(&mut self, capacity: ResourceAmount) {
         if self.could_hold(capacity) {
             return;
         }
-        self.largest.retain(|known| !known.fits_in(capacity));
-        self.largest.push(capacity);
+        self.maximal_capacities
+            .retain(|known| !known.fits_in(capacity));
+        self.maximal_capacities.push(capacity);
     }
 
-    fn reindex(&mut self, key: WorkerKey) {
-        let worker = &self.workers[key.slot()];
+    fn update_index(&mut self, key: WorkerKey) {
+        let worker = &self.workers[key.index()];
         let Some(domain) = self.domains.get_mut(&worker.domain) else {
             return;
         };
         match worker.condition {
-            WorkerCondition::Open => domain.index.set(key, worker.room()),
-            _ => domain.index.remove(key),
+            WorkerCondition::Open => domain.free_capacity.insert_or_move(key, worker.room()),
+            _ => domain.free_capacity.remove(key),
         }
     }
 }
--- a/crates/placement/tests/placement/ledger.rs
+++ b/crates/placement/tests/placement/job_ledger.rs
@@ -1,4 +1,4 @@
-//! What the journal means.
+//! Tests of the job ledger's state transitions.
 
 use jasminebend_base::{
     ClassKind,
@@ -59,7 +59,7 @@
     ended(attempt, TaskEnd::Finished { result })
 }
 
-fn ledger<const COUNT: usize>(transitions: [JobTransition; COUNT]) -> JobLedger {
+fn ledger_after<const COUNT: usize>(transitions: [JobTransition; COUNT]) -> JobLedger {
     let mut ledger = JobLedger::new();
     for transition in &transitions {
         ledger.apply(transition).unwrap();
@@ -67,10 +67,10 @@
     ledger
 }
 
-// A task would run in two places, or its result be told twice: whatever does not follow from what was
-// committed is refused, and changes nothing.
+// Guards against a task that runs on two workers, and a result that is reported twice: a transition
+// that is invalid in the committed state must be rejected and leave the ledger unchanged.
 #[test]
-fn what_does_not_follow_is_refused() {
+fn invalid_transitions_are_rejected_without_effect() {
     let out_of_order = |attempt| LedgerError::OutOfOrder {
         task: TASK,
         attempt,
@@ -80,38 +80,42 @@
     let unknown = LedgerError::UnknownJob { job: JOB };
     let lost = || ended(1, TaskEnd::Lost { checkpoint: None });
     let table = [
-        (ledger([]), placed(1), unknown),
-        (ledger([accepted()]), accepted(), duplicate),
-        (ledger([accepted()]), placed(2), out_of_order(2)),
-        (ledger([accepted()]), finished(1), out_of_order(1)),
-        (ledger([accepted(), placed(1)]), placed(2), out_of_order(2)),
+        (ledger_after([]), placed(1), unknown),
+        (ledger_after([accepted()]), accepted(), duplicate),
+        (ledger_after([accepted()]), placed(2), out_of_order(2)),
+        (ledger_after([accepted()]), finished(1), out_of_order(1)),
         (
-            ledger([accepted(), placed(1)]),
+            ledger_after([accepted(), placed(1)]),
+            placed(2),
+            out_of_order(2),
+        ),
+        (
+            ledger_after([accepted(), placed(1)]),
             finished(2),
             out_of_order(2),
         ),
         (
-            ledger([accepted(), placed(1), finished(1)]),
+            ledger_after([accepted(), placed(1), finished(1)]),
             finished(1),
             out_of_order(1),
         ),
         (
-            ledger([accepted(), placed(1), finished(1)]),
+            ledger_after([accepted(), placed(1), finished(1)]),
             placed(2),
             out_of_order(2),
         ),
         (
-            ledger([accepted(), placed(1), lost()]),
+            ledger_after([accepted(), placed(1), lost()]),
             placed(1),
             out_of_order(1),
         ),
         (
-            ledger([accepted(), placed(1), lost(), placed(2)]),
+            ledger_after([accepted(), placed(1), lost(), placed(2)]),
             finished(1),
             out_of_order(1),
         ),
         (
-            ledger([accepted()]),
+            ledger_after([accepted()]),
             JobTransition::Closed { job: JOB },
             open,
         ),
@@ -126,7 +130,7 @@
 #[test]
 fn an_evicted_task_resumes_from_its_last_checkpoint() {
     let checkpoint = CheckpointName::from("one");
-    let ledger = ledger([
+    let ledger = ledger_after([
         accepted(),
         placed(1),
         ended(
@@ -145,8 +149,8 @@
 }
 
 #[test]
-fn a_cancelled_job_ends_once_what_ran_has_stopped() {
-    let mut ledger = ledger([accepted(), placed(1), JobTransition::Cancelled { job: JOB }]);
+fn a_cancelled_job_ends_once_its_runs_have_stopped() {
+    let mut ledger = ledger_after([accepted(), placed(1), JobTransition::Cancelled { job: JOB }]);
     assert!(!ledger.job(JOB).unwrap().ended());
     ledger.apply(&ended(1, TaskEnd::Stopped)).unwrap();
     assert!(ledger.job(JOB).unwrap().ended());
--- a/crates/placement/tests/placement/load_ladder.rs
+++ b/crates/placement/tests/placement/load_ladder.rs
@@ -1,4 +1,4 @@
-//! Throttle, evict, stop.
+//! Tests of the overload control of a worker: when it throttles, evicts and stops batch tasks.
 
 use std::time::Duration;
 
@@ -8,31 +8,33 @@
     LoadLadder, //
 };
 
-const LAG: u64 = 20;
+const READING_DELAY_SECONDS: u64 = 20;
 
 fn seconds(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
-/// Feeds readings every five seconds, each `LAG` late; returns the actions with their times.
-fn climb<Ratio>(until: u64, ratio: Ratio) -> Vec<(u64, LadderAction)>
+/// Feeds a reading every five seconds, each `READING_DELAY_SECONDS` late. `ratio` returns the ratio
+/// of latency to target for the time of the measurement, in seconds, and the speed then. Returns
+/// the actions other than `Hold` with their times in seconds.
+fn actions_until<Ratio>(until: u64, ratio: Ratio) -> Vec<(u64, LadderAction)>
 where
     Ratio: Fn(u64, u32) -> f64,
 {
     let mut ladder = LoadLadder::new();
     let mut speeds = vec![(0, 1000)];
     let mut actions = Vec::new();
-    for now in (LAG..until).step_by(5) {
-        let made = now - LAG;
+    for now in (READING_DELAY_SECONDS..until).step_by(5) {
+        let measured_at = now - READING_DELAY_SECONDS;
         let speed = speeds
             .iter()
             .rev()
-            .find(|(since, _)| *since <= made)
+            .find(|(since, _)| *since <= measured_at)
             .unwrap()
             .1;
         let reading = LadderReading {
-            measured: seconds(made),
-            latency_ratio: ratio(made, speed),
+            measured: seconds(measured_at),
+            latency_ratio: ratio(measured_at, speed),
             predicted_ratio: 0.0,
             lifted_ratio: 0.0,
             memory_share: 0.5,
@@ -47,24 +49,37 @@
 }
 
 #[test]
-fn pressure_that_stays_climbs_rung_by_rung_each_judged_by_later_readings() {
-    let actions = climb(300, |_, _| 1.3);
-    assert_eq!(actions[0], (LAG + 5, LadderAction::Throttle(500)));
+fn lasting_overload_raises_the_level_only_on_readings_made_after_the_last_change() {
+    let actions = actions_until(300, |_, _| 1.3);
+    assert_eq!(
+        actions[0],
+        (READING_DELAY_SECONDS + 5, LadderAction::Throttle(500))
+    );
     assert_eq!(actions[1].1, LadderAction::Throttle(250));
     assert_eq!(actions[2].1, LadderAction::Evict);
     for pair in actions.windows(2) {
-        assert!(pair[1].0 - pair[0].0 >= LAG, "{actions:?}");
+        assert!(
+            pair[1].0 - pair[0].0 >= READING_DELAY_SECONDS,
+            "{actions:?}"
+        );
     }
 }
 
 #[test]
-fn one_slow_reading_or_a_full_but_fast_worker_does_nothing() {
-    assert!(climb(600, |made, _| if made == 100 { 3.0 } else { 0.9 }).is_empty());
+fn one_slow_reading_or_latency_just_below_the_target_causes_no_action() {
+    assert!(
+        actions_until(600, |measured_at, _| if measured_at == 100 {
+            3.0
+        } else {
+            0.9
+        })
+        .is_empty()
+    );
 }
 
 #[test]
-fn a_throttle_that_helps_is_kept_and_lifted_after_calm() {
-    let actions = climb(600, |made, speed| match (made < 60, speed) {
+fn an_effective_throttle_is_kept_and_lifted_after_calm() {
+    let actions = actions_until(600, |measured_at, speed| match (measured_at < 60, speed) {
         (true, 1000) => 1.3,
         _ => 0.5,
     });
@@ -78,21 +93,30 @@
     );
 }
 
-// The load jumps up and down for hours. Each time it falls the throttle is lifted, and each time it
-// rises the service is slow until the late readings come: the ladder swings with the load.
+// Guards against oscillation under a load that jumps up and down for hours: each time the load
+// falls the throttle is lifted, and each time it rises the service is slow until the late readings
+// arrive.
 #[test]
-fn a_square_wave_swings_the_ladder_less_and_less() {
-    let wave = |made: u64, speed: u32| match (made / 120) % 2 {
+fn a_square_wave_load_changes_the_level_less_and_less_often() {
+    let square_wave = |measured_at: u64, speed: u32| match (measured_at / 120) % 2 {
         0 => 1.4 * f64::from(speed) / 1000.0 + 0.3,
         _ => 0.4,
     };
-    let actions = climb(4 * 3600, wave);
-    let hours = |hour: u64| {
-        let within = |(time, _): &&(u64, LadderAction)| *time / 3600 == hour;
-        actions.iter().filter(within).count()
+    let actions = actions_until(4 * 3600, square_wave);
+    let actions_in_hour = |hour: u64| {
+        let is_in_hour = |(time, _): &&(u64, LadderAction)| *time / 3600 == hour;
+        actions.iter().filter(is_in_hour).count()
     };
-    assert!(hours(0) <= 20, "{} in the first hour", hours(0));
-    assert!(hours(3) <= 4, "{} in the fourth", hours(3));
+    assert!(
+        actions_in_hour(0) <= 20,
+        "{} in the first hour",
+        actions_in_hour(0)
+    );
+    assert!(
+        actions_in_hour(3) <= 4,
+        "{} in the fourth",
+        actions_in_hour(3)
+    );
     assert!(
         actions
             .iter()
@@ -101,7 +125,7 @@
 }
 
 #[test]
-fn memory_is_relieved_at_once() {
+fn high_memory_use_evicts_or_stops_a_task_at_once() {
     let mut ladder = LoadLadder::new();
     let mut reading = LadderReading {
         measured: seconds(10),
--- a/crates/placement/tests/placement/main.rs
+++ b/crates/placement/tests/placement/main.rs
@@ -1,13 +1,13 @@
-//! The decisions, one file a feature.
+//! Tests of placement decisions and of the job ledger, one file for each part.
 
 #![expect(
     clippy::unwrap_used,
     reason = "a helper that cannot build its case fails the test"
 )]
 
-mod choice;
-mod ledger;
+mod interference_model;
+mod job_ledger;
 mod load_ladder;
-mod pair_model;
-mod size_model;
-mod waiting;
+mod placement_policy;
+mod ready_queue_and_shards;
+mod resource_usage_model;
--- a/crates/placement/tests/placement/choice.rs
+++ b/crates/placement/tests/placement/placement_policy.rs
@@ -1,4 +1,4 @@
-//! Where a task goes.
+//! Tests of the choice of a worker for a task, and of the pool's reservations and rate limits.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 use jasminebend_placement::{
     ClassKey,
-    PairModel,
+    InterferenceModel,
     PlacementPolicy,
     TaskDemand,
     WaitReason,
@@ -22,11 +22,11 @@
 
 const NOW: Duration = Duration::from_secs(1000);
 
-pub(crate) fn pool(workers: usize) -> (WorkerPool, Vec<WorkerKey>) {
+pub(crate) fn open_pool(workers: usize) -> (WorkerPool, Vec<WorkerKey>) {
     let mut pool = WorkerPool::new();
-    let keys = (0..workers).map(|place| {
-        let name = VmName::from(format!("worker-{place}"));
-        let domain = DomainName::from(["a", "b", "c"][place % 3]);
+    let keys = (0..workers).map(|number| {
+        let name = VmName::from(format!("worker-{number}"));
+        let domain = DomainName::from(["a", "b", "c"][number % 3]);
         let key = pool.add(&name, &domain, ResourceAmount::new(8000, 16_384));
         pool.set_condition(key, WorkerCondition::Open);
         key
@@ -47,12 +47,12 @@
 }
 
 fn choose(pool: &WorkerPool, demand: &TaskDemand<'_>) -> Result<WorkerKey, WaitReason> {
-    PlacementPolicy::new().choose(pool, &PairModel::new(), demand, NOW)
+    PlacementPolicy::new().choose(pool, &InterferenceModel::new(), demand, NOW)
 }
 
 #[test]
-fn batch_packs_and_services_spread() {
-    let (mut pool, keys) = pool(6);
+fn batch_tasks_pack_and_services_spread_over_failure_domains() {
+    let (mut pool, keys) = open_pool(6);
     pool.reserve(keys[4], ClassKey(0), ResourceAmount::new(4000, 1024));
     let batch = choose(&pool, &demand(ClassKind::Batch, 1000));
     assert_eq!(batch, Ok(keys[4]));
@@ -64,10 +64,10 @@
 }
 
 #[test]
-fn a_task_waits_for_a_reason() {
-    let (mut pool, keys) = pool(3);
-    let wide = demand(ClassKind::Batch, 8001);
-    assert_eq!(choose(&pool, &wide), Err(WaitReason::NoRoom));
+fn reports_why_no_worker_can_take_a_task() {
+    let (mut pool, keys) = open_pool(3);
+    let oversized = demand(ClassKind::Batch, 8001);
+    assert_eq!(choose(&pool, &oversized), Err(WaitReason::NoRoom));
     for key in &keys[1..] {
         pool.set_condition(*key, WorkerCondition::SetAside);
     }
@@ -76,13 +76,13 @@
     failed.failed_on = &failed_on;
     assert_eq!(choose(&pool, &failed), Err(WaitReason::NoRoom));
     pool.set_domain(&DomainName::from("a"), false, NOW);
-    let any = demand(ClassKind::Batch, 1000);
-    assert_eq!(choose(&pool, &any), Err(WaitReason::Domain));
+    let small = demand(ClassKind::Batch, 1000);
+    assert_eq!(choose(&pool, &small), Err(WaitReason::Domain));
 }
 
 #[test]
-fn a_domain_that_returns_takes_few_at_first_and_all_later() {
-    let (mut pool, keys) = pool(30);
+fn starts_in_a_reopened_domain_are_rate_limited_for_a_minute() {
+    let (mut pool, keys) = open_pool(30);
     let domain = DomainName::from("a");
     pool.set_domain(&domain, false, NOW);
     pool.set_domain(&domain, true, NOW);
@@ -97,30 +97,31 @@
     assert!(pool.domain_admits(keys[0], NOW + Duration::from_secs(61)));
 }
 
-// A VM is given more than it holds: the index of free room and the room itself part ways over many
-// starts, ends and changes.
+// Guards against reserving more than a VM's capacity, and against tasks that wait although a worker
+// has enough free capacity: the index of free capacity could diverge from the reservations over
+// many starts, ends and changes of condition.
 #[test]
-fn no_sequence_of_starts_and_ends_overfills_a_worker() {
+fn reservations_never_exceed_the_capacity_of_a_worker() {
     arbtest(|source| {
-        let (mut pool, keys) = pool(7);
+        let (mut pool, keys) = open_pool(7);
         let mut runs: Vec<(WorkerKey, ResourceAmount)> = Vec::new();
         for _ in 0..source.int_in_range(0..=200)? {
             match source.int_in_range(0..=5)? {
                 0..=2 => {
-                    let mut wanted = demand(ClassKind::Batch, source.int_in_range(1..=9000)?);
-                    wanted.size.memory_mib = source.int_in_range(1..=17_000)?;
-                    wanted.kind = *source.choose(&[ClassKind::Batch, ClassKind::Service])?;
-                    let fits = keys.iter().any(|key| {
+                    let mut request = demand(ClassKind::Batch, source.int_in_range(1..=9000)?);
+                    request.size.memory_mib = source.int_in_range(1..=17_000)?;
+                    request.kind = *source.choose(&[ClassKind::Batch, ClassKind::Service])?;
+                    let some_worker_fits = keys.iter().any(|key| {
                         let worker = pool.worker(*key);
                         let open = worker.condition == WorkerCondition::Open;
-                        open && wanted.size.fits_in(worker.room())
+                        open && request.size.fits_in(worker.room())
                     });
-                    match choose(&pool, &wanted) {
+                    match choose(&pool, &request) {
                         Ok(key) => {
-                            pool.reserve(key, ClassKey(1), wanted.size);
-                            runs.push((key, wanted.size));
+                            pool.reserve(key, ClassKey(1), request.size);
+                            runs.push((key, request.size));
                         }
-                        Err(reason) => assert!(!fits, "{reason}"),
+                        Err(reason) => assert!(!some_worker_fits, "{reason}"),
                     }
                 }
                 3 | 4 if !runs.is_empty() => {
