--- a/crates/placement/benches/decisions/rule_set.rs
+++ b/crates/placement/benches/decisions/rule_set.rs
@@ -1,60 +1,63 @@
-//! The rules that are compared.
+//! The rule sets that are compared.
 
-/// How a task's place is chosen.
+/// How the worker of a task is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PlacementRule {
-    /// The policy's own.
-    Own,
-    /// The first worker with room by declared size.
+    /// The policy under test.
+    Policy,
+    /// The first worker with enough free capacity.
     FirstFit,
-    /// The emptiest worker by declared size.
+    /// The worker with the most free CPU, then the most free memory.
     LeastLoaded,
 }
 
-/// What is done when a service is slow.
+/// How a worker with a slow service is handled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum OverloadRule {
-    /// The ladder.
-    Ladder,
-    /// One batch task is evicted at each reading over the target.
+    /// By the overload control under test.
+    Controller,
+    /// By evicting one batch task at each reading over the target.
     EvictAtOnce,
-    /// Nothing.
+    /// Not at all.
     Nothing,
 }
 
-/// The rules of one run.
+/// The rules of one simulation run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RuleSet {
-    pub(crate) place: PlacementRule,
+    pub(crate) placement: PlacementRule,
+    /// Whether reservations follow the measured use.
     pub(crate) learns_sizes: bool,
-    pub(crate) learns_pairs: bool,
-    pub(crate) by_laxity: bool,
-    pub(crate) pressure: OverloadRule,
-    /// Whether one harmless class is believed to be harmful at first.
-    pub(crate) wrong_belief: bool,
+    /// Whether the interference of classes with services is learned and avoided.
+    pub(crate) learns_interference: bool,
+    /// Whether the queue is ordered by latest start instead of services first, then by index.
+    pub(crate) orders_by_laxity: bool,
+    pub(crate) overload: OverloadRule,
+    /// Whether the model wrongly estimates one harmless class as harmful at first.
+    pub(crate) starts_with_wrong_estimate: bool,
 }
 
 impl RuleSet {
-    pub(crate) fn own() -> Self {
+    pub(crate) fn full_policy() -> Self {
         Self {
-            place: PlacementRule::Own,
+            placement: PlacementRule::Policy,
             learns_sizes: true,
-            learns_pairs: true,
-            by_laxity: true,
-            pressure: OverloadRule::Ladder,
-            wrong_belief: false,
+            learns_interference: true,
+            orders_by_laxity: true,
+            overload: OverloadRule::Controller,
+            starts_with_wrong_estimate: false,
         }
     }
 
-    pub(crate) fn others() -> Vec<(&'static str, Self)> {
-        let own = Self::own();
-        let simple = |place, pressure| Self {
-            place,
+    pub(crate) fn alternatives() -> Vec<(&'static str, Self)> {
+        let policy = Self::full_policy();
+        let simple = |placement, overload| Self {
+            placement,
             learns_sizes: false,
-            learns_pairs: false,
-            by_laxity: false,
-            pressure,
-            wrong_belief: false,
+            learns_interference: false,
+            orders_by_laxity: false,
+            overload,
+            starts_with_wrong_estimate: false,
         };
         vec![
             (
@@ -63,7 +66,7 @@
             ),
             (
                 "first fit + ladder",
-                simple(PlacementRule::FirstFit, OverloadRule::Ladder),
+                simple(PlacementRule::FirstFit, OverloadRule::Controller),
             ),
             (
                 "least loaded",
@@ -71,48 +74,48 @@
             ),
             (
                 "least loaded + ladder",
-                simple(PlacementRule::LeastLoaded, OverloadRule::Ladder),
+                simple(PlacementRule::LeastLoaded, OverloadRule::Controller),
             ),
             (
                 "no interference model",
                 Self {
-                    learns_pairs: false,
-                    ..own
+                    learns_interference: false,
+                    ..policy
                 },
             ),
             (
                 "sizes as declared",
                 Self {
                     learns_sizes: false,
-                    ..own
+                    ..policy
                 },
             ),
             (
                 "first come, first",
                 Self {
-                    by_laxity: false,
-                    ..own
+                    orders_by_laxity: false,
+                    ..policy
                 },
             ),
             (
                 "evict at once",
                 Self {
-                    pressure: OverloadRule::EvictAtOnce,
-                    ..own
+                    overload: OverloadRule::EvictAtOnce,
+                    ..policy
                 },
             ),
             (
                 "one wrong belief",
                 Self {
-                    wrong_belief: true,
-                    ..own
+                    starts_with_wrong_estimate: true,
+                    ..policy
                 },
             ),
             (
                 "no ladder",
                 Self {
-                    pressure: OverloadRule::Nothing,
-                    ..own
+                    overload: OverloadRule::Nothing,
+                    ..policy
                 },
             ),
         ]
--- a/crates/placement/benches/decisions/simulated_cluster.rs
+++ b/crates/placement/benches/decisions/simulated_cluster.rs
@@ -1,4 +1,5 @@
-//! An hour of a deployment: what the workers would report, and the decisions on it.
+//! A simulation of an hour of a deployment: the workers' measurements, and the decisions based on
+//! them.
 
 use std::time::Duration;
 
@@ -37,28 +38,37 @@
         RuleSet, //
     },
     simulated_load::{
-        DeploymentShape, //
-        HOUR,
-        SERVICES,
-        SimulatedLoad,
+        DeploymentShape,
+        HOUR_SECONDS,
+        SERVICE_CLASS_COUNT,
+        SimulatedLoad, //
     },
     simulated_task::SimulatedTask,
 };
 
-const STEP: f64 = 5.0;
-const OUT: std::ops::Range<f64> = 1200.0..2100.0;
-/// The work that a checkpoint costs, in seconds.
-const CHECKPOINT_COST: f64 = 8.0;
-const URGENT_MS: i64 = 7_000;
+const STEP_SECONDS: f64 = 5.0;
+/// When the first failure domain is closed.
+const CLOSED_SECONDS: std::ops::Range<f64> = 1200.0..2100.0;
+/// The additional run time of a task that is evicted with a checkpoint.
+const CHECKPOINT_COST_SECONDS: f64 = 8.0;
+/// Laxity below which a task is urgent.
+const URGENT_LAXITY_MS: i64 = 7_000;
 
+/// The measurements on one worker at one time. All times are in seconds from the start.
 struct LateReading {
-    due: f64,
-    made: f64,
+    /// When the planner receives it.
+    arrival: f64,
+    /// When it was measured.
+    measured_at: f64,
     worker: WorkerKey,
+    /// The class of each service with its ratio of latency to target and its load.
     services: Vec<(ClassKey, f64, f64)>,
+    /// The index of each task with the resources that it used.
     used: Vec<(usize, ResourceAmount)>,
-    company: Vec<(ClassKey, f64)>,
-    memory: f64,
+    /// The number of tasks of each class, a throttled one counted by its speed.
+    task_counts: Vec<(ClassKey, f64)>,
+    /// The share of the memory in use.
+    memory_share: f64,
 }
 
 pub(crate) struct SimulatedCluster {
@@ -67,18 +77,24 @@
     policy: PlacementPolicy,
     pool: WorkerPool,
     keys: Vec<WorkerKey>,
-    pairs: InterferenceModel,
-    sizes: ResourceUsageModel,
+    interference: InterferenceModel,
+    usage: ResourceUsageModel,
     ladders: Vec<LoadLadder>,
     tasks: Vec<SimulatedTask>,
-    on: Vec<Vec<usize>>,
+    /// The indices of the tasks on each worker.
+    tasks_on_worker: Vec<Vec<usize>>,
+    /// The indices of the tasks that wait.
     queue: Vec<usize>,
+    /// The readings that the planner did not receive yet.
     readings: Vec<LateReading>,
     random: SmallRng,
-    seen: Vec<[u32; 6]>,
-    learned: Vec<[Option<u32>; 6]>,
+    /// The readings of each harmful pair, by service class and batch class.
+    harmful_readings: Vec<[u32; 6]>,
+    /// The number of these readings after which the pair was recognized as harmful.
+    recognized_after: Vec<[Option<u32>; 6]>,
     outcome: HourOutcome,
-    requests: f64,
+    /// The sum of the loads of all services over all steps.
+    total_load: f64,
 }
 
 impl SimulatedCluster {
@@ -90,102 +106,105 @@
     ) -> Self {
         let mut pool = WorkerPool::new();
         let mut keys = Vec::new();
-        for place in 0..shape.workers {
-            let domain = DomainName::from(format!("domain-{}", place / shape.rack % 3));
-            let name = VmName::from(format!("worker-{place}"));
+        for worker_index in 0..shape.workers {
+            let domain = DomainName::from(format!(
+                "domain-{}",
+                worker_index / shape.workers_per_rack % 3
+            ));
+            let name = VmName::from(format!("worker-{worker_index}"));
             let key = pool.add(&name, &domain, shape.capacity());
             pool.set_condition(key, WorkerCondition::Open);
             keys.push(key);
         }
-        let mut pairs = InterferenceModel::new();
-        for service in 0..SERVICES {
-            pairs.set_target(ClassKey(service), Duration::from_millis(100));
+        let mut interference = InterferenceModel::new();
+        for service in 0..SERVICE_CLASS_COUNT {
+            interference.set_target(ClassKey(service), Duration::from_millis(100));
         }
-        if rules.wrong_belief {
-            believe_wrongly(&mut pairs);
+        if rules.starts_with_wrong_estimate {
+            teach_wrong_estimate(&mut interference);
         }
         Self {
-            policy: PlacementPolicy::new().with_interference(rules.learns_pairs),
+            policy: PlacementPolicy::new().with_interference(rules.learns_interference),
             ladders: vec![LoadLadder::new(); keys.len()],
-            on: vec![Vec::new(); keys.len()],
+            tasks_on_worker: vec![Vec::new(); keys.len()],
             tasks: load.tasks.clone(),
             load,
             rules,
             pool,
             keys,
-            pairs,
-            sizes: ResourceUsageModel::new(),
+            interference,
+            usage: ResourceUsageModel::new(),
             queue: Vec::new(),
             readings: Vec::new(),
             random: SmallRng::seed_from_u64(seed ^ 0x5eed),
-            seen: vec![[0; 6]; usize::from(SERVICES)],
-            learned: vec![[None; 6]; usize::from(SERVICES)],
+            harmful_readings: vec![[0; 6]; usize::from(SERVICE_CLASS_COUNT)],
+            recognized_after: vec![[None; 6]; usize::from(SERVICE_CLASS_COUNT)],
             outcome: HourOutcome::default(),
-            requests: 0.0,
+            total_load: 0.0,
         }
     }
 
     pub(crate) fn run(mut self) -> HourOutcome {
         let mut time = 0.0;
-        while time < HOUR {
-            self.arrive(time);
-            self.follow_domain(time);
-            self.take_readings(time);
+        while time < HOUR_SECONDS {
+            self.enqueue_arrivals(time);
+            self.update_domain(time);
+            self.receive_readings(time);
             self.place_queue(time);
             self.advance(time);
-            time += STEP;
+            time += STEP_SECONDS;
         }
         self.finish()
     }
 
-    fn arrive(&mut self, time: f64) {
+    fn enqueue_arrivals(&mut self, time: f64) {
         let arriving = (0..self.tasks.len()).filter(|task| {
-            let arrives = self.tasks[*task].arrives;
-            arrives >= time && arrives < time + STEP
+            let arrival = self.tasks[*task].arrival;
+            arrival >= time && arrival < time + STEP_SECONDS
         });
         let arriving: Vec<usize> = arriving.collect();
         self.queue.extend(arriving);
     }
 
-    fn follow_domain(&mut self, time: f64) {
+    fn update_domain(&mut self, time: f64) {
         let domain = DomainName::from("domain-0");
-        let takes_work = !OUT.contains(&time);
+        let takes_work = !CLOSED_SECONDS.contains(&time);
         self.pool.set_domain(&domain, takes_work, duration(time));
         self.pool.count_time(duration(time));
         if takes_work {
             return;
         }
-        for place in 0..self.keys.len() {
-            if self.pool.worker(self.keys[place]).domain != domain {
+        for worker_index in 0..self.keys.len() {
+            if self.pool.worker(self.keys[worker_index]).domain != domain {
                 continue;
             }
-            for task in self.on[place].clone() {
-                self.leave(task, true);
+            for task in self.tasks_on_worker[worker_index].clone() {
+                self.remove_task(task, true);
             }
         }
     }
 
-    fn leave(&mut self, task: usize, keeps: bool) {
+    fn remove_task(&mut self, task: usize, checkpoints: bool) {
         let Some(worker) = self.tasks[task].worker.take() else {
             return;
         };
-        let place = self.place_of(worker);
-        self.on[place].retain(|other| *other != task);
-        let left = self.tasks[task];
-        self.pool.release(worker, left.class, left.counted);
-        if left.kind == ClassKind::Batch && !left.done {
+        let worker_index = self.worker_index(worker);
+        self.tasks_on_worker[worker_index].retain(|other| *other != task);
+        let removed = self.tasks[task];
+        self.pool.release(worker, removed.class, removed.reserved);
+        if removed.kind == ClassKind::Batch && !removed.done {
             self.outcome.evictions += 1.0;
-            self.tasks[task].left = match keeps {
-                true => left.left + CHECKPOINT_COST,
-                false => left.whole,
+            self.tasks[task].remaining_seconds = match checkpoints {
+                true => removed.remaining_seconds + CHECKPOINT_COST_SECONDS,
+                false => removed.total_seconds,
             };
         }
-        if !left.done {
+        if !removed.done {
             self.queue.push(task);
         }
     }
 
-    fn place_of(&self, worker: WorkerKey) -> usize {
+    fn worker_index(&self, worker: WorkerKey) -> usize {
         self.keys.iter().position(|key| *key == worker).unwrap_or(0)
     }
 
@@ -193,13 +212,15 @@
         let task = &self.tasks[task];
         match task.kind {
             ClassKind::Service => LatestStart(i64::MIN / 4),
-            ClassKind::Batch => LatestStart(((task.due - task.left) * 1000.0) as i64),
+            ClassKind::Batch => {
+                LatestStart(((task.deadline - task.remaining_seconds) * 1000.0) as i64)
+            }
         }
     }
 
     fn place_queue(&mut self, time: f64) {
         let mut queue = std::mem::take(&mut self.queue);
-        match self.rules.by_laxity {
+        match self.rules.orders_by_laxity {
             true => queue.sort_by_key(|task| self.latest_start(*task)),
             false => queue.sort_by(|left, right| {
                 let key = |task: &usize| (self.tasks[*task].kind == ClassKind::Batch, *task);
@@ -207,7 +228,7 @@
             }),
         }
         for task in queue {
-            let size = self.size_of(task);
+            let size = self.reservation_for(task);
             match self.choose(task, size, time) {
                 Some(worker) => self.start(task, worker, size),
                 None => self.queue.push(task),
@@ -215,12 +236,12 @@
         }
     }
 
-    fn size_of(&self, task: usize) -> ResourceAmount {
+    fn reservation_for(&self, task: usize) -> ResourceAmount {
         let task = &self.tasks[task];
         if !self.rules.learns_sizes || task.kind == ClassKind::Service {
             return task.declared;
         }
-        let size = self.sizes.reservation(task.class, task.declared);
+        let size = self.usage.reservation(task.class, task.declared);
         match self.pool.could_hold(size) {
             true => size,
             false => self.pool.largest()[0],
@@ -235,13 +256,13 @@
                 && self.pool.domain_takes_work(&worker.domain)
         };
         let keys = self.keys.iter().copied();
-        match self.rules.place {
+        match self.rules.placement {
             PlacementRule::FirstFit => keys.clone().find(fits),
             PlacementRule::LeastLoaded => keys.filter(fits).max_by_key(|key| {
-                let room = self.pool.worker(*key).room();
-                (room.cpu_millis, room.memory_mib)
+                let free = self.pool.worker(*key).room();
+                (free.cpu_millis, free.memory_mib)
             }),
-            PlacementRule::Own => {
+            PlacementRule::Policy => {
                 let start = self.latest_start(task);
                 let task = &self.tasks[task];
                 let demand = TaskDemand {
@@ -250,85 +271,85 @@
                     size,
                     failed_on: &[],
                     spread: &[],
-                    urgent: start.laxity_ms(duration(time)) < URGENT_MS,
+                    urgent: start.laxity_ms(duration(time)) < URGENT_LAXITY_MS,
                 };
                 let now = duration(time);
                 self.policy
-                    .choose(&self.pool, &self.pairs, &demand, now)
+                    .choose(&self.pool, &self.interference, &demand, now)
                     .ok()
             }
         }
     }
 
     fn start(&mut self, task: usize, worker: WorkerKey, size: ResourceAmount) {
-        let place = self.place_of(worker);
+        let worker_index = self.worker_index(worker);
         let started = &mut self.tasks[task];
         started.worker = Some(worker);
-        started.counted = size;
+        started.reserved = size;
         started.speed = 1.0;
         self.pool.reserve(worker, started.class, size);
         self.pool.note_start(worker);
-        self.on[place].push(task);
+        self.tasks_on_worker[worker_index].push(task);
     }
 
     fn advance(&mut self, time: f64) {
-        for place in 0..self.keys.len() {
-            self.advance_worker(place, time);
+        for worker_index in 0..self.keys.len() {
+            self.advance_worker(worker_index, time);
         }
-        // A service that runs nowhere answers nobody in time.
+        // All requests to a service that runs nowhere miss their target.
         for task in &self.queue {
             let task = &self.tasks[*task];
             if task.kind == ClassKind::Service {
                 let level = self.load.level(task.class, time);
-                self.requests += level;
-                self.outcome.missed += level;
+                self.total_load += level;
+                self.outcome.requests_over_target += level;
             }
         }
     }
 
-    fn advance_worker(&mut self, place: usize, time: f64) {
-        let capacity = self.pool.worker(self.keys[place]).capacity;
-        self.kill_for_memory(place, capacity);
-        let used: Vec<(usize, ResourceAmount)> = self.on[place]
+    fn advance_worker(&mut self, worker_index: usize, time: f64) {
+        let capacity = self.pool.worker(self.keys[worker_index]).capacity;
+        self.kill_for_memory(worker_index, capacity);
+        let used: Vec<(usize, ResourceAmount)> = self.tasks_on_worker[worker_index]
             .iter()
-            .map(|task| (*task, self.use_of(*task, time)))
+            .map(|task| (*task, self.current_use(*task, time)))
             .collect();
         let cpu: u64 = used.iter().map(|(_, used)| used.cpu_millis).sum();
-        let over = (cpu as f64 / capacity.cpu_millis as f64).max(1.0);
-        let services = self.latencies(place, over, time);
+        let cpu_overload = (cpu as f64 / capacity.cpu_millis as f64).max(1.0);
+        let services = self.service_latencies(worker_index, cpu_overload, time);
         for (class, ratio, level) in &services {
             let _ = class;
-            self.requests += level;
-            self.outcome.missed += if *ratio > 1.0 { *level } else { 0.0 };
+            self.total_load += level;
+            self.outcome.requests_over_target += if *ratio > 1.0 { *level } else { 0.0 };
         }
         let memory: u64 = used.iter().map(|(_, used)| used.memory_mib).sum();
         if !used.is_empty() {
             self.readings.push(LateReading {
-                due: time + self.random.random_range(5.0..30.0),
-                made: time,
-                worker: self.keys[place],
+                arrival: time + self.random.random_range(5.0..30.0),
+                measured_at: time,
+                worker: self.keys[worker_index],
                 services,
                 used,
-                company: self.company_of(place),
-                memory: memory as f64 / capacity.memory_mib as f64,
+                task_counts: self.task_counts(worker_index),
+                memory_share: memory as f64 / capacity.memory_mib as f64,
             });
         }
-        self.progress(place, over, time);
+        self.advance_batch_tasks(worker_index, cpu_overload, time);
     }
 
-    fn company_of(&self, place: usize) -> Vec<(ClassKey, f64)> {
-        let mut company: Vec<(ClassKey, f64)> = Vec::new();
-        for task in &self.on[place] {
+    fn task_counts(&self, worker_index: usize) -> Vec<(ClassKey, f64)> {
+        let mut counts: Vec<(ClassKey, f64)> = Vec::new();
+        for task in &self.tasks_on_worker[worker_index] {
             let task = &self.tasks[*task];
-            match company.iter_mut().find(|(class, _)| *class == task.class) {
+            match counts.iter_mut().find(|(class, _)| *class == task.class) {
                 Some((_, sum)) => *sum += task.speed,
-                None => company.push((task.class, task.speed)),
+                None => counts.push((task.class, task.speed)),
             }
         }
-        company
+        counts
     }
 
-    fn use_of(&self, task: usize, time: f64) -> ResourceAmount {
+    fn current_use(&self, task: usize, time: f64) -> ResourceAmount {
         let task = &self.tasks[task];
         let share = match task.kind {
             ClassKind::Service => self.load.level(task.class, time),
@@ -338,198 +359,229 @@
         ResourceAmount::new(cpu, task.actual.memory_mib)
     }
 
-    /// The services on a worker with their latency over the target and their load.
-    fn latencies(&self, place: usize, over: f64, time: f64) -> Vec<(ClassKey, f64, f64)> {
-        let tasks = self.on[place].iter().map(|task| &self.tasks[*task]);
+    /// Returns the class of each service on a worker with its ratio of latency to target and its
+    /// load.
+    fn service_latencies(
+        &self,
+        worker_index: usize,
+        cpu_overload: f64,
+        time: f64,
+    ) -> Vec<(ClassKey, f64, f64)> {
+        let tasks = self.tasks_on_worker[worker_index]
+            .iter()
+            .map(|task| &self.tasks[*task]);
         let services = tasks.filter(|task| task.kind == ClassKind::Service);
         services
             .map(|service| {
                 let level = self.load.level(service.class, time);
-                let mut log = (self.load.tightness * (0.5 + 0.5 * level)).ln();
-                for batch in SERVICES..SERVICES + 6 {
+                let mut log = (self.load.full_load_latency_ratio * (0.5 + 0.5 * level)).ln();
+                for batch in SERVICE_CLASS_COUNT..SERVICE_CLASS_COUNT + 6 {
                     let class = ClassKey(batch);
-                    let on = self.on[place].iter().map(|task| &self.tasks[*task]);
-                    let weight: f64 = on
+                    let tasks_on_worker = self.tasks_on_worker[worker_index]
+                        .iter()
+                        .map(|task| &self.tasks[*task]);
+                    let weight: f64 = tasks_on_worker
                         .filter(|task| task.class == class)
                         .map(|task| task.speed)
                         .sum();
                     log += level * self.load.effect(service.class, class) * (1.0 + weight).log2();
                 }
-                (service.class, log.exp() * over * over, level)
+                (
+                    service.class,
+                    log.exp() * cpu_overload * cpu_overload,
+                    level,
+                )
             })
             .collect()
     }
 
-    fn kill_for_memory(&mut self, place: usize, capacity: ResourceAmount) {
+    fn kill_for_memory(&mut self, worker_index: usize, capacity: ResourceAmount) {
         loop {
-            let on = self.on[place].iter();
-            let used: u64 = on.map(|task| self.tasks[*task].actual.memory_mib).sum();
+            let tasks_on_worker = self.tasks_on_worker[worker_index].iter();
+            let used: u64 = tasks_on_worker
+                .map(|task| self.tasks[*task].actual.memory_mib)
+                .sum();
             if used <= capacity.memory_mib {
                 return;
             }
-            let on = self.on[place].iter().copied();
-            let batch = on.filter(|task| self.tasks[*task].kind == ClassKind::Batch);
+            let tasks_on_worker = self.tasks_on_worker[worker_index].iter().copied();
+            let batch = tasks_on_worker.filter(|task| self.tasks[*task].kind == ClassKind::Batch);
             let Some(largest) = batch.max_by_key(|task| self.tasks[*task].actual.memory_mib) else {
                 return;
             };
-            self.outcome.killed += 1.0;
-            self.leave(largest, false);
+            self.outcome.killed_for_memory += 1.0;
+            self.remove_task(largest, false);
         }
     }
 
-    fn progress(&mut self, place: usize, over: f64, time: f64) {
-        for task in self.on[place].clone() {
+    fn advance_batch_tasks(&mut self, worker_index: usize, cpu_overload: f64, time: f64) {
+        for task in self.tasks_on_worker[worker_index].clone() {
             let running = &mut self.tasks[task];
             if running.kind == ClassKind::Service {
                 continue;
             }
-            let done = STEP * running.speed / over;
-            running.left -= done;
-            self.outcome.work += done * running.actual.cpu_millis as f64 / 3.6e6;
-            if running.left <= 0.0 {
+            let done = STEP_SECONDS * running.speed / cpu_overload;
+            running.remaining_seconds -= done;
+            self.outcome.batch_core_hours += done * running.actual.cpu_millis as f64 / 3.6e6;
+            if running.remaining_seconds <= 0.0 {
                 running.done = true;
-                if time <= running.due {
-                    self.outcome.in_time += 1.0;
+                if time <= running.deadline {
+                    self.outcome.batch_in_time += 1.0;
                 }
-                self.leave(task, true);
+                self.remove_task(task, true);
             }
         }
     }
 
-    fn take_readings(&mut self, time: f64) {
-        self.pairs.forget(duration(time));
-        let due: Vec<LateReading> = self
+    fn receive_readings(&mut self, time: f64) {
+        self.interference.forget(duration(time));
+        let arrived: Vec<LateReading> = self
             .readings
-            .extract_if(.., |reading| reading.due <= time)
+            .extract_if(.., |reading| reading.arrival <= time)
             .collect();
-        for reading in due {
-            self.take_reading(&reading, time);
+        for reading in arrived {
+            self.process_reading(&reading, time);
         }
     }
 
-    fn take_reading(&mut self, reading: &LateReading, time: f64) {
+    fn process_reading(&mut self, reading: &LateReading, time: f64) {
         for (task, used) in &reading.used {
-            self.learn_size(*task, *used, reading.worker);
+            self.learn_usage(*task, *used, reading.worker);
         }
         let mut worst: f64 = 0.0;
         for (class, ratio, level) in &reading.services {
             worst = worst.max(*ratio);
-            self.learn_pair(*class, *ratio, *level, reading);
+            self.learn_interference(*class, *ratio, *level, reading);
         }
-        let place = self.place_of(reading.worker);
-        let (predicted, lifted) = match self.rules.learns_pairs {
-            true => self.predict(place),
+        let worker_index = self.worker_index(reading.worker);
+        let (predicted, unthrottled) = match self.rules.learns_interference {
+            true => self.predict(worker_index),
             false => (0.0, 0.0),
         };
-        let seen = LadderReading {
-            measured: duration(reading.made),
+        let worker_reading = LadderReading {
+            measured: duration(reading.measured_at),
             latency_ratio: worst,
             predicted_ratio: predicted,
-            lifted_ratio: lifted,
-            memory_share: reading.memory,
+            lifted_ratio: unthrottled,
+            memory_share: reading.memory_share,
         };
-        match self.rules.pressure {
+        match self.rules.overload {
             OverloadRule::Nothing => {}
-            OverloadRule::EvictAtOnce if worst > 1.0 => self.evict_one(place, true),
+            OverloadRule::EvictAtOnce if worst > 1.0 => self.evict_one(worker_index, true),
             OverloadRule::EvictAtOnce => {}
-            OverloadRule::Ladder => {
-                let action = self.ladders[place].observe(duration(time), &seen);
-                self.climb(place, action);
+            OverloadRule::Controller => {
+                let action = self.ladders[worker_index].observe(duration(time), &worker_reading);
+                self.apply_action(worker_index, action);
             }
         }
     }
 
-    fn predict(&self, place: usize) -> (f64, f64) {
-        let worker = self.pool.worker(self.keys[place]);
-        let company = worker.company.iter();
-        let lifted: Vec<(ClassKey, f64)> = company
+    fn predict(&self, worker_index: usize) -> (f64, f64) {
+        let worker = self.pool.worker(self.keys[worker_index]);
+        let task_counts = worker.company.iter();
+        let unthrottled: Vec<(ClassKey, f64)> = task_counts
             .map(|(class, count)| (*class, f64::from(*count)))
             .collect();
-        let now = self.pairs.predict(&self.company_of(place));
-        (now, self.pairs.predict_peak(&lifted))
+        let now = self.interference.predict(&self.task_counts(worker_index));
+        (now, self.interference.predict_peak(&unthrottled))
     }
 
-    fn learn_size(&mut self, task: usize, used: ResourceAmount, worker: WorkerKey) {
-        let seen = &mut self.tasks[task];
-        if seen.kind == ClassKind::Service || !self.rules.learns_sizes {
+    fn learn_usage(&mut self, task: usize, used: ResourceAmount, worker: WorkerKey) {
+        let measured_task = &mut self.tasks[task];
+        if measured_task.kind == ClassKind::Service || !self.rules.learns_sizes {
             return;
         }
-        // What a throttled task uses tells nothing of what it would.
-        if seen.speed >= 1.0 {
-            self.sizes.observe(seen.class, seen.declared, used);
+        // The use of a throttled task says nothing about its use at full speed.
+        if measured_task.speed >= 1.0 {
+            self.usage
+                .observe(measured_task.class, measured_task.declared, used);
         }
-        if seen.worker != Some(worker) {
+        if measured_task.worker != Some(worker) {
             return;
         }
-        let counted = seen.counted.max(used);
-        self.pool.recount(worker, seen.counted, counted);
-        seen.counted = counted;
+        let reserved = measured_task.reserved.max(used);
+        self.pool.recount(worker, measured_task.reserved, reserved);
+        measured_task.reserved = reserved;
     }
 
-    fn learn_pair(&mut self, class: ClassKey, ratio: f64, level: f64, reading: &LateReading) {
-        if !self.rules.learns_pairs {
+    fn learn_interference(
+        &mut self,
+        class: ClassKey,
+        ratio: f64,
+        level: f64,
+        reading: &LateReading,
+    ) {
+        if !self.rules.learns_interference {
             return;
         }
-        self.pairs.observe(&ServiceReading {
-            measured: duration(reading.made),
+        self.interference.observe(&ServiceReading {
+            measured: duration(reading.measured_at),
             service: class,
             latency_p99: Duration::from_secs_f64(0.1 * ratio),
             load: level,
-            company: &reading.company,
+            company: &reading.task_counts,
         });
         for (other, _) in reading
-            .company
+            .task_counts
             .iter()
-            .filter(|(other, _)| other.0 >= SERVICES)
+            .filter(|(other, _)| other.0 >= SERVICE_CLASS_COUNT)
         {
-            let (row, column) = (usize::from(class.0), usize::from(other.0 - SERVICES));
-            if self.load.effect(class, *other) < 0.3 || self.learned[row][column].is_some() {
+            let (row, column) = (
+                usize::from(class.0),
+                usize::from(other.0 - SERVICE_CLASS_COUNT),
+            );
+            if self.load.effect(class, *other) < 0.3 || self.recognized_after[row][column].is_some()
+            {
                 continue;
             }
-            self.seen[row][column] += 1;
-            if self.pairs.effect(class, *other) > 0.15 {
-                self.learned[row][column] = Some(self.seen[row][column]);
+            self.harmful_readings[row][column] += 1;
+            if self.interference.effect(class, *other) > 0.15 {
+                self.recognized_after[row][column] = Some(self.harmful_readings[row][column]);
             }
         }
     }
 
-    fn climb(&mut self, place: usize, action: LadderAction) {
+    fn apply_action(&mut self, worker_index: usize, action: LadderAction) {
         match action {
             LadderAction::Hold => {}
-            LadderAction::Throttle(speed) => self.throttle(place, f64::from(speed) / 1000.0),
-            LadderAction::Evict => self.evict_one(place, true),
-            LadderAction::Stop => self.evict_one(place, false),
+            LadderAction::Throttle(speed) => self.throttle(worker_index, f64::from(speed) / 1000.0),
+            LadderAction::Evict => self.evict_one(worker_index, true),
+            LadderAction::Stop => self.evict_one(worker_index, false),
         }
     }
 
-    fn throttle(&mut self, place: usize, speed: f64) {
-        let worker = self.pool.worker(self.keys[place]);
-        let used = self.on[place].iter().map(|task| self.tasks[*task].counted);
+    fn throttle(&mut self, worker_index: usize, speed: f64) {
+        let worker = self.pool.worker(self.keys[worker_index]);
+        let used = self.tasks_on_worker[worker_index]
+            .iter()
+            .map(|task| self.tasks[*task].reserved);
         let cpu: u64 = used.map(|size| size.cpu_millis).sum();
         let overloaded = cpu as f64 > worker.capacity.cpu_millis as f64 * 0.95;
-        for task in &self.on[place] {
+        for task in &self.tasks_on_worker[worker_index] {
             let task = &mut self.tasks[*task];
-            let blamed = self.pairs.blames(worker, task.class, overloaded);
+            let blamed = self.interference.blames(worker, task.class, overloaded);
             if task.kind == ClassKind::Batch && (blamed || task.speed < 1.0) {
                 task.speed = speed;
             }
         }
-        self.pool.set_pressed(self.keys[place], speed < 1.0);
+        self.pool.set_pressed(self.keys[worker_index], speed < 1.0);
     }
 
-    fn evict_one(&mut self, place: usize, keeps: bool) {
-        let company = self.pool.worker(self.keys[place]).company.clone();
+    fn evict_one(&mut self, worker_index: usize, checkpoints: bool) {
+        let task_counts = self.pool.worker(self.keys[worker_index]).company.clone();
         let effect = |class: ClassKey| -> f64 {
-            let services = company.iter().filter(|(other, _)| other.0 < SERVICES);
+            let services = task_counts
+                .iter()
+                .filter(|(other, _)| other.0 < SERVICE_CLASS_COUNT);
             services
-                .map(|(service, _)| self.pairs.effect(*service, class))
+                .map(|(service, _)| self.interference.effect(*service, class))
                 .sum()
         };
-        let on = self.on[place].iter().copied();
-        let batch = on.filter(|task| self.tasks[*task].kind == ClassKind::Batch);
+        let tasks_on_worker = self.tasks_on_worker[worker_index].iter().copied();
+        let batch = tasks_on_worker.filter(|task| self.tasks[*task].kind == ClassKind::Batch);
         let cost = |task: &usize| {
             let task = &self.tasks[*task];
-            (effect(task.class), task.counted.cpu_millis as f64)
+            (effect(task.class), task.reserved.cpu_millis as f64)
         };
         let victim = batch.max_by(|left, right| {
             let (left, right) = (cost(left), cost(right));
@@ -537,34 +589,40 @@
                 .unwrap_or(std::cmp::Ordering::Equal)
         });
         if let Some(task) = victim {
-            self.leave(task, keeps);
+            self.remove_task(task, checkpoints);
         }
     }
 
     fn finish(mut self) -> HourOutcome {
-        let due = self
-            .tasks
+        let due = self.tasks.iter().filter(|task| {
+            task.kind == ClassKind::Batch && (task.done || task.deadline <= HOUR_SECONDS)
+        });
+        self.outcome.batch_in_time /= due.count().max(1) as f64;
+        self.outcome.requests_over_target /= self.total_load.max(1.0);
+        let recognized_after: Vec<u32> = self
+            .recognized_after
             .iter()
-            .filter(|task| task.kind == ClassKind::Batch && (task.done || task.due <= HOUR));
-        self.outcome.in_time /= due.count().max(1) as f64;
-        self.outcome.missed /= self.requests.max(1.0);
-        let learned: Vec<u32> = self.learned.iter().flatten().flatten().copied().collect();
-        let sum: u32 = learned.iter().sum();
-        self.outcome.readings_to_learn = f64::from(sum) / learned.len().max(1) as f64;
+            .flatten()
+            .flatten()
+            .copied()
+            .collect();
+        let sum: u32 = recognized_after.iter().sum();
+        self.outcome.readings_to_learn = f64::from(sum) / recognized_after.len().max(1) as f64;
         self.outcome
     }
 }
 
-/// Has the model believe that the first batch class doubles and more the latency of every service.
-fn believe_wrongly(pairs: &mut InterferenceModel) {
-    for service in 0..SERVICES {
-        for beside in [0.0, 1.0].repeat(20) {
-            pairs.observe(&ServiceReading {
+/// Teaches the model that the first batch class raises the latency of every service by a factor of
+/// 2.5.
+fn teach_wrong_estimate(interference: &mut InterferenceModel) {
+    for service in 0..SERVICE_CLASS_COUNT {
+        for batch_tasks in [0.0, 1.0].repeat(20) {
+            interference.observe(&ServiceReading {
                 measured: Duration::ZERO,
                 service: ClassKey(service),
-                latency_p99: Duration::from_secs_f64(0.05 * (1.0 + 1.5 * beside)),
+                latency_p99: Duration::from_secs_f64(0.05 * (1.0 + 1.5 * batch_tasks)),
                 load: 1.0,
-                company: &[(ClassKey(SERVICES), beside)],
+                company: &[(ClassKey(SERVICE_CLASS_COUNT), batch_tasks)],
             });
         }
     }
--- a/crates/placement/benches/scale.rs
+++ b/crates/placement/benches/scale.rs
@@ -1,5 +1,6 @@
-//! Time per decision at growing size, with as many tasks and queued jobs to a worker as the target
-//! has: 61,000 tasks and 17,000 jobs on 2,600 workers.
+//! Measures the time per placement decision, per step through the ready queue and per learned
+//! measurement for 50, 500 and 2,600 workers. Tasks and queued jobs grow with the number of
+//! workers, up to the target of 61,000 tasks and 17,000 jobs on 2,600 workers.
 //!
 //! `cargo bench -p jasminebend-placement --bench scale`
 
@@ -37,21 +38,22 @@
     rngs::SmallRng, //
 };
 
-const SIZES: [usize; 3] = [50, 500, 2600];
-const TASKS: usize = 61_000;
-const JOBS: usize = 17_000;
-const SERVICES: u16 = 20;
-const BATCHES: u16 = 80;
-const DECISIONS: u32 = 50_000;
-const READINGS: u32 = 20_000;
-const STARTS_A_SECOND: f64 = 770.0;
+const WORKER_COUNTS: [usize; 3] = [50, 500, 2600];
+const TARGET_TASK_COUNT: usize = 61_000;
+const TARGET_JOB_COUNT: usize = 17_000;
+const SERVICE_CLASS_COUNT: u16 = 20;
+const BATCH_CLASS_COUNT: u16 = 80;
+const DECISION_COUNT: u32 = 50_000;
+const READING_COUNT: u32 = 20_000;
+/// The rate at which the share of one core is reported that decisions take.
+const STARTS_PER_SECOND: f64 = 770.0;
 const NOW: Duration = Duration::from_secs(100_000);
 
 fn main() {
     println!(
         "workers  tasks  jobs  us/decision  decisions/s  770 starts/s  us/queue step  us/reading"
     );
-    for workers in SIZES {
+    for workers in WORKER_COUNTS {
         measure(workers);
     }
 }
@@ -59,45 +61,47 @@
 fn measure(workers: usize) {
     let mut random = SmallRng::seed_from_u64(workers as u64);
     let mut pool = WorkerPool::new();
-    (0..workers).for_each(|place| add(&mut pool, place));
-    let mut pairs = InterferenceModel::new();
-    for service in 0..SERVICES {
-        pairs.set_target(ClassKey(service), Duration::from_millis(100));
+    (0..workers).for_each(|number| add_worker(&mut pool, number));
+    let mut model = InterferenceModel::new();
+    for service in 0..SERVICE_CLASS_COUNT {
+        model.set_target(ClassKey(service), Duration::from_millis(100));
     }
-    let reading = learn(&mut pairs, &mut random);
-    let tasks = TASKS * workers / SIZES[2];
+    let reading_micros = micros_per_reading(&mut model, &mut random);
+    let tasks = TARGET_TASK_COUNT * workers / WORKER_COUNTS[2];
     let policy = PlacementPolicy::new();
     let mut runs = Vec::new();
     for _ in 0..tasks {
-        let demand = draw(&mut random);
-        if let Ok(key) = policy.choose(&pool, &pairs, &demand, NOW) {
+        let demand = random_demand(&mut random);
+        if let Ok(key) = policy.choose(&pool, &model, &demand, NOW) {
             pool.reserve(key, demand.class, demand.size);
             runs.push((key, demand.class, demand.size));
         }
     }
-    let decision = decide(&mut pool, &pairs, policy, &mut runs, &mut random);
-    let step = walk(JOBS * workers / SIZES[2], &mut random);
+    let decision_micros = micros_per_decision(&mut pool, &model, policy, &mut runs, &mut random);
+    let step_micros =
+        micros_per_queue_step(TARGET_JOB_COUNT * workers / WORKER_COUNTS[2], &mut random);
     println!(
-        "{workers:>7} {:>6} {:>5} {decision:>12.2} {:>12.0} {:>11.2}% {step:>14.3} {reading:>11.2}",
+        "{workers:>7} {:>6} {:>5} {decision_micros:>12.2} {:>12.0} {:>11.2}% {step_micros:>14.3} {reading_micros:>11.2}",
         runs.len(),
-        JOBS * workers / SIZES[2],
-        1e6 / decision,
-        decision * STARTS_A_SECOND / 1e4,
+        TARGET_JOB_COUNT * workers / WORKER_COUNTS[2],
+        1e6 / decision_micros,
+        decision_micros * STARTS_PER_SECOND / 1e4,
     );
 }
 
-fn add(pool: &mut WorkerPool, place: usize) {
-    let domain = DomainName::from(format!("domain-{}", place / 10 % 10));
-    let name = VmName::from(format!("worker-{place}"));
+fn add_worker(pool: &mut WorkerPool, number: usize) {
+    let domain = DomainName::from(format!("domain-{}", number / 10 % 10));
+    let name = VmName::from(format!("worker-{number}"));
     let key = pool.add(&name, &domain, ResourceAmount::new(64_000, 256_000));
     pool.set_condition(key, WorkerCondition::Open);
 }
 
-fn draw(random: &mut SmallRng) -> TaskDemand<'static> {
+/// Draws a task: a service with a probability of 15%, a batch task otherwise.
+fn random_demand(random: &mut SmallRng) -> TaskDemand<'static> {
     let is_service = random.random_bool(0.15);
     let class = match is_service {
-        true => random.random_range(0..SERVICES),
-        false => random.random_range(SERVICES..SERVICES + BATCHES),
+        true => random.random_range(0..SERVICE_CLASS_COUNT),
+        false => random.random_range(SERVICE_CLASS_COUNT..SERVICE_CLASS_COUNT + BATCH_CLASS_COUNT),
     };
     TaskDemand {
         class: ClassKey(class),
@@ -115,60 +119,65 @@
     }
 }
 
-/// Teaches the model all pairs, of which one in twenty hurts; returns the time per reading.
-fn learn(pairs: &mut InterferenceModel, random: &mut SmallRng) -> f64 {
-    let readings: Vec<(f64, Vec<(ClassKey, f64)>)> = (0..READINGS)
+/// Teaches the model random combinations of classes, in which one pair in twenty is harmful.
+/// Returns the time per reading in microseconds.
+fn micros_per_reading(model: &mut InterferenceModel, random: &mut SmallRng) -> f64 {
+    let readings: Vec<(f64, Vec<(ClassKey, f64)>)> = (0..READING_COUNT)
         .map(|_| {
-            let service = ClassKey(random.random_range(0..SERVICES));
-            let batch = (0..6).map(|_| random.random_range(SERVICES..SERVICES + BATCHES));
+            let service = ClassKey(random.random_range(0..SERVICE_CLASS_COUNT));
+            let batch = (0..6).map(|_| {
+                random.random_range(SERVICE_CLASS_COUNT..SERVICE_CLASS_COUNT + BATCH_CLASS_COUNT)
+            });
             let mut company: Vec<(ClassKey, f64)> = vec![(service, 1.0)];
             company.extend(batch.map(|class| (ClassKey(class), 1.0)));
             (random.random_range(0.2..1.0), company)
         })
         .collect();
-    let began = Instant::now();
+    let started = Instant::now();
     for (load, company) in &readings {
         let service = company[0].0;
-        let interferes = |class: &ClassKey| (class.0 * 7 + service.0).is_multiple_of(20);
-        let bad = company[1..]
+        let is_harmful = |class: &ClassKey| (class.0 * 7 + service.0).is_multiple_of(20);
+        let harmful_tasks = company[1..]
             .iter()
-            .filter(|(class, _)| interferes(class))
+            .filter(|(class, _)| is_harmful(class))
             .count();
-        pairs.observe(&ServiceReading {
+        model.observe(&ServiceReading {
             measured: NOW,
             service,
-            latency_p99: Duration::from_secs_f64(0.05 * (0.6 * load * bad as f64).exp()),
+            latency_p99: Duration::from_secs_f64(0.05 * (0.6 * load * harmful_tasks as f64).exp()),
             load: *load,
             company,
         });
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(READINGS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(READING_COUNT)
 }
 
-/// Ends a run and places the next, over and over; returns the time of both.
-fn decide(
+/// Ends a random run and places the next task, `DECISION_COUNT` times. Returns the time for both in
+/// microseconds.
+fn micros_per_decision(
     pool: &mut WorkerPool,
-    pairs: &InterferenceModel,
+    model: &InterferenceModel,
     policy: PlacementPolicy,
     runs: &mut Vec<(WorkerKey, ClassKey, ResourceAmount)>,
     random: &mut SmallRng,
 ) -> f64 {
-    let demands: Vec<TaskDemand<'static>> = (0..DECISIONS).map(|_| draw(random)).collect();
-    let began = Instant::now();
+    let demands: Vec<TaskDemand<'static>> =
+        (0..DECISION_COUNT).map(|_| random_demand(random)).collect();
+    let started = Instant::now();
     for demand in &demands {
         let ended = random.random_range(0..runs.len());
         let (key, class, size) = runs.swap_remove(ended);
         pool.release(key, class, size);
-        if let Ok(key) = black_box(policy.choose(pool, pairs, demand, NOW)) {
+        if let Ok(key) = black_box(policy.choose(pool, model, demand, NOW)) {
             pool.reserve(key, demand.class, demand.size);
             runs.push((key, demand.class, demand.size));
         }
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(DECISIONS)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(DECISION_COUNT)
 }
 
-/// Walks a queue in the order of laxity; returns the time per job.
-fn walk(jobs: usize, random: &mut SmallRng) -> f64 {
+/// Walks through a queue in the order of laxity. Returns the time per job in microseconds.
+fn micros_per_queue_step(jobs: usize, random: &mut SmallRng) -> f64 {
     let mut queue = ReadyQueue::new();
     for job in 0..jobs as u64 {
         let start = LatestStart(random.random_range(0..1_000_000_000));
@@ -177,11 +186,11 @@
             queue.push(TaskId { job, index }, start);
         }
     }
-    let began = Instant::now();
-    let mut at = None;
-    while let Some((start, job)) = queue.next_after(at) {
+    let started = Instant::now();
+    let mut last = None;
+    while let Some((start, job)) = queue.next_after(last) {
         black_box(queue.peek(job));
-        at = Some((start, job));
+        last = Some((start, job));
     }
-    began.elapsed().as_secs_f64() * 1e6 / jobs as f64
+    started.elapsed().as_secs_f64() * 1e6 / jobs as f64
 }
