--- a/crates/placement/src/interference_model.rs
+++ b/crates/placement/src/interference_model.rs
@@ -245,7 +245,7 @@
             let more = f64::from(u8::from(added == Some(*class)));
             self.effect(service, *class) * task_count_weight(f64::from(*count) + more)
         });
-        let new_class_effect = added.filter(|class| worker.count(*class) == 0);
+        let new_class_effect = added.filter(|class| worker.task_count(*class) == 0);
         present.sum::<f64>() + new_class_effect.map_or(0.0, |class| self.effect(service, class))
     }
 
--- a/crates/placement/src/job_ledger.rs
+++ b/crates/placement/src/job_ledger.rs
@@ -130,7 +130,7 @@
         }
         task_record.end_run(end, cancelled, ran_ms);
         if task_record.state != TaskState::Queued {
-            record.open -= 1;
+            record.open_tasks -= 1;
         }
         Ok(())
     }
@@ -141,7 +141,7 @@
         for task in &mut record.tasks {
             if task.state == TaskState::Queued {
                 task.state = TaskState::Cancelled;
-                record.open -= 1;
+                record.open_tasks -= 1;
             }
         }
         Ok(())
--- a/crates/placement/src/job_record.rs
+++ b/crates/placement/src/job_record.rs
@@ -29,7 +29,8 @@
     /// The job's tasks, in the order of their index.
     pub tasks: Vec<TaskRecord>,
     /// The number of tasks that are neither finished nor cancelled.
-    pub open: u32,
+    #[serde(rename = "open")]
+    pub open_tasks: u32,
 }
 
 impl JobRecord {
@@ -37,7 +38,7 @@
     pub fn new(spec: JobSpec, kind: ClassKind, submitted_ms: u64) -> Self {
         let tasks = vec![TaskRecord::default(); spec.tasks as usize];
         Self {
-            open: spec.tasks,
+            open_tasks: spec.tasks,
             spec,
             kind,
             submitted_ms,
@@ -49,7 +50,7 @@
 
     /// Returns whether every task is finished or cancelled, so that none will run again.
     pub fn ended(&self) -> bool {
-        self.open == 0
+        self.open_tasks == 0
     }
 
     /// Counts the tasks whose state passes a test.
--- a/crates/placement/src/latency_regression.rs
+++ b/crates/placement/src/latency_regression.rs
@@ -112,8 +112,8 @@
             .is_some_and(|index| self.has_learned_feature(index))
     }
 
-    /// Applies one step of decay, which keeps the share `kept_share`: what is no longer measured
-    /// approaches zero effect with the prior variance.
+    /// Applies one step of decay, which keeps the share `kept_share`: the effects of classes that are
+    /// no longer measured approach zero, and variances approach the prior variance.
     pub(crate) fn decay(&mut self, kept_share: f64) {
         for (index, row) in self.covariance.iter_mut().enumerate() {
             row.iter_mut().for_each(|cell| *cell *= kept_share);
--- a/crates/placement/src/pool_worker.rs
+++ b/crates/placement/src/pool_worker.rs
@@ -51,7 +51,7 @@
     }
 
     /// Returns the number of tasks of a class on the worker.
-    pub fn count(&self, class: ClassKey) -> u16 {
+    pub fn task_count(&self, class: ClassKey) -> u16 {
         let found = self.company.iter().find(|(key, _)| *key == class);
         found.map_or(0, |(_, count)| *count)
     }
