--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a job is taken in.
+//! Admission decisions and pending grants.
 
 use std::time::Duration;
 
@@ -10,52 +10,54 @@
 
 use crate::JobKey;
 
-/// How long a grant stands for a job that is not on record yet.
+/// The lifetime of a grant for a job that is not on record yet.
 const GRANT_LIFE: Duration = Duration::from_secs(10);
 
-/// Whether a job is taken in.
+/// Admission decision for a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Admission {
-    /// It is.
+    /// The job may be accepted.
     Granted,
-    /// It would take the processors that short work needs.
+    /// The job is rejected: it would take CPU that short tasks need.
     Refused(RoomShortage),
 }
 
-/// What is missing for a long-running job.
+/// Reason for the rejection of a long-running job: the CPU that is missing.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RoomShortage {
-    /// The processors that it asks for, in thousandths.
+    /// The CPU that the job requests, in millicores.
     pub demand: u64,
-    /// The processors that are not promised to long-running tasks, in thousandths.
+    /// The CPU that is not promised to long-running tasks, in millicores.
     pub room: u64,
-    /// The processors that short work needs of these, in thousandths.
+    /// The part of this CPU that short tasks need, in millicores.
     pub short_need: u64,
-    /// When there should be room.
+    /// The time after which there should be enough CPU, counted from the decision.
     pub back: Duration,
 }
 
-/// The long-running jobs that were granted and are not known to be on record.
+/// Grants of long-running jobs that are not known to be on record yet.
 #[derive(Debug, Default)]
 pub(crate) struct GrantLedger {
     grants: IndexMap<JobKey, (u64, Duration)>,
 }
 
 impl GrantLedger {
+    /// Records a grant of this CPU, in millicores.
     pub(crate) fn grant(&mut self, key: JobKey, demand: u64, now: Duration) {
         self.grants.insert(key, (demand, now + GRANT_LIFE));
     }
 
-    /// Drops the grant of a job that is on record.
+    /// Removes the grant of a job that is on record.
     pub(crate) fn settle(&mut self, key: JobKey) {
         self.grants.swap_remove(&key);
     }
 
+    /// Returns whether a job has an unexpired grant.
     pub(crate) fn holds(&self, key: JobKey, now: Duration) -> bool {
         self.grants.get(&key).is_some_and(|(_, until)| now < *until)
     }
 
-    /// Returns the processors that are granted, in thousandths, and forgets what has lapsed.
+    /// Removes expired grants and returns the CPU of the others, in millicores.
     pub(crate) fn total(&mut self, now: Duration) -> u64 {
         self.grants.retain(|_, (_, until)| now < *until);
         let granted = self.grants.values().map(|(demand, _)| *demand);
--- a/crates/dispatch/src/advice_wish.rs
+++ b/crates/dispatch/src/advice_wish.rs
@@ -1,14 +1,14 @@
-//! A question to the advice service.
+//! Request to the advice service.
 
 use std::sync::Arc;
 
 use crate::StepKey;
 
-/// A question to the advice service: which of these workers may run a step.
+/// Request to the advice service for tickets with which workers may run a step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdviceWish {
-    /// The step.
+    /// The step to run.
     pub step: StepKey,
-    /// The workers' identities.
+    /// The identities of the candidate workers.
     pub workers: Vec<Arc<str>>,
 }
--- a/crates/dispatch/src/commit_ledger.rs
+++ b/crates/dispatch/src/commit_ledger.rs
@@ -1,4 +1,4 @@
-//! Which changes are on record.
+//! Tracking of which changes are on record.
 
 use indexmap::IndexMap;
 
@@ -7,8 +7,9 @@
     JobOutcome, //
 };
 
-/// Which changes are on record. Changes are numbered; a job's record holds all its changes up to
-/// the moment when it was taken, so that it is enough to know each job's first that is not on record.
+/// Tracks which changes are on record. Changes are numbered. A job's record contains all its
+/// changes up to the moment at which it was taken, so only each job's first uncommitted change has
+/// to be known.
 #[derive(Debug, Default)]
 pub(crate) struct CommitLedger {
     changes: u64,
@@ -17,14 +18,14 @@
 }
 
 impl CommitLedger {
-    /// Numbers a change of a job.
+    /// Records a change of a job and returns its number.
     pub(crate) fn note(&mut self, job: JobKey) -> u64 {
         self.changes += 1;
         self.dirty.entry(job).or_insert(self.changes);
         self.changes
     }
 
-    /// Takes up to `limit` jobs for a commit.
+    /// Moves up to `limit` jobs into the commit in flight and returns them.
     pub(crate) fn take(&mut self, limit: usize) -> Vec<JobKey> {
         let count = limit.min(self.dirty.len());
         let taken: Vec<(JobKey, u64)> = self.dirty.drain(..count).collect();
@@ -35,14 +36,14 @@
         keys
     }
 
-    /// Takes note of the outcome that a job's record in flight holds.
+    /// Stores the outcome that a job's record in flight contains.
     pub(crate) fn carry(&mut self, job: JobKey, outcome: Option<JobOutcome>) {
         if let Some((_, carried)) = self.in_flight.get_mut(&job) {
             *carried = outcome;
         }
     }
 
-    /// The commit in flight is on record: returns the jobs' outcomes that it held.
+    /// Marks the commit in flight as on record and returns the job outcomes that it contained.
     pub(crate) fn settle(&mut self) -> Vec<(JobKey, JobOutcome)> {
         let done = std::mem::take(&mut self.in_flight);
         done.into_iter()
@@ -50,7 +51,7 @@
             .collect()
     }
 
-    /// The commit in flight is not on record: its jobs are to be taken again, before the others.
+    /// Marks the commit in flight as failed: its jobs are taken again, before the others.
     pub(crate) fn give_back(&mut self) {
         let later = std::mem::take(&mut self.dirty);
         for (key, (change, _)) in std::mem::take(&mut self.in_flight) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Returns the last change before which all are on record, itself included.
+    /// Returns the highest change number up to which all changes are on record.
     pub(crate) fn on_record(&self) -> u64 {
         let dirty = self.dirty.values().copied();
         let flying = self.in_flight.values().map(|&(change, _)| change);
--- a/crates/dispatch/src/decaying_sum.rs
+++ b/crates/dispatch/src/decaying_sum.rs
@@ -1,15 +1,15 @@
-//! A sum in which what is older counts less.
+//! Exponentially decaying sum.
 
 use std::time::Duration;
 
-/// A sum in which what is older counts less, by half-lives. Amounts may be added in any order.
+/// Exponentially decaying sum. Amounts may be added in any order of time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingSum {
     half_life: Duration,
     sum: f64,
-    /// The time for which the sum is told.
+    /// The time as of which `sum` is valid.
     at: Duration,
-    /// When the first amount came.
+    /// The time of the earliest amount; `None` before any was added.
     since: Option<Duration>,
 }
 
@@ -23,6 +23,7 @@
         }
     }
 
+    /// Adds an amount that occurred at `at`.
     pub(crate) fn add(&mut self, amount: f64, at: Duration) {
         if at > self.at {
             self.sum *= self.left_after(at - self.at);
@@ -32,13 +33,13 @@
         self.since = Some(self.since.map_or(at, |since| since.min(at)));
     }
 
-    /// Returns the sum at `now`.
+    /// Returns the decayed sum at `now`.
     pub(crate) fn total(&self, now: Duration) -> f64 {
         self.sum * self.left_after(now.saturating_sub(self.at))
     }
 
-    /// Returns how much comes in a second; 0 if nothing came so far. In the beginning it is taken to have been seen for
-    /// `least`.
+    /// Returns the average amount per second; 0 if none was added yet. The observation is assumed
+    /// to have lasted at least `least`.
     pub(crate) fn rate(&self, now: Duration, least: Duration) -> f64 {
         let Some(since) = self.since else {
             return 0.0;
@@ -48,6 +49,7 @@
         self.total(now) / (mean_life * (1.0 - self.left_after(seen)))
     }
 
+    /// Returns the factor by which an amount decays within `time`.
     fn left_after(&self, time: Duration) -> f64 {
         0.5f64.powf(time.as_secs_f64() / self.half_life.as_secs_f64())
     }
--- a/crates/dispatch/src/decision_note.rs
+++ b/crates/dispatch/src/decision_note.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decided beside its orders, for the log.
+//! Log entry for the eviction of fillers.
 
 use std::{
     sync::Arc,
@@ -10,23 +10,23 @@
     WorkerKey, //
 };
 
-/// Fillers gave way to a service that answered too slowly.
+/// Log entry: fillers were evicted because a service answered too slowly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecisionNote {
-    /// When it was decided.
+    /// When the fillers were evicted, on the owner's process clock.
     pub at: Duration,
-    /// The worker.
+    /// The worker that the service runs on.
     pub worker: WorkerKey,
-    /// The service's task that answered worst.
+    /// The service's task for whose sake the fillers were evicted.
     pub service: TaskKey,
-    /// What it runs.
+    /// The service's image.
     pub image: Option<Arc<str>>,
-    /// Its tail, in hundredths of its target.
+    /// The service's tail latency, in percent of its target.
     pub tail_percent: u64,
-    /// The load that is expected of it without fillers, as a share.
+    /// The service's forecast load without fillers, as a share.
     pub expected_load: f64,
-    /// The fillers, with what they run and the believed effect of each on that load.
+    /// The worker's fillers, each with its image and its estimated effect on the service's load.
     pub fillers: Vec<(TaskKey, Option<Arc<str>>, f64)>,
-    /// How many of them are moved elsewhere.
+    /// The number of fillers that were evicted.
     pub moved: usize,
 }
--- a/crates/dispatch/src/dispatch_settings.rs
+++ b/crates/dispatch/src/dispatch_settings.rs
@@ -1,30 +1,30 @@
-//! The figures that the dispatcher goes by.
+//! Settings of the dispatcher.
 
 use std::time::Duration;
 
 use crate::PolicySwitches;
 
-/// The figures that the dispatcher goes by; most are bounds of the platform.
+/// Settings of the dispatcher; most are limits of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DispatchSettings {
-    /// How long a worker's lease lasts without a renewal. Tasks of a worker that fell silent wait for its
-    /// end; a renewal comes every 2 s, and an owner that died is replaced within 2 s.
+    /// The duration of a worker's lease without a renewal. Tasks of a worker that fell silent wait
+    /// for its expiry. A renewal is sent every 2 s, and an owner that died is replaced within 2 s.
     pub lease: Duration,
-    /// How long a worker waits at most for an end before it answers a renewal.
+    /// The longest time that a worker waits for a run to end before it answers a renewal.
     pub longest_wait: Duration,
-    /// How long an owner goes on giving orders after it was last confirmed that it still is the owner.
+    /// The time for which an owner continues to send orders after its ownership was last confirmed.
     pub unconfirmed: Duration,
-    /// How long a stop takes at most.
+    /// The longest time that stopping a run takes.
     pub stop: Duration,
-    /// How many times as long a task takes far from its data.
+    /// The factor by which a task takes longer on another rack than its data's.
     pub remote_factor: f64,
-    /// For how long a service may be harmed by fillers.
+    /// The time for which fillers may slow a service down beyond its target.
     pub harm: Duration,
-    /// How long a service's task counts as away after its loss.
+    /// The time for which a service's task counts as absent after its loss.
     pub notice: Duration,
-    /// How much earlier than its time an occurrence may start.
+    /// How much earlier than its due time an occurrence may start.
     pub early: Duration,
-    /// What a trial does without.
+    /// The parts of the policy that are switched off, for trials.
     pub switches: PolicySwitches,
 }
 
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: what an owner of jobs and workers knows and decides.
+//! The dispatcher: the state of one owner of jobs and workers, and its basic operations.
 
 use std::{
     collections::BTreeSet,
@@ -41,41 +41,43 @@
     worker_state::WorkerState, //
 };
 
-/// A job that was accepted, as its owner hears of it.
+/// An accepted job as passed to [`Dispatcher::add_job`].
 #[derive(Clone, Debug)]
 pub struct AcceptedJob {
-    /// The queue that it was handed in to.
+    /// The name of the queue to which the job was submitted.
     pub queue: Arc<str>,
-    /// What it consists of.
+    /// The job's steps, payload and schedule.
     pub graph: Arc<JobGraph>,
-    /// When it was accepted, on the owner's clock.
+    /// When the job was accepted, on the owner's process clock.
     pub accepted: Duration,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the job's tasks.
     pub inherited: bool,
 }
 
-/// Who may have opened a step.
+/// Which owners may have opened a step, and so may have started tasks of it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StepOrigin {
-    /// A former owner may have, and may have started some of it.
+    /// A former owner may have opened the step and started some of its tasks.
     Unknown,
-    /// This owner alone: it saw a task at work for which the step had to wait.
+    /// Only this owner: it saw a task running on which the step depends, so no former owner can
+    /// have opened the step.
     Own,
 }
 
-/// What an owner of jobs and workers knows and decides.
+/// Schedules the tasks of the jobs that one owner holds onto that owner's workers.
 ///
-/// It does no I/O and reads no clock: it is told what happened, with the time since an origin of
-/// its process, and answers with orders. Two records are behind it. The rows hold what was asked
-/// and what has ended; the workers hold what runs. It keeps the room of a run until the worker can
-/// no longer run it, and gives a task a new run only once the last one is known to be over.
+/// Does no I/O and reads no clock: callers report events together with the time since the process's
+/// origin, and receive orders in return. Two sources of truth exist outside of it: the store's rows
+/// hold what was requested and what has ended; the workers know what is running. The dispatcher
+/// keeps the capacity of a run reserved until the worker can no longer execute it, and gives a task
+/// a new run only once the previous one is known to be over.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) settings: DispatchSettings,
     pub(crate) token: u64,
     pub(crate) run_count: u64,
     pub(crate) configuration: Arc<FleetConfiguration>,
-    /// The last that was known of each queue, also of those that were removed: their jobs go on.
+    /// The latest known rule of each queue, including removed queues, whose jobs continue.
     pub(crate) rules: IndexMap<Arc<str>, QueueRule>,
     pub(crate) closed: BTreeSet<DomainName>,
     pub(crate) workers: Vec<WorkerState>,
@@ -83,30 +85,31 @@
     pub(crate) jobs: IndexMap<JobKey, JobState>,
     /// Steps that may have tasks without a run.
     pub(crate) open: IndexSet<StepKey>,
-    /// Runs that are to be stopped, until they are gone.
+    /// Runs to be stopped; an entry stays until its run is gone.
     pub(crate) stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
-    /// Orders that were decided between two plans.
+    /// Orders decided between two plans, to be returned by the next plan.
     pub(crate) decided: Vec<WorkerOrder>,
     pub(crate) notes: Vec<DecisionNote>,
     pub(crate) ledger: CommitLedger,
     pub(crate) harm: HarmModel,
     pub(crate) hopeless: HopelessDemands,
-    /// Workers whose room is kept in this plan for what waited for too long.
+    /// Workers whose free capacity the current plan reserves for steps that have waited too long.
     pub(crate) kept: IndexSet<WorkerKey>,
-    /// The time of day at this process's origin, as of the last look at both clocks.
+    /// The wall-clock time (since 1970) of the process clock's origin, as of the last reading of
+    /// both clocks.
     pub(crate) clock_origin: Duration,
     pub(crate) window: StartWindow,
-    /// Whether the last plan held starts back.
+    /// Whether the last plan deferred starts because too many orders were in flight.
     pub(crate) held_back: bool,
-    /// How many plans were made.
+    /// The number of plans made so far.
     pub(crate) plans: u64,
-    /// Repeated jobs of which occurrences are still to come.
+    /// Repeated jobs with occurrences still to come, each with the number of the next occurrence.
     pub(crate) scheduled: IndexMap<JobKey, u32>,
     pub(crate) demands: IndexMap<Arc<str>, PoolDemand>,
     pub(crate) grants: GrantLedger,
-    /// When the first plan was made.
+    /// When the first plan was made; `None` before it.
     pub(crate) acting_since: Option<Duration>,
-    /// The time of the last plan.
+    /// When the last plan was made.
     pub(crate) planned: Duration,
 }
 
@@ -148,7 +151,8 @@
         self.token
     }
 
-    /// Goes by another configuration.
+    /// Replaces the configuration. Rules of queues that it no longer contains stay in force for
+    /// their remaining jobs.
     pub fn configure(&mut self, configuration: Arc<FleetConfiguration>) {
         for (name, rule) in &configuration.queues {
             self.rules.insert(Arc::clone(name), rule.clone());
@@ -157,13 +161,13 @@
         self.hopeless.clear();
     }
 
-    /// Sets the failure domains in which nothing is to start.
+    /// Sets the failure domains in which no run may start.
     pub fn close_domains(&mut self, closed: BTreeSet<DomainName>) {
         self.closed = closed;
         self.hopeless.clear();
     }
 
-    /// Takes a job in. A job that is known already stays as it is.
+    /// Adds a job. A job that is already known stays unchanged.
     pub fn add_job(&mut self, key: JobKey, job: AcceptedJob) {
         if self.jobs.contains_key(&key) {
             return;
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Cancels a job: nothing of it starts any more, and what runs is stopped.
+    /// Cancels a job: no task of it starts any more, and its runs are stopped.
     pub fn cancel_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -203,12 +207,13 @@
         }
         job.cancelled = true;
         job.outcome = Some(JobOutcome::Cancelled);
-        // The row that asks for it is the record.
+        // The stored row that requests the cancellation is its record.
         job.recorded = Some(JobOutcome::Cancelled);
         self.end_job(key);
     }
 
-    /// Begins the occurrences that are due at `wall`, the time since 1970, which is `now` on the process's clock.
+    /// Opens the occurrences that are due at `wall`, the time since 1970 that corresponds to `now`
+    /// on the process clock.
     pub fn begin_due(&mut self, wall: Duration, now: Duration) {
         self.clock_origin = wall.saturating_sub(now);
         let due: Vec<(JobKey, u32)> = self
@@ -229,7 +234,7 @@
         }
     }
 
-    /// Returns when the next occurrence is due, since 1970.
+    /// Returns when the next occurrence is due, since 1970; `None` if none is to come.
     pub fn next_due(&self) -> Option<Duration> {
         let due = self.scheduled.iter().filter_map(|(key, &next)| {
             let schedule = self.jobs.get(key)?.graph.schedule?;
@@ -238,12 +243,12 @@
         due.min()
     }
 
-    /// Returns how far a job is, if it is known.
+    /// Returns a job's progress, or `None` if the job is unknown.
     pub fn progress(&self, key: JobKey) -> Option<JobProgress> {
         Some(self.jobs.get(&key)?.progress())
     }
 
-    /// Returns how many of a queue's accepted jobs have not started.
+    /// Returns the number of a queue's accepted jobs that have neither started nor ended.
     pub fn waiting(&self, queue: &str) -> usize {
         self.jobs
             .values()
@@ -251,24 +256,26 @@
             .count()
     }
 
-    /// Returns how many jobs have not ended.
+    /// Returns the number of jobs that have not ended.
     pub fn live_jobs(&self) -> usize {
         self.jobs.values().filter(|job| !job.is_over()).count()
     }
 
-    /// Returns how many runs are known.
+    /// Returns the number of known runs on all workers.
     pub fn run_total(&self) -> usize {
         self.workers.iter().map(|worker| worker.runs.len()).sum()
     }
 
-    /// Tells whether every worker that a former owner may have given orders to has answered to
-    /// this one, or surely runs nothing of it any more.
+    /// Returns whether every worker that a former owner may have sent orders to has answered this
+    /// owner, or certainly no longer runs anything for the former owner.
     pub fn is_settled(&self) -> bool {
         self.workers
             .iter()
             .all(|worker| worker.inherited_until.is_none())
     }
 
+    /// Creates the state of a job's occurrence, if there is none, and opens its steps that have no
+    /// unfinished dependencies.
     pub(crate) fn open_occurrence(&mut self, key: JobKey, occurrence: u32) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -279,7 +286,8 @@
         if !job.occurrences.contains_key(&occurrence) {
             let state = OccurrenceState::new(&job.graph, job.inherited);
             job.occurrences.insert(occurrence, state);
-            // What came before this process began counts as of its origin; nothing is known of its rate.
+            // Occurrences that began before the process's clock did count as arrived at its origin,
+            // and their arrival rate is unknown.
             let begun = job.begun(occurrence, self.clock_origin);
             let (queue, graph) = (Arc::clone(&job.queue), Arc::clone(&job.graph));
             if !begun.is_zero() {
@@ -289,7 +297,7 @@
         self.open_steps(key, occurrence, StepOrigin::Unknown);
     }
 
-    /// Opens the steps that wait for nothing any more.
+    /// Opens the steps whose dependencies are all done.
     pub(crate) fn open_steps(&mut self, key: JobKey, occurrence: u32, origin: StepOrigin) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -311,7 +319,7 @@
         }
     }
 
-    /// Stops what runs of a job that is over.
+    /// Stops all runs of a job that is over and forgets its open steps.
     pub(crate) fn end_job(&mut self, key: JobKey) {
         self.scheduled.shift_remove(&key);
         self.open.retain(|step| step.job != key);
@@ -343,10 +351,12 @@
         }
     }
 
+    /// Requests that a run be stopped; the next plan sends the order.
     pub(crate) fn stop_run(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
         self.stops.insert((worker, task, run));
     }
 
+    /// Returns a new run number of this owner.
     pub(crate) fn next_run(&mut self) -> RunNumber {
         self.run_count += 1;
         RunNumber::of_owner(self.token, self.run_count)
@@ -361,7 +371,7 @@
         &self.workers[key.place()]
     }
 
-    /// Returns a worker that is about to change.
+    /// Returns a worker for modification and marks it as changed.
     pub(crate) fn worker_mut(&mut self, key: WorkerKey) -> &mut WorkerState {
         let worker = &mut self.workers[key.place()];
         worker.changed = self.plans;
@@ -369,7 +379,8 @@
         worker
     }
 
-    /// Looks anew at the services of the workers that have changed since they were last looked at.
+    /// Recomputes the service snapshots that are out of date because their worker has changed or
+    /// their lifetime has passed.
     pub(crate) fn renew_views(&mut self, now: Duration) {
         for worker in &mut self.workers {
             if !worker.view.is_fresh(worker, now) {
--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -1,4 +1,4 @@
-//! Which long-running jobs are taken in.
+//! Admission control of long-running jobs.
 
 use std::{
     sync::Arc,
@@ -17,19 +17,19 @@
     short_demand::PoolSize, //
 };
 
-/// The times after which a caller that was refused is told to come back.
+/// The bounds of the time after which a refused caller is asked to retry.
 const SOONEST_BACK: Duration = Duration::from_secs(1);
 const LATEST_BACK: Duration = Duration::from_secs(60);
-/// When it is told to come back while no long-running job was seen to end.
+/// The retry time while no long-running job has been seen to end.
 const USUAL_BACK: Duration = Duration::from_secs(10);
-/// How long what a former owner granted may take to be on record.
+/// The longest time that a former owner's grant may take to be on record.
 const FORMER_GRANTS: Duration = Duration::from_secs(2);
-/// The time for which ends of long-running jobs are taken to have been seen at least.
+/// The minimum observation time assumed for the rate at which long-running jobs release CPU.
 const LEAST_SEEN: Duration = Duration::from_secs(10);
 
 impl Dispatcher {
-    /// Decides whether a job is taken in. A long-running job stays for good: one that took the processors that short work
-    /// needs would make every later short job wait until some other left.
+    /// Decides whether to accept a job. A long-running job never ends by itself: if it took the CPU
+    /// that short tasks need, every later short job would wait until some long-running job ended.
     pub fn admit(
         &mut self,
         key: JobKey,
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Tells whether no grant of a former owner may be on its way to the record.
+    /// Returns whether every grant of a former owner must be on record by now.
     fn knows_grants(&self, now: Duration) -> bool {
         self.token <= 1
             || self
@@ -76,8 +76,8 @@
                 .is_some_and(|since| now >= since + FORMER_GRANTS)
     }
 
-    /// Returns the processors of a pool beside what long-running tasks hold, in thousandths, as far as short tasks of the
-    /// usual size fit there. A worker that is silent for a moment counts.
+    /// Returns the CPU of a pool that long-running tasks do not hold, in millicores, counted only
+    /// as far as short tasks of the usual size fit. A worker that is silent for a moment counts.
     fn unpromised_room(&self, pool: &Arc<str>, size: u64) -> u64 {
         let expected = self.workers.iter().filter(|worker| {
             let record = &worker.record;
@@ -91,7 +91,7 @@
         rooms.sum()
     }
 
-    /// Returns the processors that long-running tasks without a run wait for, in thousandths.
+    /// Returns the CPU that long-running tasks without a run wait for, in millicores.
     fn waiting_long_running(&self, pool: &Arc<str>) -> u64 {
         let pending = self.open.iter().map(|&step| {
             let job = self.jobs.get(&step.job)?;
@@ -106,8 +106,8 @@
         pending.flatten().fold(0, u64::saturating_add)
     }
 
-    /// Returns when this many processors, in thousandths, should have become free, by the rate at which long-running jobs
-    /// end.
+    /// Returns the time in which `missing` millicores should become free, given the rate at which
+    /// long-running jobs end.
     fn back_in(&self, pool: &Arc<str>, missing: u64, now: Duration) -> Duration {
         let demand = self.demands.get(pool);
         let rate = demand.map_or(0.0, |demand| demand.released.rate(now, LEAST_SEEN));
@@ -119,7 +119,7 @@
         Duration::from_secs_f64(seconds).max(SOONEST_BACK)
     }
 
-    /// Takes note that a job is over: what its long-running tasks held becomes free.
+    /// Records that a job is over and the CPU of its long-running tasks becomes free.
     pub(crate) fn note_released(&mut self, queue: &Arc<str>, graph: &JobGraph, now: Duration) {
         let released = long_running_cpu(graph);
         if released > 0
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Takes note of an occurrence of a job that arrived.
+    /// Records the arrival of a job's occurrence in the demand of its pool.
     pub(crate) fn note_arrival(&mut self, queue: &Arc<str>, graph: &JobGraph, at: Duration) {
         let Some(rule) = self.rules.get(queue) else {
             return;
@@ -147,14 +147,14 @@
         }
     }
 
-    /// Returns what is learned of the demand for a queue's pool.
+    /// Returns the demand statistics of a queue's pool, or `None` if the queue is unknown.
     pub(crate) fn demand_mut(&mut self, queue: &Arc<str>) -> Option<&mut PoolDemand> {
         let pool = Arc::clone(&self.rules.get(queue)?.pool);
         Some(self.demands.entry(pool).or_default())
     }
 }
 
-/// Returns the processors that a job's long-running tasks set aside, in thousandths.
+/// Returns the CPU that a job's long-running tasks reserve, in millicores.
 fn long_running_cpu(graph: &JobGraph) -> u64 {
     let steps = graph.steps.iter();
     let lasting = steps.filter(|step| step.kind() == WorkKind::LongRunning);
--- a/crates/dispatch/src/dispatcher_advice.rs
+++ b/crates/dispatch/src/dispatcher_advice.rs
@@ -1,4 +1,4 @@
-//! How the dispatcher asks which workers may run a step.
+//! Requests to the advice service, which issues the tickets that some queues' workers require.
 
 use std::{
     sync::Arc,
@@ -17,15 +17,17 @@
     }, //
 };
 
-/// After how long advice that did not come is asked for again.
+/// The time after which unanswered advice is requested again.
 const ADVICE_AGAIN: Duration = Duration::from_millis(1500);
-/// How many workers advice is asked about at a time.
+/// The maximum number of workers in one advice request.
 const ADVICE_WORKERS: usize = 30;
-/// How long a ticket must still hold when a start is sent with it: the start takes a moment.
+/// The minimum remaining validity of a ticket with which a start is sent: the start takes a moment
+/// to arrive.
 pub(crate) const TICKET_MARGIN: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Takes in tickets for the tasks of a step; those that are not named may not run it.
+    /// Stores the tickets, by worker identity, for the tasks of a step; workers without a ticket
+    /// may not run it.
     pub fn advice_answered(
         &mut self,
         step: StepKey,
@@ -45,7 +47,8 @@
         }
     }
 
-    /// Asks for advice on a step, if too few workers are known that may run it.
+    /// Requests advice for a step if valid tickets exist for fewer than half as many workers as it
+    /// has unfinished tasks.
     pub(crate) fn wish_advice(
         &mut self,
         step: StepKey,
--- a/crates/dispatch/src/dispatcher_ends.rs
+++ b/crates/dispatch/src/dispatcher_ends.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher makes of the end of a run.
+//! Handling of run completions.
 
 use std::{
     sync::Arc,
@@ -16,8 +16,8 @@
 };
 
 impl Dispatcher {
-    /// Draws the consequences of an end, and returns the change that has to be on record before the
-    /// end is acknowledged.
+    /// Applies the completion of a run to its task, step and job. Returns the number of the change
+    /// that must be on record before the completion may be acknowledged.
     pub(crate) fn settle_end(
         &mut self,
         key: WorkerKey,
@@ -48,7 +48,8 @@
         }
         match ended.end {
             RunEnd::Done => {
-                // Of a gang or of copies, another worker may have told the same to the former owner.
+                // For gangs and copies, another worker may have reported the same result to the
+                // former owner.
                 let own = seen && !spec.gang && !spec.copies;
                 let origin = if own {
                     StepOrigin::Own
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Learns from a run of this owner's that was placed at `placed` how long its step's tasks take.
+    /// Records how long a task took, for a run that this owner placed at `placed`.
     pub(crate) fn note_run_time(&mut self, ended: &EndedRun, placed: Duration, now: Duration) {
         let step = ended.task.step;
         if ended.end != RunEnd::Done || !ended.run.is_of_owner(self.token) {
@@ -83,6 +84,8 @@
         }
     }
 
+    /// Marks a task, or all tasks of a gang, as done and stops surplus copies. Returns the number
+    /// of the change.
     fn note_done(&mut self, task: TaskKey, gang: bool, origin: StepOrigin) -> u64 {
         let step = task.step;
         let mut surplus = Vec::new();
@@ -122,19 +125,22 @@
         change
     }
 
+    /// Completes the job if all its occurrences are done.
     fn finish_if_whole(&mut self, task: TaskKey) {
         let step = task.step;
         let Some(job) = self.jobs.get(&step.job) else {
             return;
         };
-        // The same end is heard from each member of a gang, and again by a successor, so that nothing is
-        // counted up.
+        // Each member of a gang reports the same completion, and a successor receives it again; so
+        // the finished occurrences are recounted instead of incrementing a counter.
         let whole = job.occurrences.values().filter(|state| state.is_whole());
         if whole.count() >= job.graph.occurrences() as usize {
             self.finish(step.job, JobOutcome::Completed);
         }
     }
 
+    /// Counts a failed run and fails the job if the task has used up its attempts. Returns the
+    /// number of the change.
     fn note_failed(&mut self, key: WorkerKey, ended: &EndedRun, gang: bool) -> u64 {
         let step = ended.task.step;
         let Some(job) = self.jobs.get_mut(&step.job) else {
@@ -147,7 +153,7 @@
         let Some(state) = job.step_mut(step.occurrence, step.step) else {
             return 0;
         };
-        // A gang fails as one: its count stands at its first task.
+        // A gang fails as a whole: its failures are counted at its first task.
         let counted = if gang { 0 } else { ended.task.index };
         let mut failures = 0;
         if let Some(task) = state.tasks.get_mut(counted as usize) {
--- a/crates/dispatch/src/dispatcher_plan.rs
+++ b/crates/dispatch/src/dispatcher_plan.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher decides: which task goes where next.
+//! Planning: which task starts on which worker next, and which runs are stopped.
 
 use std::{
     cmp::Ordering,
@@ -38,40 +38,43 @@
     worker_state::WorkerState, //
 };
 
-/// After how long a stop that got no answer is sent again; each further time after twice as long.
+/// The time after which an unanswered stop is sent again; doubles with each further attempt.
 const STOP_AGAIN: Duration = Duration::from_millis(400);
-/// How often that time is doubled at the most: a worker that is back is heard by its renewals.
+/// The maximum number of times that the interval is doubled; renewals soon show when a worker is
+/// back.
 const MOST_DOUBLINGS: u32 = 3;
-/// How long after its longest time a stop that was answered is sent again.
+/// The margin beyond the maximum duration of a stop after which an answered stop is sent again.
 const STOP_SLACK: Duration = Duration::from_millis(400);
-/// For how many steps a plan notes why they wait: each is a look at all workers.
+/// The maximum number of steps for which one plan explains the wait: each explanation scans all
+/// workers.
 const MOST_WAITS: usize = 4;
 
-/// What a plan asks for.
+/// The orders, requests and log entries that a plan results in.
 #[derive(Debug, Default)]
 pub struct PlanOutcome {
-    /// Orders to workers.
+    /// Orders to send to workers.
     pub orders: Vec<WorkerOrder>,
-    /// Advice to ask for.
+    /// Requests to send to the advice service.
     pub advice: Vec<AdviceWish>,
-    /// What was decided beside them.
+    /// Decisions to log: fillers throttled or evicted for a service's sake.
     pub notes: Vec<DecisionNote>,
-    /// Steps that wait although they should have started.
+    /// Steps that wait although they should have started, to log.
     pub waits: Vec<WaitNote>,
 }
 
-/// By what the tasks of a step look for places in one plan.
+/// The parameters by which one plan searches workers for the tasks of a step.
 pub(crate) struct StepSearch {
     pub(crate) demand: TaskDemand,
     pub(crate) profile: FillerProfile,
-    /// Whether the step's job has had no run for too long.
+    /// Whether the step's job has had no run for too long and accepts the least harmful worker.
     pub(crate) starves: bool,
-    /// The last plan in which no worker had room for the demand.
+    /// The last plan in which no worker had capacity for the demand, if that result is still valid;
+    /// workers unchanged since are skipped.
     pub(crate) tried: Option<u64>,
 }
 
 impl Dispatcher {
-    /// Decides what to do at `now`.
+    /// Decides which runs to stop and which tasks to start at `now`.
     pub fn plan(&mut self, now: Duration) -> PlanOutcome {
         self.planned = now;
         self.acting_since.get_or_insert(now);
@@ -92,18 +95,19 @@
         outcome
     }
 
-    /// Takes note of how late the process's own timers are: by them it knows that it has more to do than it can.
+    /// Records how late the process's own timers fire, the sign that this process is overloaded.
     pub fn note_lag(&mut self, lag: Duration, now: Duration) {
         self.window.note_lag(lag, now);
     }
 
-    /// Tells whether starts were held back until orders that are under way are answered.
+    /// Returns whether the last plan deferred starts and in-flight orders have since been answered,
+    /// so that planning again is useful.
     pub fn holds_back(&self) -> bool {
         self.held_back && self.window.room() > 0
     }
 
-    /// Tells whether the start of a run is still wanted: between its decision and its sending its job may have been
-    /// cancelled, or its worker may have begun to leave.
+    /// Returns whether a decided start is still valid when it is about to be sent: its job may have
+    /// been cancelled in the meantime, or its worker may have begun to drain.
     pub fn still_wants(&self, start: &StartOrder) -> bool {
         let Some(job) = self.jobs.get(&start.task.job()) else {
             return false;
@@ -138,8 +142,8 @@
                         * 2u32.pow(state.stop_tries.min(MOST_DOUBLINGS + 1).saturating_sub(1))
                 }
             };
-            // Who does not answer its renewals is not asked again and again: that would keep a small VM too busy to
-            // hear the others.
+            // Stops are not repeated to a worker that does not answer lease renewals: that would
+            // keep a small VM too busy to process the answers of the others.
             let waits = state
                 .stop_sent
                 .is_some_and(|sent| silent || now < sent + again);
@@ -197,7 +201,8 @@
         self.start_starved(starved, now, outcome);
     }
 
-    /// Places what it can of a step; returns how many of its tasks are left without a place.
+    /// Places as many pending tasks of a step as possible; returns the number left without a
+    /// worker.
     fn plan_step(&mut self, step: StepKey, now: Duration, outcome: &mut PlanOutcome) -> usize {
         let Some(job) = self.jobs.get(&step.job) else {
             return 0;
@@ -250,7 +255,8 @@
         for &index in pending.iter().take(room) {
             let found = self.find_place(step.task(index), spec, &search, now);
             let Some(worker) = found else {
-                // What members of a gang took is given back if it has no room for all of them.
+                // If a gang's later member fits nowhere, that proves nothing: the members placed
+                // before it hold capacity that is given back below.
                 if !spec.gang || placed.is_empty() {
                     self.hopeless.note(&search.demand, self.plans, now);
                 }
@@ -275,10 +281,12 @@
         missing
     }
 
+    /// Returns the known effects of a step's image on services; empty unless the step is a filler.
     pub(crate) fn filler_profile(&self, spec: &StepSpec) -> FillerProfile {
         FillerProfile::new(&self.harm, spec.image.as_ref().filter(|_| spec.filler))
     }
 
+    /// Builds the start order of a placed run and marks its job as started.
     pub(crate) fn start_order(
         &mut self,
         task: TaskKey,
@@ -294,7 +302,7 @@
             job.started = true;
             if let Some(state) = job.step_mut(step.occurrence, step.step) {
                 ticket = state.tickets.get(&worker).map(|(ticket, _)| ticket.clone());
-                // All members of a gang go on from one member's checkpoint.
+                // All members of a gang resume from one member's checkpoint.
                 let from = if gang { 0 } else { task.index as usize };
                 checkpoint = match gang {
                     true => state.tasks.iter().find_map(|task| task.checkpoint.clone()),
@@ -315,6 +323,7 @@
         }
     }
 
+    /// Reserves a run's capacity on its worker and attaches the run to its task.
     pub(crate) fn place(
         &mut self,
         task: TaskKey,
@@ -343,7 +352,7 @@
         }
     }
 
-    /// Takes back a place that was only planned.
+    /// Undoes the placement of a run whose start was not sent.
     fn take_back(&mut self, task: TaskKey, worker: WorkerKey, run: RunNumber, now: Duration) {
         self.worker_mut(worker).drop_run(task, run, now);
         let step = task.step;
@@ -359,6 +368,7 @@
         }
     }
 
+    /// Returns the worker with the best score for a task, or `None` if no worker qualifies.
     pub(crate) fn find_place(
         &self,
         task: TaskKey,
@@ -412,6 +422,7 @@
         best.map(|(_, key)| key)
     }
 
+    /// Returns the request by which workers are scored for a step.
     pub(crate) fn seeker<'a>(
         &'a self,
         spec: &'a StepSpec,
@@ -429,9 +440,10 @@
         }
     }
 
-    /// Tells whether anything may be started on a worker.
+    /// Returns whether tasks of a pool may be started on a worker.
     pub(crate) fn is_usable(&self, worker: &WorkerState, pool: &Arc<str>, now: Duration) -> bool {
-        // What runs on from before its rest is no probe: of services it would never end.
+        // Runs placed before the quarantine do not count as its probe: a service's run would never
+        // end.
         let probes = worker
             .health
             .on_probation_since()
@@ -455,10 +467,12 @@
         .map_or(0, |state| state.tasks.len())
 }
 
+/// Returns whether a ticket is still valid for long enough to start a run with it.
 fn holds_ticket(ticket: Option<&(Arc<str>, Duration)>, now: Duration) -> bool {
     ticket.is_some_and(|(_, until)| now + TICKET_MARGIN < *until)
 }
 
+/// Returns whether a worker has the label that a step requires.
 pub(crate) fn fits_labels(worker: &WorkerState, spec: &StepSpec) -> bool {
     spec.label
         .as_ref()
--- a/crates/dispatch/src/dispatcher_pools.rs
+++ b/crates/dispatch/src/dispatcher_pools.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher's pools are used.
+//! CPU usage of the dispatcher's pools.
 
 use std::{
     sync::Arc,
@@ -13,7 +13,7 @@
 };
 
 impl Dispatcher {
-    /// Tells who holds each pool's processors, and who waits for them.
+    /// Returns, for each pool, the CPU that each kind of work holds and the CPU that it waits for.
     pub fn pool_use(&self, now: Duration) -> Vec<PoolUse> {
         let mut pools: IndexMap<Arc<str>, PoolUse> = IndexMap::new();
         for worker in &self.workers {
--- a/crates/dispatch/src/dispatcher_records.rs
+++ b/crates/dispatch/src/dispatcher_records.rs
@@ -1,4 +1,4 @@
-//! How the dispatcher's knowledge becomes records, and comes back from them.
+//! Conversion of the dispatcher's state to stored records and back.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
 };
 
 impl Dispatcher {
-    /// Takes up to `limit` jobs whose ends are not on record, with the records to write. One commit
-    /// is under way at a time.
+    /// Takes up to `limit` jobs with uncommitted changes, with the records to write. Returns
+    /// nothing while a commit is in flight: there is at most one at a time.
     pub fn take_commit(&mut self, limit: usize) -> Vec<(JobKey, ProgressRecord)> {
         if self.ledger.is_flying() {
             return Vec::new();
@@ -38,12 +38,12 @@
         records
     }
 
-    /// Tells whether something ended that no commit holds yet.
+    /// Returns whether there are changes to commit and no commit is in flight.
     pub fn wants_commit(&self) -> bool {
         !self.ledger.is_clean() && !self.ledger.is_flying()
     }
 
-    /// The commit under way is on record.
+    /// Reports that the commit in flight is on record.
     pub fn note_committed(&mut self) {
         for (key, outcome) in self.ledger.settle() {
             if let Some(job) = self.jobs.get_mut(&key) {
@@ -53,12 +53,13 @@
         self.acknowledge();
     }
 
-    /// The commit under way is not known to be on record; its jobs are taken again.
+    /// Reports that the commit in flight is not known to be on record; its jobs are taken again.
     pub fn note_uncommitted(&mut self) {
         self.ledger.give_back();
     }
 
-    /// Takes in what is on record of a job, before anything of it is started.
+    /// Restores a job's state from its record. Must be called before any task of the job is
+    /// started.
     pub fn restore(&mut self, key: JobKey, record: &ProgressRecord) {
         let occurrences: IndexSet<u32> = record.steps.iter().map(|step| step.occurrence).collect();
         for occurrence in occurrences {
@@ -92,12 +93,12 @@
         });
     }
 
-    /// Returns what was learned of services and fillers, for a successor.
+    /// Returns the learned interference between fillers and services, to be stored for a successor.
     pub fn learned(&self) -> LearnedRecord {
         self.harm.record()
     }
 
-    /// Takes in what a former owner learned of services and fillers.
+    /// Restores the interference that a former owner has learned.
     pub fn restore_learned(&mut self, record: &LearnedRecord) {
         if !self.settings.switches.has(PolicyPart::KeptLearning) {
             return;
@@ -105,6 +106,7 @@
         self.harm.restore(record);
     }
 
+    /// Advances every worker's acknowledgement over the completions that are now on record.
     pub(crate) fn acknowledge(&mut self) {
         let on_record = self.ledger.on_record();
         for worker in &mut self.workers {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// Ends a job and puts its outcome up for the record.
+    /// Ends a job with this outcome and queues the outcome to be committed.
     pub(crate) fn finish(&mut self, key: JobKey, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -125,7 +127,7 @@
         self.end_job(key);
     }
 
-    /// Returns how long ago a job was accepted.
+    /// Returns how long ago a job was accepted, or `None` if it is unknown.
     pub fn age(&self, key: JobKey, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.jobs.get(&key)?.accepted))
     }
@@ -138,6 +140,7 @@
     u32::try_from(items.count()).unwrap_or(u32::MAX)
 }
 
+/// Returns the record of a job; one that has ended needs only its outcome.
 fn record(job: &JobState) -> ProgressRecord {
     let mut steps = Vec::new();
     if job.outcome.is_none() {
@@ -154,6 +157,7 @@
     }
 }
 
+/// Returns the record of a step, or `None` if nothing of it has ended.
 fn step_record(occurrence: u32, number: u16, step: &StepState) -> Option<StepProgress> {
     let mut kept = StepProgress {
         occurrence,
--- a/crates/dispatch/src/dispatcher_room.rs
+++ b/crates/dispatch/src/dispatcher_room.rs
@@ -1,4 +1,5 @@
-//! How room is kept for what has waited for too long.
+//! Reservation of workers for large steps that have waited too long, and explanations of why steps
+//! wait.
 
 use std::{
     sync::Arc,
@@ -22,16 +23,17 @@
     worker_state::WorkerState, //
 };
 
-/// The largest share of the workers whose room is kept, as a divisor: the others go on taking what is small.
+/// The divisor of the number of workers that yields the maximum that may be reserved; the others
+/// continue to accept small tasks.
 const MOST_KEPT: usize = 4;
 
-/// How often it is noted why a step waits.
+/// The minimum interval between two explanations of why the same step waits.
 const NOTE_EVERY: Duration = Duration::from_millis(2000);
 
 impl Dispatcher {
-    /// Keeps the room of as many workers as tasks of a step are missing, those that will have it soonest, if the step
-    /// lasts or is a gang. Small tasks would take every piece that becomes free, and a large one would never find its
-    /// own.
+    /// Reserves as many workers as tasks of the step are missing, preferring those with the most
+    /// free CPU, if the step is long-running or a gang. Otherwise small tasks would take each piece
+    /// of capacity as it becomes free, and a large task would never fit.
     pub(crate) fn keep_room(&mut self, step: StepKey, missing: usize, now: Duration) {
         let most = (self.workers.len() / MOST_KEPT).max(1);
         let left = most.saturating_sub(self.kept.len());
@@ -76,7 +78,8 @@
 }
 
 impl Dispatcher {
-    /// Takes note of why a step waits that should have started, every now and then.
+    /// Returns why a step waits that should have started, or `None` if that was explained a short
+    /// time ago.
     pub(crate) fn note_wait(
         &mut self,
         step: StepKey,
@@ -142,7 +145,7 @@
     }
 }
 
-/// Tells whether a worker has room for a task beside what stays there.
+/// Returns whether a task fits on a worker beside the services there.
 fn could_hold(worker: &WorkerState, spec: &StepSpec) -> bool {
     let beside = worker.service_cpu + spec.reserved().cpu_millis;
     beside <= worker.record.capacity.cpu_millis
--- a/crates/dispatch/src/dispatcher_runs.rs
+++ b/crates/dispatch/src/dispatcher_runs.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher knows of the runs on a worker, as the worker lists them.
+//! Reconciliation of the dispatcher's runs with those that a worker reports.
 
 use std::{
     sync::Arc,
@@ -18,12 +18,13 @@
     }, //
 };
 
-/// How long a task may stand still until it counts as stuck. A hundredth of the longest usual task
-/// takes a tenth of this.
+/// The time without progress after which a running task counts as stuck. A hundredth of the longest
+/// usual task takes a tenth of this.
 const STUCK: Duration = Duration::from_millis(1000);
 
 impl Dispatcher {
-    /// Takes a run off its worker and its task; the task is pending again unless it has another.
+    /// Removes a run from its worker and its task. The task becomes pending again unless it has
+    /// another run.
     pub(crate) fn release(&mut self, key: WorkerKey, task: TaskKey, run: RunNumber, now: Duration) {
         self.worker_mut(key).drop_run(task, run, now);
         self.stops.swap_remove(&(key, task, run));
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Updates a run from a worker's report, and stops it if it is stuck.
     pub(crate) fn note_running(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
         let id = (running.task, running.run);
         let Some(state) = self.worker_mut(key).runs.get_mut(&id) else {
@@ -85,7 +87,8 @@
         }
     }
 
-    /// Takes over a run that a former owner started, or stops it if nothing asks for it.
+    /// Adopts a run that a former owner started, or stops it if its job is unknown or over, its
+    /// task is done, or the task has another run and allows no copies.
     fn adopt(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
         let step = running.task.step;
         let wanted = self.jobs.get_mut(&step.job).and_then(|job| {
@@ -125,8 +128,8 @@
         }
     }
 
-    /// Drops the runs that a worker surely does not have: it confirmed them, or their stop, before it
-    /// was asked for its list, and lists them no more.
+    /// Drops the runs that a worker certainly does not have: it confirmed them, or their stop,
+    /// before the report was requested at `sent`, and the report does not list them.
     pub(crate) fn note_missing(
         &mut self,
         key: WorkerKey,
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Records a task's latest checkpoint.
     pub(crate) fn note_checkpoint(&mut self, task: TaskKey, checkpoint: Arc<str>) {
         let step = task.step;
         if let Some(job) = self.jobs.get_mut(&step.job)
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Counts all runs of a worker as over.
+    /// Counts all runs of a worker as over, so that their tasks can start elsewhere.
     pub(crate) fn lose_runs(&mut self, key: WorkerKey, now: Duration) {
         let runs: Vec<(TaskKey, RunNumber)> = self.worker(key).runs.keys().copied().collect();
         for (task, run) in runs {
@@ -171,6 +175,7 @@
         }
     }
 
+    /// Records that a task has been without a run since `now`.
     pub(crate) fn note_away(&mut self, task: TaskKey, now: Duration) {
         let step = task.step;
         if let Some(job) = self.jobs.get_mut(&step.job)
--- a/crates/dispatch/src/dispatcher_starving.rs
+++ b/crates/dispatch/src/dispatcher_starving.rs
@@ -1,4 +1,4 @@
-//! How a job of fillers gets on that harms services wherever it goes.
+//! Placement of filler jobs that would starve because they interfere with services on every worker.
 
 use std::{
     sync::Arc,
@@ -15,13 +15,14 @@
     hopeless_demand::TaskDemand, //
 };
 
-/// How long a job may have no run while half of its pool's processors are free.
+/// The time that a filler job may be without a run while half of its pool's CPU is free.
 const STARVED: Duration = Duration::from_millis(1000);
-/// The pause between two looks for a place for such a job: each is a look at all workers.
+/// The minimum interval between two forced searches for such a job: each scans all workers.
 const AGAIN: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Returns since when a step's job has had no run, if that is too long and the step fills.
+    /// Returns since when a step's job has had no run, if the step is a filler and that time
+    /// exceeds the starvation timeout; `None` otherwise or right after a forced search.
     pub(crate) fn starved_since(&self, step: StepKey, now: Duration) -> Option<Duration> {
         let job = self.jobs.get(&step.job)?;
         let spec = job.graph.steps.get(usize::from(step.step))?;
@@ -34,9 +35,9 @@
         (fills && starves && !looked).then_some(idle)
     }
 
-    /// Starts a task of each job that has had no run for too long while half of its pool is free, where it harms services
-    /// least; who has waited longest goes first. Services are protected as from any filler: it is slowed, and has to leave
-    /// within seconds.
+    /// Starts one task of each starved job while half of its pool is free, on the worker where it
+    /// interferes least; the job that has waited longest comes first. Services stay protected as
+    /// from any filler: it is throttled, and evicted within seconds.
     pub(crate) fn start_starved(
         &mut self,
         starved: Vec<(Duration, StepKey)>,
@@ -55,6 +56,8 @@
         }
     }
 
+    /// Starts one pending task of a starved step, if half of the pool is free and a worker
+    /// qualifies.
     fn start_one(&mut self, step: StepKey, now: Duration) -> Option<WorkerOrder> {
         let job = self.jobs.get_mut(&step.job)?;
         job.forced = Some(now);
@@ -83,7 +86,7 @@
         Some(WorkerOrder::Start(order))
     }
 
-    /// Tells whether half of a pool's processors are set aside for nobody.
+    /// Returns whether more than half of a pool's CPU is unreserved.
     fn is_half_free(&self, pool: &Arc<str>, now: Duration) -> bool {
         let usable = self.workers.iter();
         let usable = usable.filter(|worker| self.is_usable(worker, pool, now));
--- a/crates/dispatch/src/dispatcher_upkeep.rs
+++ b/crates/dispatch/src/dispatcher_upkeep.rs
@@ -1,4 +1,4 @@
-//! How a worker is emptied before its VM goes down for upkeep.
+//! Draining of a worker before maintenance of its VM.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
 };
 
 impl Dispatcher {
-    /// Has nothing more start on a worker and moves what can be moved; tells whether it is empty. Tasks that last
-    /// are stopped only as far as their step may miss some; the others end by themselves or by checkpoint.
+    /// Starts nothing more on a worker and stops the runs that can move elsewhere; returns whether
+    /// the worker is empty. Long-running tasks are stopped only as far as their step tolerates
+    /// missing tasks, others only if they write checkpoints; the rest end by themselves.
     pub fn prepare_upkeep(&mut self, id: &str, now: Duration) -> bool {
         let Some(key) = self.worker_key(id) else {
             return true;
@@ -28,13 +29,14 @@
         runs.is_empty()
     }
 
-    /// Lets tasks start again on a worker whose upkeep is given up.
+    /// Lets tasks start again on a worker whose maintenance was cancelled.
     pub fn end_upkeep(&mut self, id: &str) {
         if let Some(key) = self.worker_key(id) {
             self.worker_mut(key).upkeep = false;
         }
     }
 
+    /// Returns whether a run may be stopped now so that its task moves to another worker.
     fn may_move(&self, task: TaskKey, worker: WorkerKey, run: RunNumber, now: Duration) -> bool {
         if self.stops.contains(&(worker, task, run)) {
             return false;
@@ -48,7 +50,8 @@
         }
     }
 
-    /// Counts the tasks of a step that are not at work, or are being stopped.
+    /// Returns the number of a step's tasks that are not running, are being stopped, or were absent
+    /// within the notice period.
     fn count_away(&self, step: StepKey, now: Duration) -> u32 {
         let Some(state) = self
             .jobs
@@ -66,6 +69,7 @@
         u32::try_from(away.count()).unwrap_or(u32::MAX)
     }
 
+    /// Returns whether a task has a confirmed run at 100 percent that is not to be stopped.
     fn is_at_work(&self, key: TaskKey, task: &TaskState) -> bool {
         task.runs.iter().any(|&(worker, run)| {
             let state = self.worker(worker).runs.get(&(key, run));
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher learns from workers.
+//! The registry of workers, their leases, and their answers to orders.
 
 use std::{
     sync::Arc,
@@ -21,17 +21,19 @@
     worker_state::WorkerState, //
 };
 
-/// The most ends that a worker tells at a time; a list of this length may be cut short.
+/// The maximum number of run completions in one report; a list of this length may be truncated.
 const ENDS_AT_A_TIME: usize = 500;
-/// The wait of a renewal while a service's figures beside fillers are watched: they are of the last
-/// half second, so that a shorter one would show the same twice.
+/// The longest wait of a renewal while fillers run beside a service: the metrics cover the last
+/// half second, so a shorter wait would return the same values twice.
 const WATCHING_WAIT: Duration = Duration::from_millis(500);
-/// The wait while something runs: a lost answer or a task that stands still is seen this soon.
+/// The longest wait of a renewal while tasks run that make progress; bounds how late a lost answer
+/// or a stuck task is noticed.
 const WORKING_WAIT: Duration = Duration::from_millis(700);
 
 impl Dispatcher {
-    /// Returns for how long workers may go on with what a former owner told them, from the moment of its
-    /// replacement: it may have gone on for a time, unless it is known to be gone.
+    /// Returns how long after a takeover workers may continue to execute a former owner's orders.
+    /// Unless the former owner is known to be gone, it may itself have acted for a while after it
+    /// was replaced.
     pub fn inheritance(&self, former_is_gone: bool) -> Duration {
         let lease = WorkerClock::longest(self.settings.lease);
         match former_is_gone {
@@ -40,7 +42,8 @@
         }
     }
 
-    /// Says anew until when workers that were not heard yet may go on with what a former owner told them.
+    /// Sets the time until which workers that have not yet answered may continue to execute a
+    /// former owner's orders.
     pub fn extend_inheritance(&mut self, until: Duration) {
         let inherited = self.workers.iter_mut();
         for worker in inherited.filter(|worker| worker.inherited_until.is_some()) {
@@ -48,8 +51,8 @@
         }
     }
 
-    /// Takes in a worker that the registry lists. `inherited` says until when it may go on with what a
-    /// former owner told it.
+    /// Adds or updates a worker that the registry lists. `inherited` is the time until which the
+    /// worker may continue to execute a former owner's orders, if there was one.
     pub fn list_worker(&mut self, record: FleetWorker, inherited: Option<Duration>) -> WorkerKey {
         let key = match self.by_id.get(&record.id) {
             Some(&key) => {
@@ -66,7 +69,7 @@
         key
     }
 
-    /// Tells whether the registry lists a worker just so already.
+    /// Returns whether a worker is already listed with an identical record.
     pub fn lists_so(&self, record: &FleetWorker) -> bool {
         self.worker_key(&record.id).is_some_and(|key| {
             let known = self.worker(key);
@@ -74,21 +77,21 @@
         })
     }
 
-    /// Takes note that the registry lists a worker no longer.
+    /// Marks a worker as no longer listed by the registry.
     pub fn unlist_worker(&mut self, id: &str) {
         if let Some(&key) = self.by_id.get(id) {
             self.worker_mut(key).listed = false;
         }
     }
 
-    /// Takes note that the registry is about to be listed anew.
+    /// Marks all workers as unlisted, before the registry is read again.
     pub fn unlist_all(&mut self) {
         for worker in &mut self.workers {
             worker.listed = false;
         }
     }
 
-    /// Returns the workers that are to be called.
+    /// Returns the workers whose leases are to be renewed.
     pub fn attended_workers(&self) -> Vec<WorkerKey> {
         (0..self.workers.len())
             .map(WorkerKey::new)
@@ -96,12 +99,12 @@
             .collect()
     }
 
-    /// Returns how many workers are known.
+    /// Returns the number of known workers.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Returns what the workers that may run something say of themselves.
+    /// Returns the registry records of the workers that may run something.
     pub fn worker_records(&self) -> Vec<FleetWorker> {
         let known = self.workers.iter().enumerate();
         known
@@ -110,50 +113,51 @@
             .collect()
     }
 
-    /// Returns when a worker last answered.
+    /// Returns when a worker last answered, or `None` if it never did.
     pub fn heard(&self, key: WorkerKey) -> Option<Duration> {
         self.worker(key).heard
     }
 
-    /// Tells whether an end of a worker was looked at before.
+    /// Returns whether a completion of this number from a worker was processed already.
     pub fn has_processed(&self, id: &str, number: u64) -> bool {
         self.worker_key(id)
             .is_some_and(|key| number <= self.worker(key).processed)
     }
 
-    /// Returns the key of a worker.
+    /// Returns the key of the worker with this identity.
     pub fn worker_key(&self, id: &str) -> Option<WorkerKey> {
         self.by_id.get(id).copied()
     }
 
-    /// Returns what a worker says of itself.
+    /// Returns a worker's registry record.
     pub fn worker_record(&self, key: WorkerKey) -> &FleetWorker {
         &self.worker(key).record
     }
 
-    /// Tells whether a worker need not be called any more: it is not listed and runs nothing.
+    /// Returns whether a worker needs no renewals any more: it is not listed and runs nothing.
     pub fn is_retired(&self, key: WorkerKey) -> bool {
         let worker = self.worker(key);
         !worker.listed && worker.runs.is_empty() && worker.inherited_until.is_none()
     }
 
-    /// Returns the worker's incarnation, as far as it is known.
+    /// Returns the start time of a worker's current incarnation, since 1970, if it is known.
     pub fn incarnation(&self, key: WorkerKey) -> Option<Duration> {
         self.worker(key).born
     }
 
-    /// Returns what the next renewal of a worker's lease says, and takes note that it is given. An owner
-    /// that is not `confirmed` looks, and grants nothing.
+    /// Returns the next lease renewal for a worker, and records the lease as granted. An owner that
+    /// is not `confirmed` only reads the worker's state and grants no lease.
     pub fn hold_order(&mut self, key: WorkerKey, confirmed: bool, now: Duration) -> HoldOrder {
         let lease = self.settings.lease;
         let wait = self.hold_wait(key);
         let worker = self.worker_mut(key);
-        // A call that may not arrive grants nothing: the lease would never lapse in the books of an owner
-        // that goes on calling a dead worker.
+        // A call that may not arrive grants no lease: otherwise an owner that keeps calling a dead
+        // worker would extend the lease forever.
         let answers = confirmed && worker.unanswered == 0;
         HoldOrder {
             deadline: answers.then(|| worker.clock.grant(lease, now)).flatten(),
-            // After a silence another life may answer, whose ends have the same numbers.
+            // After missed answers another incarnation may answer, whose completions use the same
+            // numbers.
             acknowledged: if worker.unanswered == 0 {
                 worker.acknowledged
             } else {
@@ -163,19 +167,20 @@
         }
     }
 
-    /// Tells whether a worker has told ends that wait for the record; it would tell them again at
-    /// once.
+    /// Returns whether a worker has reported completions that are not on record yet; a renewal now
+    /// would return the same completions at once.
     pub fn owes_acknowledgement(&self, key: WorkerKey) -> bool {
         !self.worker(key).pending_acks.is_empty()
     }
 
-    /// Returns the deadline of an order that is sent at `now`, on the worker's clock.
+    /// Returns the lease deadline, on the worker's clock, of an order sent at `now`; `None` while
+    /// the worker's clock is unknown.
     pub fn order_deadline(&mut self, key: WorkerKey, now: Duration) -> Option<Duration> {
         let lease = self.settings.lease;
         self.worker_mut(key).clock.grant(lease, now)
     }
 
-    /// Takes in a worker's answer to a renewal that was sent at `sent`.
+    /// Processes a worker's answer to a lease renewal that was sent at `sent`.
     pub fn hold_answered(
         &mut self,
         key: WorkerKey,
@@ -188,14 +193,14 @@
         let reborn = former.is_some() && report.born.is_some() && former != report.born;
         let worker = self.worker_mut(key);
         if reborn {
-            // A start that was sent just now may run in the new life, so that runs are not given up here:
-            // those that the new life does not have are missed below.
+            // A start sent a moment ago may run in the new incarnation, so the runs are not given
+            // up here: `note_missing` below drops those that the new incarnation does not have.
             worker.forget_life();
         }
         worker.born = report.born.or(worker.born);
         worker.clock.hear(report.clock, now);
         if reborn {
-            // What a start has granted to the new life is over by then.
+            // Covers the lease that such a start has granted to the new incarnation.
             worker.clock.grant(lease, now);
         }
         worker.heard = Some(now);
@@ -222,22 +227,22 @@
         self.watch_services(key, now);
     }
 
-    /// Takes note that the process stood still: what it knows of the workers is old, and any of them may have
-    /// begun another life without a call that failed.
+    /// Records that this process was suspended: its knowledge of the workers is stale, and any of
+    /// them may have restarted without a failed call.
     pub fn note_pause(&mut self) {
         for worker in &mut self.workers {
             worker.unanswered = worker.unanswered.max(1);
         }
     }
 
-    /// Takes note that a renewal got no answer.
+    /// Records that a renewal failed.
     pub fn hold_unanswered(&mut self, key: WorkerKey, end: OrderEnd) {
         let worker = self.worker_mut(key);
         worker.unanswered += 1;
         worker.closed = end == OrderEnd::Refused(OrderRefusal::Closed);
     }
 
-    /// Takes note of how the start of a run went.
+    /// Records the outcome of a start order.
     pub fn start_ended(
         &mut self,
         key: WorkerKey,
@@ -268,7 +273,7 @@
         }
     }
 
-    /// Takes note of how the stop of a run went.
+    /// Records the outcome of a stop order.
     pub fn stop_ended(
         &mut self,
         key: WorkerKey,
@@ -287,11 +292,11 @@
         }
     }
 
-    /// Gives up what runs on workers whose lease has surely lapsed.
+    /// Gives up the runs of workers whose lease has certainly lapsed or that have left.
     pub fn note_lapses(&mut self, now: Duration) {
         for place in 0..self.workers.len() {
             let key = WorkerKey::new(place);
-            // A look at a worker does not change it.
+            // Checking a worker must not mark it as changed.
             let worker = &mut self.workers[place];
             if worker.inherited_until.is_some_and(|until| now > until) {
                 worker.inherited_until = None;
@@ -303,6 +308,7 @@
         }
     }
 
+    /// Replaces a listed worker's record; moves its long-running tasks if it starts to drain.
     fn renew_record(&mut self, key: WorkerKey, record: FleetWorker) {
         let worker = self.worker_mut(key);
         let leaves = record.draining && !worker.record.draining;
@@ -313,7 +319,8 @@
         }
     }
 
-    /// Has the tasks that last go on elsewhere before their worker takes them with it.
+    /// Stops the long-running tasks of a draining worker, so that they restart elsewhere before it
+    /// leaves.
     fn move_lasting(&mut self, key: WorkerKey) {
         let lasting: Vec<(TaskKey, RunNumber)> = self
             .worker(key)
@@ -327,6 +334,7 @@
         }
     }
 
+    /// Returns how long the worker may delay its answer to the next renewal.
     fn hold_wait(&self, key: WorkerKey) -> Duration {
         let worker = self.worker(key);
         let longest = self.settings.longest_wait;
@@ -344,6 +352,7 @@
         }
     }
 
+    /// Adjusts the state of a worker or step to the reason for which a start was refused.
     fn start_refused(
         &mut self,
         key: WorkerKey,
@@ -368,13 +377,15 @@
         }
     }
 
+    /// Processes a completion that a worker reports, unless it was processed before.
     fn note_end(&mut self, key: WorkerKey, ended: EndedRun, now: Duration) {
         if ended.number <= self.worker(key).processed {
             return;
         }
         let worker = self.worker_mut(key);
         worker.processed = ended.number;
-        // It was listed by a worker that followed this owner already: a former one can't have heard of its end.
+        // This owner has seen the run on the worker, which followed this owner's token by then: a
+        // former owner cannot have received the completion.
         let seen = worker.runs.get(&(ended.task, ended.run));
         let placed = seen.map(|run| run.placed);
         self.release(key, ended.task, ended.run, now);
--- a/crates/dispatch/src/fleet_configuration.rs
+++ b/crates/dispatch/src/fleet_configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration of queues and pools.
+//! Operator's configuration of queues and pools.
 
 use std::sync::Arc;
 
@@ -9,22 +9,22 @@
     QueueRule, //
 };
 
-/// The operator's configuration of queues and pools.
+/// Operator's configuration of queues and pools.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetConfiguration {
-    /// Its version.
+    /// The configuration's version; a higher one is newer.
     pub version: u64,
     /// The queues, by name.
     pub queues: IndexMap<Arc<str>, QueueRule>,
     /// The pools, by name.
     pub pools: IndexMap<Arc<str>, PoolRule>,
-    /// The largest body of a caller's request, in bytes.
+    /// The maximum size of a caller's request body, in bytes.
     pub body_limit: usize,
 }
 
 impl FleetConfiguration {
-    /// Returns the queue that a call is for: the longest prefix of the host's queues that the path
-    /// begins with, and the rest of the path.
+    /// Returns the queue that a request is for and the rest of its path. Among the queues of the
+    /// host whose prefix matches the path, the longest prefix wins.
     pub fn route<'a>(&self, host: &str, path: &'a str) -> Option<(&QueueRule, &'a str)> {
         self.queues
             .values()
--- a/crates/dispatch/src/fleet_worker.rs
+++ b/crates/dispatch/src/fleet_worker.rs
@@ -1,4 +1,4 @@
-//! What a worker says of itself.
+//! Registry record of a worker.
 
 use std::{
     sync::Arc,
@@ -14,31 +14,31 @@
     Serialize, //
 };
 
-/// What a worker says of itself in the registry.
+/// Registry record of a worker, as the worker publishes it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct FleetWorker {
-    /// Its identity.
+    /// The worker's identity, unique in the fleet.
     pub id: Arc<str>,
-    /// The VM that it runs on, if it is known.
+    /// The VM that the worker runs on, if known.
     pub vm: Option<Arc<str>>,
-    /// The pool that it belongs to.
+    /// The pool that the worker belongs to.
     pub pool: Arc<str>,
-    /// Where it is called, an address and a port.
+    /// The address and port at which the worker is called.
     pub address: String,
-    /// Its failure domain.
+    /// The failure domain that the worker is in.
     pub domain: DomainName,
-    /// Its labels; among them its rack.
+    /// The worker's labels; the last one is its rack.
     pub labels: Vec<Arc<str>>,
-    /// What it can hold.
+    /// The CPU and memory that runs can reserve on the worker.
     pub capacity: ResourceAmount,
-    /// Whether it is about to leave.
+    /// Whether the worker is about to leave, so that nothing more may start on it.
     pub draining: bool,
-    /// When this life of it began, since 1970.
+    /// When the worker's incarnation began, since 1970, if known.
     pub born: Option<Duration>,
 }
 
 impl FleetWorker {
-    /// Returns its rack: by the platform's convention the last of its labels.
+    /// Returns the worker's rack: by the platform's convention the last of its labels.
     pub fn rack(&self) -> Option<&Arc<str>> {
         self.labels.last()
     }
--- a/crates/dispatch/src/graph_error.rs
+++ b/crates/dispatch/src/graph_error.rs
@@ -1,4 +1,4 @@
-//! Why a job cannot be accepted.
+//! Errors of job graph validation.
 
 use derive_more::Display;
 
@@ -8,42 +8,42 @@
     MAX_TASKS, //
 };
 
-/// Why a job cannot be accepted.
+/// Reason for which a job graph is invalid.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum GraphError {
-    /// Its payload is too long.
-    #[display("the payload has {bytes} bytes, at most {MAX_PAYLOAD} are taken")]
+    /// The payload is too long.
+    #[display("the payload has {bytes} bytes, more than the limit of {MAX_PAYLOAD}")]
     Payload {
-        /// Its length.
+        /// The payload's length in bytes.
         bytes: usize,
     },
-    /// It has no steps, or too many.
-    #[display("a job has 1 to {MAX_STEPS} steps, not {count}")]
+    /// The job has no steps, or too many.
+    #[display("the job has {count} steps, the limits are 1 and {MAX_STEPS}")]
     Steps {
-        /// Their number.
+        /// The number of steps.
         count: usize,
     },
     /// A step has no tasks.
     #[display("step {step} has no tasks")]
     NoTasks {
-        /// The step's number.
+        /// The step's number, from 0.
         step: usize,
     },
-    /// It has too many tasks.
-    #[display("a job has at most {MAX_TASKS} tasks, not {count}")]
+    /// The job has too many tasks.
+    #[display("the job has {count} tasks, more than the limit of {MAX_TASKS}")]
     Tasks {
-        /// Their number.
+        /// The number of tasks.
         count: u64,
     },
-    /// A step waits for one that is not there.
-    #[display("step {step} waits for step {before}, which is not there")]
+    /// A step depends on a step that does not exist.
+    #[display("step {step} depends on step {before}, which does not exist")]
     UnknownStep {
-        /// The step's number.
+        /// The step's number, from 0.
         step: usize,
-        /// The number that it waits for.
+        /// The missing step's number.
         before: u16,
     },
-    /// Steps wait for one another.
-    #[display("the steps wait for one another in a circle")]
+    /// The dependencies of the steps form a cycle.
+    #[display("the dependencies of the steps form a cycle")]
     Cycle,
 }
--- a/crates/dispatch/src/harm_model.rs
+++ b/crates/dispatch/src/harm_model.rs
@@ -1,4 +1,4 @@
-//! What is learned of how fillers slow services.
+//! Learned model of the interference of fillers with services.
 
 use std::sync::Arc;
 
@@ -12,69 +12,72 @@
     service_view::FillerProfile, //
 };
 
-/// By how much the variance of an effect grows with each observation of its service: pairs stay as they are for long.
+/// The growth of an effect's variance with each observation of its service: effects change only
+/// slowly.
 const DRIFT: f64 = 0.00002;
-/// The variance under which an effect is known well enough to place more by it.
+/// The variance below which an effect counts as known, so that more fillers may be placed by it.
 const KNOWN: f64 = 0.25;
-/// The variance of an effect that is not known yet.
+/// The variance of an effect before any observation.
 const UNKNOWN_EFFECT: f64 = 1.0;
-/// The variance of one observation, at first, at least and at most.
+/// The variance of one observation: initial value and bounds.
 const FIRST_NOISE: f64 = 0.004;
 const LEAST_NOISE: f64 = 0.0015;
 const MOST_NOISE: f64 = 0.03;
-/// How much of the noise that was seen is kept with each observation.
+/// The weight of the previous noise estimate in the moving average, per observation.
 const NOISE_KEPT: f64 = 0.99;
-/// An observation teaches as if it were off by no more than this many deviations.
+/// The limit, in standard deviations, to which the error of an observation is clamped.
 const LARGEST_ERROR: f64 = 3.0;
-/// The load from which on a tail tells no more than that it is at least so high.
+/// The load above which a tail latency only gives a lower bound of the load.
 const SATURATED: f64 = 0.93;
-/// The lowest effect that is believed: fillers speed nothing up, but figures are rough.
+/// The lower bound of an effect: fillers speed nothing up, but measurements are rough.
 const LEAST_EFFECT: f64 = -0.2;
-/// The largest effect that is believed, for a filler on all processors.
+/// The upper bound of the effect of a filler on all of a worker's CPU.
 const LARGEST_EFFECT: f64 = 5.0;
-/// The effect of an image on all processors from which on it counts as harmful: a tenth of them costs a service
-/// a twentieth of its load.
+/// The effect, at all of a worker's CPU, above which a filler image counts as harmful: at a tenth
+/// of the CPU it costs a service a twentieth of its load.
 const HARMFUL: f64 = 0.5;
-/// The share of the least tail seen that a service without any load is taken to have.
+/// The tail latency assumed of a service without load, as a share of the lowest tail observed.
 const IDLE_SHARE: f64 = 0.8;
-/// The least tail, as a share of the target, before any was seen.
+/// The initial value of the lowest tail, as a share of the target, before any was observed.
 const FIRST_LEAST: f64 = 0.3;
 
-/// A filler's presence beside a service.
+/// A filler beside a service, as far as the service's metrics reflect it.
 #[derive(Clone, Debug)]
 pub(crate) struct FillerPresence {
-    /// What it runs.
+    /// The filler's image.
     pub(crate) image: Arc<str>,
-    /// The share of the worker's processors that it uses.
+    /// The share of the worker's CPU that the filler uses.
     pub(crate) share: f64,
-    /// How much of the time that the services' figures are of it was there, as a share.
+    /// The share of the services' metrics window during which the filler ran.
     pub(crate) seen: f64,
 }
 
-/// What is learned of how fillers slow services.
+/// Learns how much each filler image slows each service image down.
 ///
-/// A service's tail grows as that of a queue: what it is without any load, divided by what its load leaves
-/// free. So a tail tells a load, and loads add up: the service's own, which its step's tasks share, plus, for
-/// each image that fills beside it, an effect times the share of the processors that this one uses. Most
-/// pairs do little harm, and some do much.
+/// The tail latency of a service is modelled as that of a queue: the latency without load, divided
+/// by the free share of its capacity. A tail latency therefore determines a load, and loads add up:
+/// the service's own, shared by all tasks of its step, plus, for each filler image beside it, an
+/// effect times the share of CPU that the filler uses. Most pairs of images interfere little, some
+/// strongly.
 #[derive(Debug, Default)]
 pub(crate) struct HarmModel {
     services: IndexMap<Arc<str>, ServiceModel>,
 }
 
-/// What is learned of one image that serves.
+/// The learned parameters of one service image.
 #[derive(Debug)]
 struct ServiceModel {
-    /// The least tail seen, as a share of the target.
+    /// The lowest observed tail latency, as a share of the target.
     least: f64,
     fillers: IndexMap<Arc<str>, PairEffect>,
-    /// The variance of one observation.
+    /// The variance of one observation of the service's load.
     noise: f64,
-    /// The share of the images that do it no harm.
+    /// The share of the filler images observed beside the service that do not harm it.
     harmless: f64,
 }
 
-/// By how much a filler on all processors raises a service's load.
+/// Estimate of the load that a filler image on all of a worker's CPU adds to a service: mean and
+/// variance.
 #[derive(Clone, Copy, Debug)]
 struct PairEffect {
     mean: f64,
@@ -82,7 +85,7 @@
 }
 
 impl HarmModel {
-    /// Returns the load that a tail tells of, as a share of its target.
+    /// Returns the load that a tail latency indicates; `ratio` is the tail divided by its target.
     pub(crate) fn load(&mut self, service: &Arc<str>, ratio: f64) -> f64 {
         let model = self.model(service);
         if ratio > 0.0 {
@@ -91,7 +94,7 @@
         model.load(ratio)
     }
 
-    /// Returns the load at which a service's tail is at this share of its target.
+    /// Returns the load at which a service's tail latency is this share of its target.
     pub(crate) fn limit(&self, service: &Arc<str>, ratio: f64) -> f64 {
         self.services.get(service).map_or_else(
             || ServiceModel::new().load(ratio),
@@ -99,8 +102,8 @@
         )
     }
 
-    /// Learns from a service's load beside this company what each of these does, and how its own load, which is
-    /// expected on `track`, is.
+    /// Updates the effects of the fillers in `company` and the estimate of the service's own load
+    /// in `track` from the service's measured load.
     pub(crate) fn learn(
         &mut self,
         service: &Arc<str>,
@@ -111,7 +114,7 @@
         self.model(service).learn(company, track, load);
     }
 
-    /// Tells whether it is known what a filler does to a service.
+    /// Returns whether the effect of a filler image on a service image is known well enough.
     pub(crate) fn knows(&self, service: &Arc<str>, filler: &Arc<str>) -> bool {
         let model = self.services.get(service);
         model
@@ -119,7 +122,7 @@
             .is_some_and(PairEffect::is_known)
     }
 
-    /// Returns what an image that fills does to each image that serves.
+    /// Returns the effects of a filler image on all service images.
     pub(crate) fn profile(&self, filler: &Arc<str>) -> FillerProfile {
         let pairs = self.services.values().map(|model| {
             let pair = model.fillers.get(filler);
@@ -130,26 +133,28 @@
         }
     }
 
-    /// Returns the place of an image that serves in a profile.
+    /// Returns the index of a service image in a [`FillerProfile`].
     pub(crate) fn place_of(&self, service: &Arc<str>) -> Option<usize> {
         self.services.get_index_of(service)
     }
 
-    /// Returns by how much a filler raises a service's load; 0 while that is not known.
+    /// Returns the load that a filler on this share of the CPU adds to a service; 0 while that is
+    /// not known.
     pub(crate) fn effect(&self, service: &Arc<str>, filler: &Arc<str>, share: f64) -> f64 {
         self.services
             .get(service)
             .map_or(0.0, |model| model.effect(filler) * share)
     }
 
-    /// Returns the share of the fillers' images, as far as they were seen beside a service, that do it no harm.
+    /// Returns the share of the filler images observed beside a service that do not harm it; 1 for
+    /// an unknown service.
     pub(crate) fn harmless_share(&self, service: &Arc<str>) -> f64 {
         self.services
             .get(service)
             .map_or(1.0, |model| model.harmless)
     }
 
-    /// Returns what a successor is to know.
+    /// Returns the model's parameters as a record for a successor.
     pub(crate) fn record(&self) -> LearnedRecord {
         let services = self.services.iter();
         LearnedRecord {
@@ -157,7 +162,7 @@
         }
     }
 
-    /// Begins with what a former owner has learned.
+    /// Loads the parameters that a former owner has learned.
     pub(crate) fn restore(&mut self, record: &LearnedRecord) {
         for service in &record.services {
             self.services.insert(
@@ -213,6 +218,7 @@
         }
     }
 
+    /// Returns the load that a ratio of tail latency to target indicates.
     fn load(&self, ratio: f64) -> f64 {
         let idle = self.least * IDLE_SHARE;
         1.0 - idle / ratio.max(idle)
@@ -227,7 +233,8 @@
         let mut doubt = track.variance();
         for filler in company {
             *shares.entry(&filler.image).or_insert(0.0) += filler.share * filler.seen;
-            // Of what came or went within the figures' time it is only roughly known how much they show.
+            // For fillers that started or ended within the metrics window, the share that the
+            // metrics reflect is only roughly known.
             let rough = filler.seen * (1.0 - filler.seen);
             let effect = self
                 .fillers
@@ -263,6 +270,7 @@
         self.harmless = self.count_harmless();
     }
 
+    /// Returns the share of the filler images that do not harm the service.
     fn count_harmless(&self) -> f64 {
         let images = self.fillers.len().max(1) as f64;
         let harmful = self
@@ -281,11 +289,13 @@
         }
     }
 
+    /// Returns whether the estimate is precise enough to place fillers by it.
     fn is_known(&self) -> bool {
         self.variance < KNOWN
     }
 
-    /// Returns the effect as far as it is more than chance: what is no more would add up over many fillers.
+    /// Returns the mean if it is statistically significant, else 0: insignificant effects would add
+    /// up over many fillers.
     fn believed(&self) -> f64 {
         if self.mean * self.mean > self.variance {
             self.mean.clamp(0.0, LARGEST_EFFECT)
@@ -294,6 +304,8 @@
         }
     }
 
+    /// Updates the estimate by a Kalman filter step: `difference` is the error of the predicted
+    /// load and `total` its variance.
     fn correct(&mut self, share: f64, difference: f64, total: f64) {
         let gain = self.variance * share / total;
         self.mean = (self.mean + gain * difference).clamp(LEAST_EFFECT, LARGEST_EFFECT);
--- a/crates/dispatch/src/hold_report.rs
+++ b/crates/dispatch/src/hold_report.rs
@@ -1,4 +1,4 @@
-//! What a worker answers to a renewal of its lease.
+//! Worker's answer to a lease renewal.
 
 use std::{
     sync::Arc,
@@ -11,46 +11,46 @@
     TaskKey, //
 };
 
-/// What a worker answers to a renewal of its lease.
+/// Worker's answer to a lease renewal.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HoldReport {
-    /// Its clock.
+    /// The reading of the worker's clock.
     pub clock: Duration,
-    /// When this life of it began, since 1970.
+    /// When the worker's incarnation began, since 1970, if known.
     pub born: Option<Duration>,
-    /// What runs there.
+    /// The runs that are executing.
     pub running: Vec<RunningTask>,
-    /// The ends that were not yet acknowledged.
+    /// The completions that were not acknowledged yet, in the order of their numbers.
     pub ended: Vec<EndedRun>,
 }
 
-/// A run that goes on.
+/// A run that is executing on a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RunningTask {
-    /// The task.
+    /// The task that is executed.
     pub task: TaskKey,
-    /// The run.
+    /// The run's number.
     pub run: RunNumber,
-    /// Its last checkpoint.
+    /// The run's last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
-    /// How far it is, in hundredths.
+    /// The run's progress, in percent.
     pub percent: u32,
-    /// For a task that serves requests its tail latency in milliseconds, for any other the
-    /// processors that it uses in thousandths; of about the last half second.
+    /// The run's metric over about the last half second: for a task that serves requests its tail
+    /// latency in milliseconds, for any other the CPU that it uses in millicores.
     pub figure: Option<u64>,
 }
 
-/// A run that ended.
+/// A completed run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedRun {
-    /// The end's number in this life of the worker.
+    /// The completion's number, ascending within one incarnation of the worker.
     pub number: u64,
-    /// The task.
+    /// The task that was executed.
     pub task: TaskKey,
-    /// The run.
+    /// The run's number.
     pub run: RunNumber,
-    /// How it ended.
+    /// The run's result.
     pub end: RunEnd,
-    /// Its last checkpoint.
+    /// The run's last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/dispatch/src/hopeless_demand.rs
+++ b/crates/dispatch/src/hopeless_demand.rs
@@ -1,4 +1,4 @@
-//! Demands for which no worker had room.
+//! Cache of demands for which no worker had capacity.
 
 use std::{
     sync::Arc,
@@ -9,21 +9,23 @@
 
 use crate::StepSpec;
 
-/// How long it is believed that no worker has room but those that have changed since: what is learned of
-/// services, and what ends by time alone, opens others without a sign of their own.
+/// The lifetime of a cached result, measured from the last scan of all workers. Within it only
+/// workers that have changed since are scanned; but capacity also becomes usable without such a
+/// change, by what is learned of services and by the mere passing of time.
 const BELIEVED: Duration = Duration::from_millis(400);
 
-/// What a task asks of its worker.
+/// The requirements of a task on its worker.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskDemand {
     pub(crate) pool: Arc<str>,
     pub(crate) reserved: ResourceAmount,
-    /// What fills, with its image: it may harm services elsewhere than another.
+    /// For fillers, their image, if any: another image may harm other services. `None` for other
+    /// tasks.
     filler: Option<Option<Arc<str>>>,
     cpu: u64,
-    /// Whether nothing but its size and its image speaks against a worker.
+    /// Whether only size and image decide which workers qualify; only such demands are cached.
     is_plain: bool,
-    /// Whether its worker wants to see a ticket.
+    /// Whether the worker requires a ticket.
     pub(crate) ticketed: bool,
 }
 
@@ -39,7 +41,7 @@
         }
     }
 
-    /// Tells whether who has no room for this has none for the other.
+    /// Returns whether every worker without capacity for this demand also has none for the other.
     fn covers(&self, other: &Self) -> bool {
         self.pool == other.pool
             && self.filler == other.filler
@@ -48,35 +50,37 @@
     }
 }
 
-/// The demands for which no worker had room, each with the plan that found it so.
+/// Caches the demands for which no worker had capacity: each with the number of the plan that found
+/// this and the time of the last scan of all workers.
 #[derive(Debug, Default)]
 pub(crate) struct HopelessDemands {
     known: Vec<(TaskDemand, u64, Duration)>,
 }
 
 impl HopelessDemands {
-    /// Takes note that no worker had room for a demand in this plan.
+    /// Records that no worker had capacity for a demand in this plan.
     pub(crate) fn note(&mut self, demand: &TaskDemand, plan: u64, now: Duration) {
         if !demand.is_plain {
             return;
         }
-        // One that was seen by looking at changed workers alone is as old as the look at all of them.
+        // A result from scanning only the changed workers keeps the time of the last full scan.
         let looked = self.believed(demand, now).map_or(now, |(_, looked)| looked);
         self.known.retain(|(known, ..)| !demand.covers(known));
         self.known.push((demand.clone(), plan, looked));
     }
 
-    /// Returns the last plan in which no worker had room for a demand, if that is still believed.
+    /// Returns the last plan in which no worker had capacity for a demand, unless that result has
+    /// expired.
     pub(crate) fn last_plan(&self, demand: &TaskDemand, now: Duration) -> Option<u64> {
         self.believed(demand, now).map(|(plan, _)| plan)
     }
 
-    /// Forgets what was found too long ago.
+    /// Removes expired results.
     pub(crate) fn forget(&mut self, now: Duration) {
         self.known.retain(|(_, _, looked)| now < *looked + BELIEVED);
     }
 
-    /// Forgets all: the rules have changed.
+    /// Removes all results, after a change of the configuration.
     pub(crate) fn clear(&mut self) {
         self.known.clear();
     }
--- a/crates/dispatch/src/job_graph.rs
+++ b/crates/dispatch/src/job_graph.rs
@@ -1,4 +1,4 @@
-//! A job as it is submitted: steps of tasks, and what must end before what.
+//! Definition of a job: its steps and their dependencies.
 
 use std::{
     sync::Arc,
@@ -16,30 +16,31 @@
     StepSpec, //
 };
 
-/// The most tasks that one occurrence of a job may have: what one owner's memory is planned for.
+/// The maximum number of tasks in one occurrence of a job; an owner's memory is planned for it.
 pub(crate) const MAX_TASKS: u64 = 20_000;
-/// The most steps of a job; a step's number has 16 bits.
+/// The maximum number of steps in a job; a step's number has 16 bits.
 pub(crate) const MAX_STEPS: usize = 256;
-/// The longest payload, in bytes.
+/// The maximum length of a payload.
 pub(crate) const MAX_PAYLOAD: usize = 4_000;
 
-/// A job as it is submitted: steps of tasks, and what must end before what.
+/// Definition of a job as it is submitted: its steps and their dependencies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobGraph {
-    /// What its tasks are told; the workers' own business.
+    /// The data passed to every task; opaque to the dispatcher.
     pub payload: Arc<str>,
-    /// The steps.
+    /// The steps; a step is identified by its index.
     pub steps: Vec<StepSpec>,
-    /// When it runs, if it is repeated.
+    /// The schedule of a repeated job; `None` for a job that runs once.
     pub schedule: Option<JobSchedule>,
 }
 
 impl JobGraph {
-    /// Checks that every task of the job can have its turn.
+    /// Checks that the job is within the limits and that its steps can be ordered by their
+    /// dependencies.
     ///
     /// # Errors
     ///
-    /// [`GraphError`] for the first fault.
+    /// Returns the first [`GraphError`] found.
     pub fn check(&self) -> Result<(), GraphError> {
         if self.payload.len() > MAX_PAYLOAD {
             return Err(GraphError::Payload {
@@ -55,22 +56,23 @@
         self.check_order()
     }
 
-    /// Returns how many tasks one occurrence has.
+    /// Returns the number of tasks in one occurrence.
     pub fn task_count(&self) -> u64 {
         self.steps.iter().map(|step| u64::from(step.count)).sum()
     }
 
-    /// Returns how often the steps run.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.as_ref().map_or(1, |schedule| schedule.count)
     }
 
-    /// Tells whether it runs until it is cancelled.
+    /// Returns whether the job has a long-running step and so runs until it is cancelled.
     pub fn lasts(&self) -> bool {
         self.steps.iter().any(|step| step.lasting)
     }
 
-    /// Returns, for each step, the declared time of the longest chain that begins with it.
+    /// Returns, for each step, the declared run time of the longest dependency chain that begins
+    /// with it.
     pub fn remaining_chains(&self) -> Vec<Duration> {
         let mut chains: Vec<Duration> = self.steps.iter().map(|step| step.estimate).collect();
         for number in self.ordered().into_iter().rev() {
@@ -112,8 +114,8 @@
         Ok(())
     }
 
-    /// Returns the steps in an order in which each comes after those that it waits for; steps on a
-    /// cycle are left out.
+    /// Returns the steps in topological order; steps on a cycle, or that depend on one, are left
+    /// out.
     fn ordered(&self) -> Vec<usize> {
         let mut placed = vec![false; self.steps.len()];
         let mut order = Vec::with_capacity(self.steps.len());
--- a/crates/dispatch/src/job_key.rs
+++ b/crates/dispatch/src/job_key.rs
@@ -1,4 +1,4 @@
-//! The identity of a job.
+//! Identifier of a job.
 
 use std::{
     fmt,
@@ -11,27 +11,30 @@
     Serialize, //
 };
 
-/// The number of hexadecimal digits of a job's identity.
+/// The number of hexadecimal digits of a job identifier.
 const DIGITS: usize = 16;
 
-/// The identity of a job, chosen by its submitter: 64 bits, written as 16 hexadecimal digits.
+/// Identifier of a job, chosen by its submitter: 64 bits, written as 16 lower-case hexadecimal
+/// digits.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct JobKey(u64);
 
-/// A text that is no identity of a job.
+/// Error for a text that is not a valid job identifier.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-#[display("a job's identity is 16 hexadecimal digits in lower case")]
+#[display("a job identifier is 16 lower-case hexadecimal digits")]
 pub struct JobKeyError;
 
 impl JobKey {
-    /// Creates the identity with this number.
+    /// Creates the identifier with this value.
     pub fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// Spreads jobs evenly over `count` parts: returns this one's, from 0.
+    /// Returns the partition of the job, from 0 to `count - 1`; jobs spread evenly over the
+    /// partitions.
     pub fn spread(self, count: u8) -> u8 {
-        // A multiplication by an odd number near 2^64 over the golden ratio carries every bit upwards.
+        // // Fibonacci hashing: multiplying by an odd number near 2^64 over the golden ratio
+        // carries every bit upwards.
         const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
         let mixed = self.0.wrapping_mul(MIX) >> 32;
         // CAST: Less than `count`.
--- a/crates/dispatch/src/job_outcome.rs
+++ b/crates/dispatch/src/job_outcome.rs
@@ -1,4 +1,4 @@
-//! How a job ended, and how far it is.
+//! Outcome and progress of a job.
 
 use derive_more::Display;
 use serde::{
@@ -6,30 +6,30 @@
     Serialize, //
 };
 
-/// How a job ended.
+/// Final outcome of a job.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum JobOutcome {
-    /// All its tasks are done.
+    /// All tasks are done.
     #[display("completed")]
     Completed,
-    /// A task failed as often as it may.
+    /// A task failed in as many runs as its queue allows.
     #[display("failed")]
     Failed,
-    /// It was cancelled.
+    /// The job was cancelled.
     #[display("cancelled")]
     Cancelled,
 }
 
-/// How far a job is.
+/// Progress of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum JobProgress {
-    /// Nothing of it has started.
+    /// No task has started.
     #[display("queued")]
     Queued,
-    /// Something of it has started.
+    /// A task has started.
     #[display("running")]
     Running,
-    /// It has ended.
+    /// The job has ended with this outcome.
     #[display("{_0}")]
     Ended(JobOutcome),
 }
--- a/crates/dispatch/src/job_schedule.rs
+++ b/crates/dispatch/src/job_schedule.rs
@@ -1,4 +1,4 @@
-//! When a repeated job runs.
+//! Schedule of a repeated job.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
     Serialize, //
 };
 
-/// When a repeated job runs. Occurrences may overlap.
+/// Schedule of a repeated job. Occurrences may overlap.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobSchedule {
     /// When the first occurrence is due, since 1970.
     pub first: Duration,
     /// The time from one occurrence to the next.
     pub interval: Duration,
-    /// How many occurrences there are.
+    /// The number of occurrences.
     pub count: u32,
 }
 
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -1,4 +1,4 @@
-//! A job as its owner knows it.
+//! The owner's view of a job.
 
 use std::{
     collections::BTreeMap,
@@ -19,72 +19,73 @@
     load_track::LoadTrack, //
 };
 
-/// A job as its owner knows it.
+/// The owner's view of a job.
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub(crate) queue: Arc<str>,
     pub(crate) graph: Arc<JobGraph>,
-    /// Declared time of the longest chain from each step on.
+    /// For each step, the declared run time of the longest dependency chain that begins with it.
     pub(crate) chains: Vec<Duration>,
-    /// When it was accepted, on this process's clock; before its origin counts as 0.
+    /// When the job was accepted, on this process's clock; 0 if that was before the clock's origin.
     pub(crate) accepted: Duration,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the job's tasks.
     pub(crate) inherited: bool,
     pub(crate) started: bool,
     pub(crate) cancelled: bool,
-    /// How it ended, whether or not that is on record.
+    /// How the job ended, whether or not that is on record.
     pub(crate) outcome: Option<JobOutcome>,
-    /// How it ended by the record.
+    /// How the job ended, once that is on record.
     pub(crate) recorded: Option<JobOutcome>,
     pub(crate) occurrences: BTreeMap<u32, OccurrenceState>,
-    /// How many runs it has.
+    /// The number of the job's current runs.
     pub(crate) running: u32,
-    /// When its last run ended; when it was accepted, if it had none.
+    /// When the job's last run ended, or when the job was accepted if it had none.
     pub(crate) idle_since: Duration,
-    /// When a place was last sought for it that harms services.
+    /// When a worker was last searched for the job regardless of the interference with services.
     pub(crate) forced: Option<Duration>,
 }
 
-/// One occurrence of a job.
+/// The state of one occurrence of a job.
 #[derive(Debug)]
 pub(crate) struct OccurrenceState {
     pub(crate) steps: Vec<StepState>,
 }
 
-/// One step of an occurrence.
+/// The state of one step of an occurrence.
 #[derive(Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<TaskState>,
     pub(crate) done: u32,
-    /// Whether all that it waits for is done.
+    /// Whether all steps on which it depends are done.
     pub(crate) open: bool,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the step's tasks.
     pub(crate) inherited: bool,
-    /// The rack on which its tasks were first placed.
+    /// The rack of the step's first placed task.
     pub(crate) rack: Option<Arc<str>>,
-    /// How many of its tasks run on each worker.
+    /// The number of the step's tasks that run on each worker.
     pub(crate) placed: IndexMap<WorkerKey, u32>,
-    /// The tickets for its tasks, with the time until which each holds.
+    /// The tickets for the step's tasks by worker, each with the time until which it is valid.
     pub(crate) tickets: IndexMap<WorkerKey, (Arc<str>, Duration)>,
-    /// When tickets were last asked for.
+    /// When tickets were last requested.
     pub(crate) advice_asked: Option<Duration>,
-    /// When it was last noted why its tasks wait.
+    /// When it was last logged why the step waits.
     pub(crate) wait_noted: Option<Duration>,
-    /// The own load of its tasks, if they serve requests.
+    /// The estimated load of the step's tasks without fillers, if they serve requests.
     pub(crate) load: Option<LoadTrack>,
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskState {
     pub(crate) done: bool,
-    /// The runs that failed: a successor hears again of a failure that is on record.
+    /// The runs that failed. Kept as numbers, not as a count: a successor receives a failure again
+    /// that is already on record.
     pub(crate) failures: Vec<RunNumber>,
     pub(crate) checkpoint: Option<Arc<str>>,
     pub(crate) runs: Vec<(WorkerKey, RunNumber)>,
-    /// The worker on which it last failed.
+    /// The worker on which the task last failed.
     pub(crate) failed_on: Option<WorkerKey>,
-    /// When its last run ended, if it lasts.
+    /// When the task's last run was lost, or ended if the task is long-running.
     pub(crate) away_since: Option<Duration>,
 }
 
@@ -103,7 +104,7 @@
             .get_mut(usize::from(step))
     }
 
-    /// Tells whether a former owner may have started some of a step.
+    /// Returns whether a former owner may have started some of a step's tasks.
     pub(crate) fn inherits(&self, occurrence: u32, step: u16) -> bool {
         self.step(occurrence, step)
             .is_none_or(|state| state.inherited)
@@ -128,18 +129,19 @@
         }
     }
 
-    /// Returns when an occurrence began to wait, on the process's clock.
+    /// Returns when an occurrence was accepted or due, on the process's clock.
     pub(crate) fn begun(&self, occurrence: u32, clock_origin: Duration) -> Duration {
         self.graph.schedule.map_or(self.accepted, |schedule| {
             schedule.due(occurrence).saturating_sub(clock_origin)
         })
     }
 
+    /// Returns whether the job has ended or was cancelled.
     pub(crate) fn is_over(&self) -> bool {
         self.outcome.is_some() || self.cancelled
     }
 
-    /// Returns how far it is; an end only once it is on record.
+    /// Returns the job's progress; an outcome is reported only once it is on record.
     pub(crate) fn progress(&self) -> JobProgress {
         match self.recorded {
             Some(outcome) => JobProgress::Ended(outcome),
@@ -175,7 +177,7 @@
         self.steps.iter().all(StepState::is_whole)
     }
 
-    /// Opens the steps that wait for nothing any more.
+    /// Opens the steps whose dependencies are all done.
     pub(crate) fn open_steps(&mut self, graph: &JobGraph, origin: StepOrigin) {
         for (number, spec) in graph.steps.iter().enumerate() {
             let ready = |&before: &u16| self.steps[usize::from(before)].is_whole();
@@ -192,12 +194,12 @@
         self.done as usize == self.tasks.len()
     }
 
-    /// Tells whether some task of it has neither ended nor a run.
+    /// Returns whether the step is open and has a task that neither is done nor has a run.
     pub(crate) fn has_pending(&self) -> bool {
         self.open && self.tasks.iter().any(TaskState::is_pending)
     }
 
-    /// Tells whether as many of its tasks run on a worker as may.
+    /// Returns whether a worker already runs as many of the step's tasks as its spread allows.
     pub(crate) fn is_crowded(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
         let held = self.placed.get(&worker).copied().unwrap_or(0);
         spec.spread.is_some_and(|most| held >= most)
@@ -215,6 +217,7 @@
 }
 
 impl TaskState {
+    /// Returns whether the task is not done and has no run.
     pub(crate) fn is_pending(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
--- a/crates/dispatch/src/learned_record.rs
+++ b/crates/dispatch/src/learned_record.rs
@@ -1,37 +1,38 @@
-//! What was learned of services and fillers, as it is kept.
+//! Stored record of the learned interference model.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// What an owner has learned of how fillers slow services, kept for its successor: to learn it anew costs every
-/// service some seconds above its target. It binds nobody; an old one is better than none.
+/// Stored record of the learned interference model, kept for the owner's successor: learning it
+/// again costs every service some seconds above its target. Nothing depends on its being current:
+/// an outdated record is better than none.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LearnedRecord {
-    /// The images that serve.
+    /// The service images.
     pub services: Vec<LearnedService>,
 }
 
-/// What was learned of one image that serves.
+/// Learned parameters of one service image.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LearnedService {
-    /// The image.
+    /// The image's name.
     pub image: String,
-    /// The least tail seen, as a share of the target.
+    /// The lowest observed tail latency, as a share of the target.
     pub least: f32,
-    /// The variance of one observation of its load.
+    /// The variance of one observation of the service's load; 0 in records that lack it.
     #[serde(default)]
     pub noise: f32,
-    /// What each image that fills beside it adds.
+    /// The effect of each filler image observed beside the service.
     pub fillers: Vec<(String, LearnedEffect)>,
 }
 
-/// A figure and how sure it is.
+/// Estimated effect of a filler image on a service's load.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LearnedEffect {
-    /// The figure, as a share of a load.
+    /// The mean: the load that a filler on all of a worker's CPU adds.
     pub mean: f32,
-    /// Its variance.
+    /// The variance of the mean.
     pub variance: f32,
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,8 +1,8 @@
-//! The dispatcher of jobs with steps: which task runs where, and when; who is told what; what has to
-//! be on record before it is said.
+//! Scheduler for jobs made of steps: decides which task runs on which worker and when, which orders
+//! each worker receives, and what must be on record before it is acknowledged.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number. The same calls give the same
-//! orders.
+//! Nothing here does I/O, reads a clock or draws a random number: the same sequence of calls yields
+//! the same orders.
 
 mod admission;
 mod advice_wish;
--- a/crates/dispatch/src/load_track.rs
+++ b/crates/dispatch/src/load_track.rs
@@ -1,34 +1,36 @@
-//! A service's own load over time.
+//! Estimate of a service's own load over time.
 
 use std::time::Duration;
 
-/// How uncertain a slope becomes within a second, as a variance: loads swing within five to twenty seconds.
+/// The growth of the slope's variance per second: loads swing within five to twenty seconds.
 const SLOPE_DRIFT: f64 = 0.05;
-/// The variances of a load and of its slope before either was seen.
+/// The variances of the load and of its slope before any observation; also their upper bounds.
 const FIRST_VARIANCE: f64 = 0.06;
 const FIRST_SLOPE_VARIANCE: f64 = 0.01;
-/// The least variance of either.
+/// The lower bound of both variances.
 const LEAST_VARIANCE: f64 = 1e-6;
-/// The load that a service is taken to have before it was seen.
+/// The load assumed of a service before any observation.
 const USUAL: f64 = 0.45;
-/// The highest load that a service is expected to reach of itself.
+/// The highest load that is forecast of a service without fillers.
 const HIGHEST: f64 = 0.65;
 
-/// A service's own load over time: what the tails of a step's tasks tell, less what fillers beside them add. The tasks
-/// of a step share their callers, so that one track follows them all.
+/// Estimate of a service's own load over time: the load that its tasks' tail latencies indicate,
+/// less the load that fillers add. The tasks of a step share their callers, so one estimate covers
+/// them all.
 ///
-/// A Kalman filter of a load and its slope.
+/// A Kalman filter with the load and its slope as state.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadTrack {
     load: f64,
     slope: f64,
-    /// Variance of the load, covariance of both, variance of the slope.
+    /// The covariance matrix: variance of the load, covariance of load and slope, variance of the
+    /// slope.
     variance: [f64; 3],
     at: Duration,
 }
 
 impl LoadTrack {
-    /// Begins without any observation.
+    /// Creates an estimate without any observation.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
             load: USUAL,
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Goes on to a later time.
+    /// Predicts the state at a later time.
     pub(crate) fn advance(&mut self, now: Duration) {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         let [load, both, slope] = self.variance;
@@ -55,8 +57,8 @@
         self.at = self.at.max(now);
     }
 
-    /// Takes in by how much a load that was seen now differs from the one that was expected, `total` being the variance
-    /// of that difference.
+    /// Corrects the state by an observation: `difference` is the observed load minus the expected
+    /// one, `total` the variance of that difference.
     pub(crate) fn correct(&mut self, difference: f64, total: f64) {
         let [load, both, slope] = self.variance;
         self.load = (self.load + load / total * difference).clamp(0.0, 1.0);
@@ -69,17 +71,17 @@
         self.bound_variance();
     }
 
-    /// Returns the load now, as of the last advance.
+    /// Returns the estimated load as of the last advance.
     pub(crate) fn load(&self) -> f64 {
         self.load
     }
 
-    /// Returns the variance of the load now.
+    /// Returns the variance of the estimated load as of the last advance.
     pub(crate) fn variance(&self) -> f64 {
         self.variance[0]
     }
 
-    /// Returns the highest load to be expected from `now` until `within` later.
+    /// Returns the highest load forecast from `now` until `within` later.
     pub(crate) fn expected(&self, now: Duration, within: Duration) -> f64 {
         let passed = now.saturating_sub(self.at).as_secs_f64();
         let current = self.load + self.slope * passed;
@@ -87,8 +89,9 @@
         (current + rise).clamp(0.0, HIGHEST.max(self.load))
     }
 
-    /// What was not seen for long is not known any more. Rounding and these bounds must not leave a matrix that is no
-    /// covariance: the next correction would turn the load into no number at all.
+    /// Bounds the variances, since an estimate without recent observations is no better than none,
+    /// and keeps the matrix a valid covariance matrix despite rounding and these bounds: otherwise
+    /// the next correction would turn the load into NaN.
     fn bound_variance(&mut self) {
         let load = self.variance[0].clamp(LEAST_VARIANCE, FIRST_VARIANCE);
         let slope = self.variance[2].clamp(LEAST_VARIANCE, FIRST_SLOPE_VARIANCE);
--- a/crates/dispatch/src/place_score.rs
+++ b/crates/dispatch/src/place_score.rs
@@ -1,4 +1,4 @@
-//! How good a place is for a task.
+//! Scoring of workers as places for a task.
 
 use std::{
     sync::Arc,
@@ -17,70 +17,74 @@
     }, //
 };
 
-/// The share of its processors that a filler must find idle, in hundredths. Fillers share what is
-/// idle, so that one more beside a full worker only slows the others.
+/// The share of its declared CPU that a filler must find idle, in percent. Fillers share the idle
+/// CPU, so one more on a busy worker only slows the others down.
 const FILLER_ROOM_HUNDREDTHS: i64 = 60;
-/// By how much more, in spreads of their loads, services may be expected to exceed their targets beside a filler. One of
-/// them above its target costs its users more than a filler's wait does.
+/// The largest increase in the services' expected overshoot, in multiples of the forecast scale,
+/// that a filler may cause. A service above its target costs its users more than a filler's wait
+/// does.
 const MOST_RISK: f64 = 0.3;
-/// How long after another filler one may come that goes where it harms least.
+/// The minimum time between another filler's start and that of a starved filler on the same worker.
 const STARVED_GAP: Duration = Duration::from_millis(400);
-/// The smallest difference between two risks, or two effects on a load, that decides.
+/// The resolution at which risks and effects on a load are compared.
 const EFFECT_STEP: f64 = 0.05;
-/// The steps in which it is told for how many images a place is open.
+/// The number of levels in which a worker's openness is expressed.
 const TENTHS: i64 = 10;
 
-/// Why a worker that has room is no place for a filler.
+/// Reason for which a worker with free capacity is rejected for a filler.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum PlaceRefusal {
-    /// What runs there is believed to use its processors.
+    /// The runs there are estimated to use its CPU.
     Busy,
-    /// A service there was too slow just now.
+    /// A service there was too slow a moment ago.
     Shielded,
-    /// The effect of another newcomer is not seen yet.
+    /// The effect of another, recently placed filler is not visible yet.
     Learning,
-    /// A service there would be slowed too much.
+    /// A service there would be slowed down too much.
     Harm,
 }
 
-/// How good a place is for a task; the greater the better. The parts are compared in their order.
+/// Score of a worker as a place for a task; greater is better. The fields are compared in their
+/// order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct PlaceScore {
-    /// Whether no task failed there lately, nor this one.
+    /// Whether no task failed on the worker recently and this task's last failure was elsewhere.
     trusted: bool,
-    /// Whether its data is near, or the rest of its step where that matters.
+    /// Whether the worker is on the rack of the task's data or, for rack-sensitive steps, of the
+    /// step's other tasks.
     near: bool,
-    /// Whether it leaves services alone.
+    /// The negated interference between fillers and services that the placement causes.
     calm: i64,
-    /// Whether it keeps services of one image together, so that fillers that harm them find room elsewhere.
+    /// The negated number of other service images on the worker: services of one image are kept
+    /// together, so that fillers that interfere with them find places elsewhere.
     kin: i64,
-    /// Whether it leaves room to those that find less of it elsewhere.
+    /// The negated openness of the worker: open places are left to fillers that find few.
     thrift: i64,
-    /// How well it uses what is left, in thousandths of a processor.
+    /// How well the task fits the free CPU, in millicores.
     fit: i64,
 }
 
-/// A step whose task looks for a place, and by what places are weighed for it.
+/// A task's step and the context in which workers are scored for it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PlaceSeeker<'a> {
     pub(crate) spec: &'a StepSpec,
-    /// Where the rest of its step is.
+    /// The rack of the step's first placed task.
     pub(crate) step_rack: Option<&'a Arc<str>>,
     pub(crate) harm: &'a HarmModel,
-    /// What it does to services, if it fills.
+    /// The filler's effects on services; empty for other tasks.
     pub(crate) profile: &'a FillerProfile,
-    /// Whether it fills and has waited for so long that it goes where it harms least.
+    /// Whether the filler has waited for so long that it accepts the least harmful worker.
     pub(crate) starves: bool,
     pub(crate) switches: PolicySwitches,
     pub(crate) now: Duration,
 }
 
 impl PlaceScore {
-    /// Weighs a worker that has room.
+    /// Scores a worker that has enough free capacity.
     ///
     /// # Errors
     ///
-    /// Why the task should rather wait than go there.
+    /// Returns the reason for which the task should rather wait than run there.
     pub(crate) fn new(
         worker: &WorkerState,
         seeker: PlaceSeeker<'_>,
@@ -119,7 +123,8 @@
     }
 }
 
-/// A filler goes where it slows services least, then where most is idle.
+/// Returns the interference and fit components for a filler: it should slow services least, then
+/// find the most idle CPU.
 fn filler_fit(worker: &WorkerState, seeker: PlaceSeeker<'_>) -> Result<(i64, i64), PlaceRefusal> {
     let wanted = signed(seeker.spec.size.cpu_millis);
     let idle = worker.idle_cpu();
@@ -129,7 +134,7 @@
     if worker.shields_services(seeker.now) {
         return Err(PlaceRefusal::Shielded);
     }
-    // One unknown at a time: its effect shows within a second.
+    // Fillers of unknown effect are placed one at a time; the effect is visible within a second.
     let singly = seeker.switches.has(PolicyPart::UnknownSingly) && seeker.spec.image.is_some();
     if singly && worker.view.is_learning(seeker.profile, seeker.now) {
         return Err(PlaceRefusal::Learning);
@@ -149,8 +154,9 @@
     Ok((calm, idle - wanted))
 }
 
-/// Counts, in tenths, how many of the fillers' images find a place beside a worker's services. Where all do, those
-/// should go that are harmful elsewhere. A place that would slow the filler comes last.
+/// Returns, in tenths, the share of filler images that can run beside the worker's services. Images
+/// that are harmful elsewhere should get the places that are open to all. A place that would slow
+/// the filler comes last.
 fn openness(worker: &WorkerState, spec: &StepSpec) -> i64 {
     if worker.idle_cpu() < signed(spec.size.cpu_millis) {
         return TENTHS + 1;
@@ -159,14 +165,15 @@
     (worker.view.harmless * TENTHS as f64) as i64
 }
 
-/// A service's task goes where fillers slow it least, and fills what is left there.
+/// Returns the interference and fit components for a service's task: it should be slowed least by
+/// fillers, then leave the least CPU free.
 fn service_fit(worker: &WorkerState, spec: &StepSpec, harm: &HarmModel) -> (i64, i64) {
     let image = spec.image.as_ref();
     let added = image.map_or(0.0, |service| worker.fillers_effect(service, harm));
     (-steps(added), -leftover(worker, spec))
 }
 
-/// Counts the images that serve on a worker beside a step's own.
+/// Returns the number of service images on a worker other than the step's own.
 fn strangers(worker: &WorkerState, spec: &StepSpec) -> i64 {
     let mut images: Vec<&Arc<str>> = Vec::new();
     for run in worker.runs.values().filter(|run| run.target.is_some()) {
@@ -180,11 +187,12 @@
     signed(images.len() as u64)
 }
 
+/// Returns the CPU that stays free beside the task, in millicores; negative if it does not fit.
 fn leftover(worker: &WorkerState, spec: &StepSpec) -> i64 {
     signed(worker.free().cpu_millis) - signed(spec.size.cpu_millis)
 }
 
-/// Counts an effect in steps, so that what is next to nothing does not decide.
+/// Rounds an effect to the comparison resolution, so that negligible differences do not decide.
 fn steps(effect: f64) -> i64 {
     // CAST: It saturates.
     (effect / EFFECT_STEP) as i64
--- a/crates/dispatch/src/policy_part.rs
+++ b/crates/dispatch/src/policy_part.rs
@@ -1,4 +1,4 @@
-//! The parts of the policy that a trial can do without.
+//! Parts of the scheduling policy that can be switched off for trials.
 
 use std::str::FromStr;
 
@@ -7,76 +7,79 @@
     Error, //
 };
 
-/// A part of the policy that a trial can do without, to see what it is worth. What guards room, tokens, attempts, order and the
-/// limit of harm is none of them; without `room-kept` long-running tasks may wait on full pools for longer than they should.
+/// A part of the scheduling policy that can be switched off in a trial, to measure its benefit. The
+/// guards of capacity, fencing tokens, attempts, dependency order and the limit on interference
+/// cannot be switched off. Without `room-kept`, long-running tasks may wait on full pools for
+/// longer than they should.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum PolicyPart {
-    /// What fillers do to services is learned.
+    /// The interference of each filler image with each service image is learned.
     #[display("learned-pairs")]
     LearnedPairs,
-    /// The tasks of a service's step share one load.
+    /// The tasks of a service's step share one load estimate.
     #[display("step-loads")]
     StepLoads,
-    /// Fillers that came or left just now count in part.
+    /// Fillers that started or ended recently count in proportion to the time that the metrics
+    /// cover.
     #[display("fading-figures")]
     FadingFigures,
-    /// A filler goes where it adds least to the risk that services exceed their targets.
+    /// A filler is placed where it adds least to the risk that services exceed their targets.
     #[display("risk-order")]
     RiskOrder,
-    /// One filler of unknown effect comes at a time.
+    /// Fillers of unknown effect are placed one at a time.
     #[display("unknown-singly")]
     UnknownSingly,
-    /// Newcomers that are known to be harmless stay.
+    /// Recently placed fillers that are known to be harmless are not evicted.
     #[display("harmless-stay")]
     HarmlessStay,
-    /// Fillers are slowed before they are moved.
+    /// Fillers are throttled before they are evicted.
     #[display("pacing")]
     Pacing,
-    /// Services of one image are kept together.
+    /// Services of one image are placed together.
     #[display("services-together")]
     ServicesTogether,
-    /// Fillers leave open places to those that find fewer.
+    /// Fillers leave workers that are open to all images to fillers that find few places.
     #[display("open-places-last")]
     OpenPlacesLast,
-    /// What is begun goes before what is not.
+    /// Started jobs are planned before others.
     #[display("begun-first")]
     BegunFirst,
-    /// Long-running tasks wait behind others at first.
+    /// Long-running tasks are planned after others at first.
     #[display("long-running-last")]
     LongRunningLast,
-    /// Room is kept for what is large and has waited.
+    /// Free capacity is reserved for large tasks that have waited.
     #[display("room-kept")]
     RoomKept,
-    /// Demands for which there was no room are remembered.
+    /// Demands for which no worker had capacity are cached.
     #[display("hopeless-demands")]
     HopelessDemands,
-    /// Workers on which tasks fail or stand still are set aside.
+    /// Workers on which tasks fail or get stuck are quarantined.
     #[display("worker-rests")]
     WorkerRests,
-    /// Successors are told what was learned.
+    /// The learned interference is restored by successors.
     #[display("kept-learning")]
     KeptLearning,
-    /// Long-running jobs are taken in only while short work finds room.
+    /// Long-running jobs are accepted only while short tasks find capacity.
     #[display("admission")]
     Admission,
 }
 
-/// The name of no part of the policy.
+/// Error for a name that is not a part of the policy.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("`{name}` is no part of the policy; there are {}", PolicyPart::names())]
 pub struct UnknownPart {
-    /// What was given.
+    /// The unknown name.
     pub name: String,
 }
 
-/// The parts of the policy that a trial does without.
+/// Set of policy parts that are switched off.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PolicySwitches {
     off: u32,
 }
 
 impl PolicyPart {
-    /// All parts.
+    /// All parts, in the order of their bits in [`PolicySwitches`].
     pub const ALL: [Self; 16] = [
         Self::LearnedPairs,
         Self::StepLoads,
@@ -114,7 +117,7 @@
 }
 
 impl PolicySwitches {
-    /// Does without a part as well.
+    /// Returns the switches with another part switched off.
     #[must_use]
     pub fn without(self, part: PolicyPart) -> Self {
         Self {
@@ -122,12 +125,12 @@
         }
     }
 
-    /// Tells whether a part is in force.
+    /// Returns whether a part is switched on.
     pub fn has(self, part: PolicyPart) -> bool {
         self.off & Self::bit(part) == 0
     }
 
-    /// Returns the parts that are done without.
+    /// Returns the parts that are switched off.
     pub fn missing(self) -> impl Iterator<Item = PolicyPart> {
         let parts = PolicyPart::ALL.into_iter();
         parts.filter(move |part| !self.has(*part))
--- a/crates/dispatch/src/pool_demand.rs
+++ b/crates/dispatch/src/pool_demand.rs
@@ -1,4 +1,4 @@
-//! What is learned of the demand for a pool.
+//! Demand statistics of a pool.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
     short_demand::ShortDemand, //
 };
 
-/// After how long the end of a long-running job counts half.
+/// The time after which the end of a long-running job counts half.
 const RELEASE_HALF_LIFE: Duration = Duration::from_secs(60);
 
-/// What is learned of the demand for a pool.
+/// Demand statistics of a pool, used for admission control.
 #[derive(Debug)]
 pub(crate) struct PoolDemand {
     pub(crate) short: ShortDemand,
-    /// The processors of long-running jobs that ended, in thousandths.
+    /// The CPU of long-running jobs that ended, in millicores.
     pub(crate) released: DecayingSum,
 }
 
--- a/crates/dispatch/src/pool_rule.rs
+++ b/crates/dispatch/src/pool_rule.rs
@@ -1,10 +1,10 @@
-//! What the configuration says of a pool of workers.
+//! Configuration of a pool of workers.
 
-/// What the configuration says of a pool of workers.
+/// Configuration of a pool of workers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolRule {
-    /// Whether its workers refuse what does not fit.
+    /// Whether the pool's workers reject a run that exceeds their capacity.
     pub guards: bool,
-    /// Whether its VMs are off until they are moved elsewhere.
+    /// Whether the pool's VMs are switched off until they are moved elsewhere.
     pub standby: bool,
 }
--- a/crates/dispatch/src/pool_use.rs
+++ b/crates/dispatch/src/pool_use.rs
@@ -1,32 +1,32 @@
-//! Who holds a pool's processors, and who waits for them.
+//! CPU usage of a pool by kind of work.
 
 use std::sync::Arc;
 
 use crate::WorkKind;
 
-/// Who holds a pool's processors, and who waits for them; all in thousandths of a processor.
+/// CPU usage of a pool by kind of work, in millicores.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PoolUse {
-    /// The pool.
+    /// The pool's name.
     pub pool: Arc<str>,
-    /// How many workers may be given tasks.
+    /// The number of workers on which tasks may start.
     pub workers: usize,
-    /// What these workers have.
+    /// The CPU capacity of these workers, in millicores.
     pub capacity: u64,
-    /// What long-running tasks have there.
+    /// The share of long-running tasks.
     pub long_running: WorkShare,
-    /// What short tasks have there.
+    /// The share of short tasks.
     pub short: WorkShare,
-    /// What fillers have there beside them.
+    /// The share of fillers, which use CPU that the others leave idle.
     pub filler: WorkShare,
 }
 
-/// What one kind of work has of a pool's processors, in thousandths of a processor.
+/// CPU that one kind of work holds and waits for, in millicores.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WorkShare {
-    /// What its runs hold or, of fillers, would use.
+    /// The CPU that its runs reserve; for fillers, which reserve none, the declared CPU.
     pub held: u64,
-    /// What its tasks want whose turn has come and that have no run.
+    /// The CPU declared by its tasks that could run now but have no run.
     pub wanted: u64,
 }
 
--- a/crates/dispatch/src/progress_record.rs
+++ b/crates/dispatch/src/progress_record.rs
@@ -1,4 +1,4 @@
-//! What has ended of a job, as it is kept.
+//! Stored record of a job's progress.
 
 use serde::{
     Deserialize,
@@ -10,29 +10,29 @@
     RunNumber, //
 };
 
-/// What has ended of a job, as it is kept. A worker's end is acknowledged only after the record
-/// that holds it is.
+/// Stored record of a job's progress. A run's completion is acknowledged to its worker only after
+/// the record that contains it is stored.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProgressRecord {
-    /// How the job ended, if it did.
+    /// The job's outcome, if it has ended.
     pub outcome: Option<JobOutcome>,
-    /// The steps of which something ended.
+    /// The steps that have progress to record; empty once the job has ended.
     pub steps: Vec<StepProgress>,
 }
 
-/// What has ended of one step of one occurrence.
+/// Progress of one step of one occurrence.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StepProgress {
-    /// The occurrence.
+    /// The occurrence's number, from 0.
     pub occurrence: u32,
-    /// The step's number.
+    /// The step's number, from 0.
     pub step: u16,
-    /// Whether all its tasks are done.
+    /// Whether all tasks of the step are done.
     pub whole: bool,
-    /// The tasks that are done, unless all are.
+    /// The numbers of the done tasks; empty if all are done.
     pub done: Vec<u32>,
-    /// The runs that failed, with their task.
+    /// The runs that failed, each with its task's number.
     pub failures: Vec<(u32, RunNumber)>,
-    /// Where tasks go on from.
+    /// The last checkpoints of unfinished tasks, each with its task's number.
     pub checkpoints: Vec<(u32, String)>,
 }
--- a/crates/dispatch/src/queue_rule.rs
+++ b/crates/dispatch/src/queue_rule.rs
@@ -1,40 +1,41 @@
-//! What the configuration says of a queue.
+//! Configuration of a queue.
 
 use std::{
     sync::Arc,
     time::Duration, //
 };
 
-/// What the configuration says of a queue.
+/// Configuration of a queue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueRule {
-    /// Its name.
+    /// The queue's name.
     pub name: Arc<str>,
-    /// The host that its callers name.
+    /// The host name in requests for this queue.
     pub host: String,
-    /// What the path of its jobs begins with.
+    /// The path prefix of requests for this queue.
     pub prefix: String,
     /// The pool whose workers run its tasks.
     pub pool: Arc<str>,
-    /// Its rank: 0 comes first.
+    /// The queue's priority: 0 is planned first.
     pub priority: u32,
-    /// How often a task may fail.
+    /// The number of failed runs of one task after which its job fails; 0 counts as 1.
     pub attempts: u32,
-    /// How many times its longest chain a job may take.
+    /// The factor by which a job's duration may exceed the declared run time of its longest
+    /// dependency chain; below 1 counts as 1.
     pub stretch: f64,
-    /// The time on top of that.
+    /// The time added to that to yield the job's objective.
     pub allowance: Duration,
-    /// How tickets are asked for, if its workers want them.
+    /// The timing of ticket requests, if the pool's workers require tickets.
     pub advice: Option<AdviceRule>,
 }
 
-/// How long the advice service takes, and how long a ticket holds.
+/// Timing of the advice service and validity of its tickets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceRule {
-    /// The time of a call.
+    /// The base duration of a request.
     pub decide: Duration,
-    /// The time on top for each worker that is asked about.
+    /// The additional duration for each worker in the request.
     pub each: Duration,
-    /// How long a ticket holds.
+    /// The time for which a ticket is valid.
     pub validity: Duration,
 }
--- a/crates/dispatch/src/run_state.rs
+++ b/crates/dispatch/src/run_state.rs
@@ -1,4 +1,4 @@
-//! A run as its owner knows it.
+//! The owner's view of a run.
 
 use std::{
     sync::Arc,
@@ -14,50 +14,52 @@
     load_track::LoadTrack, //
 };
 
-/// How far a run is, as its owner knows it.
+/// Phase of a run as far as the owner knows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunPhase {
-    /// Its start was sent at this time.
+    /// The start was sent; no answer has come yet.
     Sent,
-    /// Its start got no answer: it may run, now or later.
+    /// The start got no answer: the run may be executing, or begin later.
     Unsure,
-    /// Its worker said at this time that it runs.
+    /// The worker confirmed at this time that the run is executing.
     Running(Duration),
-    /// Its end was ordered. The worker has answered at that time, if it has.
+    /// The run was ordered to stop. The worker confirmed the order at this time, if it has.
     Stopping(Option<Duration>),
 }
 
-/// A run as its owner knows it. Its room is set aside until its worker no longer can run it.
+/// The owner's view of a run. Its capacity stays reserved until the worker can no longer execute
+/// it.
 #[derive(Clone, Debug)]
 pub(crate) struct RunState {
     pub(crate) task: TaskKey,
     pub(crate) phase: RunPhase,
     pub(crate) kind: WorkKind,
-    /// What it sets aside.
+    /// The capacity that the run reserves.
     pub(crate) reserved: ResourceAmount,
-    /// The processors that it uses beside what is set aside, in thousandths, if it is a filler.
+    /// The CPU that a filler declares to use beside the reserved CPU, in millicores; 0 for other
+    /// runs.
     pub(crate) filler_cpu: u64,
-    /// What it runs; tasks of one image behave alike.
+    /// The run's image; tasks of one image are assumed to behave alike.
     pub(crate) image: Option<Arc<str>>,
     pub(crate) target: Option<Duration>,
-    /// When it was placed.
+    /// When the run was placed on its worker.
     pub(crate) placed: Duration,
     pub(crate) percent: u32,
-    /// When its progress was last seen to change.
+    /// When `percent` last changed.
     pub(crate) moved: Duration,
     pub(crate) figure: Option<u64>,
-    /// Its own load, if it serves requests.
+    /// The estimated load without fillers, if the run serves requests.
     pub(crate) load: Option<LoadTrack>,
-    /// The share at which it was last told to work.
+    /// The throttle factor last ordered, in percent; 100 is unthrottled, `u32::MAX` unknown.
     pub(crate) pace: u32,
-    /// When its stop was last sent.
+    /// When a stop was last sent.
     pub(crate) stop_sent: Option<Duration>,
-    /// How often it was sent.
+    /// The number of stops sent.
     pub(crate) stop_tries: u32,
 }
 
 impl RunState {
-    /// Creates the run of a task of this step.
+    /// Creates the state of a new run of a step's task.
     pub(crate) fn new(task: TaskKey, spec: &StepSpec, phase: RunPhase, now: Duration) -> Self {
         Self {
             task,
@@ -78,12 +80,12 @@
         }
     }
 
-    /// Returns the processors that it sets aside, in thousandths, if it serves requests.
+    /// Returns the CPU that the run reserves, in millicores, if it serves requests, else 0.
     pub(crate) fn service_cpu(&self) -> u64 {
         self.target.map_or(0, |_| self.reserved.cpu_millis)
     }
 
-    /// Returns the processors that it sets aside, in thousandths, if it lasts.
+    /// Returns the CPU that the run reserves, in millicores, if its task is long-running, else 0.
     pub(crate) fn long_running_cpu(&self) -> u64 {
         match self.kind {
             WorkKind::LongRunning => self.reserved.cpu_millis,
--- a/crates/dispatch/src/service_view.rs
+++ b/crates/dispatch/src/service_view.rs
@@ -1,4 +1,4 @@
-//! What a filler that would come to a worker has to know of the services there.
+//! Snapshot of a worker's services, by which the worker is scored for fillers.
 
 use std::{
     sync::Arc,
@@ -10,59 +10,62 @@
     worker_state::WorkerState, //
 };
 
-/// A tail at its target, as a share of it.
+/// The ratio of tail latency to target at which the target is just met.
 const TARGET: f64 = 1.0;
-/// How far a service's load turns out off what is expected of it some seconds ahead, as the scale of a logistic
-/// distribution.
+/// The scale of the logistic distribution of the error with which a service's load is forecast some
+/// seconds ahead.
 const SPREAD: f64 = 0.04;
-/// The overshoot, in spreads, from which on the chance of none is next to nothing.
+/// The excess, in multiples of the scale, above which the expected overshoot is practically equal
+/// to the excess.
 const CERTAIN: f64 = 30.0;
-/// The load that a service is taken to reach while nothing was seen of it.
+/// The load assumed of a service before its load has been observed.
 const USUAL_LOAD: f64 = 0.6;
-/// How far ahead a service's load is looked at when a filler is placed: fillers run for about that long.
+/// The forecast horizon of a service's load when a filler is placed: fillers run for about that
+/// long.
 const AHEAD: Duration = Duration::from_millis(2500);
-/// How long a filler's effect is not seen after its start.
+/// The time after a filler's start during which the services' metrics do not show its effect yet.
 const UNSEEN: Duration = Duration::from_millis(1200);
-/// After how long a view is taken anew although nothing has changed: loads go on.
+/// The maximum age of a snapshot of an unchanged worker: the services' loads change by themselves.
 const FRESH: Duration = Duration::from_millis(500);
 
-/// What a filler that would come to a worker has to know of the services there: worked out once after each change of
-/// the worker, since every filler that looks for a place looks at every worker.
+/// Snapshot of a worker's services, by which the worker is scored for fillers. Computed once after
+/// each change of the worker, because every filler that looks for a place scores every worker.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceView {
     taken: Option<(Duration, u64)>,
     services: Vec<ServedRun>,
-    /// When the filler came that came last.
+    /// When the newest filler was placed on the worker.
     last_came: Option<Duration>,
-    /// The least share of the fillers' images that do one of the services no harm.
+    /// The lowest share, over the services, of known filler images that do not harm the service.
     pub(crate) harmless: f64,
 }
 
 #[derive(Debug)]
 struct ServedRun {
-    /// The place of its image in what was learned, if it was seen.
+    /// The index of the service's image in the interference model, if the image is known there.
     image: Option<usize>,
-    /// By how much its load is expected above the one at its target.
+    /// The expected load minus the load at which the service just meets its target.
     excess: f64,
-    /// By how much it is expected to exceed its target, in spreads.
+    /// The expected overshoot of the target, in multiples of the forecast scale.
     overshoot: f64,
 }
 
-/// What an image that fills does to each image that serves, by its place in what was learned.
+/// The effects of a filler image on all service images, by the service's index in the interference
+/// model.
 #[derive(Debug, Default)]
 pub(crate) struct FillerProfile {
-    /// The effect, at all processors, and whether it is known.
+    /// The effect of a filler that uses all of a worker's CPU, and whether it is known well enough.
     pub(crate) effects: Vec<(f64, bool)>,
 }
 
 impl ServiceView {
-    /// Tells whether it still shows a worker as it is.
+    /// Returns whether the snapshot is still valid for a worker.
     pub(crate) fn is_fresh(&self, worker: &WorkerState, now: Duration) -> bool {
         self.taken
             .is_some_and(|(at, version)| version == worker.version && now < at + FRESH)
     }
 
-    /// Looks at a worker's services.
+    /// Takes a snapshot of a worker's services.
     pub(crate) fn new(worker: &WorkerState, harm: &HarmModel, now: Duration) -> Self {
         let served = worker.runs.values().filter(|run| run.target.is_some());
         let mut harmless: f64 = 1.0;
@@ -92,20 +95,23 @@
         }
     }
 
-    /// Tells whether another newcomer's effect is not seen yet, and it is not known what this filler does to one of the
-    /// services: one unknown at a time.
+    /// Returns whether the effect of a recently placed filler is not visible yet while this
+    /// filler's effect on one of the services is unknown: fillers of unknown effect are placed one
+    /// at a time.
     pub(crate) fn is_learning(&self, filler: &FillerProfile, now: Duration) -> bool {
         self.has_newcomer(UNSEEN, now) && self.services.iter().any(|service| !filler.knows(service))
     }
 
-    /// Tells whether a filler came within this time.
+    /// Returns whether a filler was placed within this time.
     pub(crate) fn has_newcomer(&self, within: Duration, now: Duration) -> bool {
         self.last_came.is_some_and(|at| now < at + within)
     }
 
-    /// Returns by how much more, in spreads, services would exceed their targets beside a filler on this share of the
-    /// processors. Of a service that is expected above its target already all that is added counts: by the chance alone,
-    /// which is next to certain with and without the filler, it would be the best place of all.
+    /// Returns the increase in the services' expected overshoot, in multiples of the forecast
+    /// scale, that a filler on this share of the worker's CPU causes. The overshoot, not the
+    /// probability of exceeding the target, is compared: for a service that is expected above its
+    /// target anyway, the probability hardly changes, and its worker would seem the best place of
+    /// all.
     pub(crate) fn risk(&self, filler: &FillerProfile, share: f64) -> f64 {
         let risks = self.services.iter().map(|service| {
             let added = filler.effect(service) * share;
@@ -120,7 +126,7 @@
 }
 
 impl FillerProfile {
-    /// Gathers what is known of an image.
+    /// Returns the profile of a filler's image; empty without an image.
     pub(crate) fn new(harm: &HarmModel, image: Option<&Arc<str>>) -> Self {
         image.map_or_else(Self::default, |image| harm.profile(image))
     }
@@ -133,12 +139,15 @@
         self.pair(service).is_some_and(|(_, known)| known)
     }
 
+    /// Returns the effect on a service and whether it is known; `None` if the service's image is
+    /// not in the model.
     fn pair(&self, service: &ServedRun) -> Option<(f64, bool)> {
         self.effects.get(service.image?).copied()
     }
 }
 
-/// Returns by how much, in spreads, a load turns out above a limit on average, if this excess over it is expected.
+/// Returns the mean overshoot of a limit, in multiples of the forecast scale, by a load with this
+/// expected excess over the limit.
 fn expected_overshoot(excess: f64) -> f64 {
     let spreads = excess / SPREAD;
     if spreads > CERTAIN {
--- a/crates/dispatch/src/service_watch.rs
+++ b/crates/dispatch/src/service_watch.rs
@@ -1,4 +1,4 @@
-//! How fillers give way to a service that answers too slowly.
+//! Throttling and eviction of fillers that slow a service down.
 
 use std::{
     sync::Arc,
@@ -18,44 +18,46 @@
     worker_state::WorkerState, //
 };
 
-/// The least time between two looks at the same figures: they are of the last half second.
+/// The minimum interval between two evaluations of a worker's metrics: they cover the last half
+/// second.
 const LOOK_EVERY: Duration = Duration::from_millis(450);
-/// The share of its target that a service's tail is to stay under.
+/// The ratio of tail latency to target that throttling aims for.
 const AIM: f64 = 0.9;
-/// The share from which on it counts as too slow.
+/// The ratio of tail latency to target from which a service counts as too slow.
 const OVER: f64 = 1.0;
-/// How far ahead a service's load is looked at: until the next figures come and a pace is in force.
+/// The forecast horizon of a service's load: the time until the next metrics arrive and a new
+/// throttle factor takes effect.
 const AHEAD: Duration = Duration::from_millis(700);
-/// The least share that a filler is slowed down to; it is better moved than slower.
+/// The lowest throttle factor; below it a filler is evicted, since moving it costs less.
 const LEAST_PACE: f64 = 0.25;
-/// The steps in which fillers are slowed, in hundredths: each change is a call.
+/// The granularity of throttle factors, in percent: each change costs a call.
 const PACE_STEP: u32 = 25;
-/// The effect on a service's load from which on a filler is known to be a cause.
+/// The effect on a service's load from which a filler counts as a cause of its slowness.
 const CAUSE: f64 = 0.02;
-/// How long a service may be too slow until all fillers beside it leave, whatever was tried: figures are half a second
-/// late, and a stop takes up to a second.
+/// The time for which a service may be too slow before all fillers beside it are evicted, whatever
+/// else was done: metrics are half a second late, and a stop takes up to a second.
 const PATIENCE: Duration = Duration::from_millis(1800);
-/// How long after a service was too slow no more fillers come.
+/// The time after a service was too slow during which no more fillers are placed beside it.
 const CALM: Duration = Duration::from_millis(700);
-/// How long after a filler came it is the first to be blamed.
+/// The time after its start during which a filler is suspected first.
 const NEW: Duration = Duration::from_millis(2500);
-/// Hundredths in a whole.
+/// The factor from a share to percent.
 const WHOLE: f64 = 100.0;
 
-/// A filler, what it runs, and its effect on a service's load.
+/// A filler's run, its image, and its effect on a service's load.
 type FillerEffect = ((TaskKey, RunNumber), Option<Arc<str>>, f64);
 
-/// What a service's task says of itself, and what was known of its load.
+/// One tail latency sample of a service's task, with the previous estimate of its load.
 struct ServedTail {
     task: TaskKey,
     run: RunNumber,
     image: Arc<str>,
-    /// Its tail, as a share of its target.
+    /// The tail latency divided by its target.
     ratio: f64,
     load: Option<LoadTrack>,
 }
 
-/// For how long the services of a worker have been too slow.
+/// Tracks for how long the services of a worker have been too slow.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceWatch {
     over_since: Option<Duration>,
@@ -63,12 +65,13 @@
 }
 
 impl ServiceWatch {
-    /// Tells whether a service was too slow just now, so that no more fillers should come.
+    /// Returns whether a service was too slow a moment ago, so that no more fillers should be
+    /// placed.
     pub(crate) fn is_active(&self, now: Duration) -> bool {
         self.last_over.is_some_and(|at| now < at + CALM)
     }
 
-    /// Takes note of whether a service is too slow; tells whether it was for too long.
+    /// Records whether a service is too slow; returns whether it has been for too long.
     fn note(&mut self, over: bool, now: Duration) -> bool {
         if !over {
             self.over_since = None;
@@ -81,10 +84,11 @@
 }
 
 impl Dispatcher {
-    /// Learns from the figures of a worker's services and has its fillers give way, or go on.
+    /// Learns from the metrics of a worker's services, then throttles or evicts its fillers as
+    /// needed.
     pub(crate) fn watch_services(&mut self, key: WorkerKey, now: Duration) {
         let learned = self.worker(key).learned;
-        // The same figure again would teach nothing.
+        // The same metrics a second time carry no information.
         if learned.is_some_and(|at| now < at + LOOK_EVERY) {
             return;
         }
@@ -109,11 +113,13 @@
         }
     }
 
+    /// Updates the load estimates and the interference model from the tail latencies of a worker's
+    /// services.
     fn learn_harm(&mut self, key: WorkerKey, now: Duration) {
         let fading = self.settings.switches.has(PolicyPart::FadingFigures);
         let company = self.worker_mut(key).company(now, fading);
         let worker = self.worker(key);
-        // A figure that can't be is no figure: what it would teach stays for long.
+        // An impossible CPU usage is discarded: what it teaches would stay for long.
         if company.iter().any(|filler| filler.share > 1.0) {
             return;
         }
@@ -164,8 +170,8 @@
         self.workers[key.place()].weigh_services(now);
     }
 
-    /// Slows the fillers that are known to raise a service's load above what it can bear, just as far as it
-    /// takes; has them go on elsewhere where that would be too slow.
+    /// Throttles the fillers that are known to raise a service's load above its limit, no further
+    /// than needed; evicts them if the necessary throttle factor is too low.
     fn slow_causes(&mut self, key: WorkerKey, now: Duration) {
         let Some((service, share)) = self.tightest_service(key, now) else {
             self.set_paces(key, &[], 100);
@@ -190,7 +196,8 @@
         self.note_give_way(key, service, effects, causes.len(), now);
     }
 
-    /// Returns the service that bears least of its fillers, and at what share of their pace it bears them.
+    /// Returns the service that requires the strongest throttling of its fillers, with the throttle
+    /// factor that it tolerates.
     fn tightest_service(
         &self,
         key: WorkerKey,
@@ -208,8 +215,8 @@
         shares.min_by(|(_, left), (_, right)| left.total_cmp(right))
     }
 
-    /// Has the fillers that came last go on elsewhere while no cause is known, but those of which it is known that they
-    /// do no harm: to move them helps nobody.
+    /// Evicts the newest fillers while no cause is known, except those known to be harmless:
+    /// evicting them would not help.
     fn blame_newcomers(&mut self, key: WorkerKey, now: Duration) {
         let worker = self.worker(key);
         let Some((service, _)) = worst_service(worker) else {
@@ -239,6 +246,7 @@
         self.note_give_way(key, service, effects, newcomers.len(), now);
     }
 
+    /// Logs that fillers were evicted for the sake of a service.
     fn note_give_way(
         &mut self,
         key: WorkerKey,
@@ -274,7 +282,8 @@
         self.worker(key).runs.get(&run)?.image.clone()
     }
 
-    /// Returns a worker's fillers with the believed effect of each on a service's load, at full pace.
+    /// Returns a worker's fillers with the estimated effect of each on a service's load,
+    /// unthrottled.
     fn effects(&self, worker: &WorkerState, service: Option<&Arc<str>>) -> Vec<FillerEffect> {
         let capacity = worker.record.capacity.cpu_millis.max(1) as f64;
         let fillers = worker.runs.iter();
@@ -291,8 +300,8 @@
             .collect()
     }
 
-    /// Tells fillers the share at which they are to work, where it has changed: the causes this one, the others
-    /// all of it.
+    /// Orders throttle factors for a worker's fillers where they change: `pace` percent for the
+    /// causes, 100 percent for the others.
     fn set_paces(&mut self, key: WorkerKey, causes: &[(TaskKey, RunNumber)], pace: u32) {
         let mut changed = Vec::new();
         for (&(task, run), state) in &mut self.worker_mut(key).runs {
@@ -319,7 +328,7 @@
         }
     }
 
-    /// Takes note that a change of pace may not be in force, so that it is sent again.
+    /// Records that a throttle order may not be in effect, so that it is sent again.
     pub fn pace_unsure(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
         if let Some(state) = self.worker_mut(worker).runs.get_mut(&(task, run)) {
             state.pace = u32::MAX;
@@ -327,12 +336,13 @@
     }
 }
 
-/// Returns a service's tail as a share of its target.
+/// Returns a run's tail latency divided by its target.
 pub(crate) fn tail_ratio(run: &RunState) -> Option<f64> {
     let target = run.target?.as_millis().max(1) as f64;
     Some(run.figure? as f64 / target)
 }
 
+/// Returns the service run with the highest ratio of tail latency to target.
 fn worst_service(worker: &WorkerState) -> Option<((TaskKey, RunNumber), f64)> {
     let tails = worker.runs.iter();
     tails
--- a/crates/dispatch/src/short_demand.rs
+++ b/crates/dispatch/src/short_demand.rs
@@ -1,4 +1,4 @@
-//! How many processors short work needs.
+//! Estimate of the CPU that short tasks need.
 
 use std::time::Duration;
 
@@ -9,34 +9,36 @@
     decaying_sum::DecayingSum, //
 };
 
-/// After how long an arrival counts half.
+/// The time after which an arrival counts half.
 const HALF_LIFE: Duration = Duration::from_secs(20);
-/// The time for which arrivals are taken to have been seen at least: a rate of fewer seconds is chance.
+/// The minimum observation time assumed for arrival rates: a rate over fewer seconds is mostly
+/// chance.
 const LEAST_SEEN: Duration = Duration::from_secs(2);
-/// How many standard deviations above its mean the need of short work is met.
+/// The number of standard deviations above the mean up to which the need of short tasks is met.
 const SPREADS: f64 = 2.0;
-/// The factors between which declared run times are corrected.
+/// The bounds of the factor by which declared run times are corrected.
 const LEAST_CORRECTION: f64 = 0.25;
 const LARGEST_CORRECTION: f64 = 4.0;
 
-/// What a pool offers to short work at the most, in thousandths of a processor.
+/// Upper bounds of the CPU that a pool offers to short tasks, in millicores.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolSize {
     pub(crate) largest_worker: u64,
     pub(crate) all: u64,
 }
 
-/// How many processors short work needs, learned from what arrives: work that comes at this rate and holds processors for
-/// this long holds this many on average, and as many more as its jobs are wide.
+/// Estimates the CPU that short tasks need from the jobs that arrive: the mean is the arrival rate
+/// times the run time times the CPU (Little's law), and the variance grows with the width of the
+/// jobs.
 #[derive(Debug)]
 pub(crate) struct ShortDemand {
-    /// Processors times seconds, as declared.
+    /// The sum of CPU times seconds over all steps, as declared, in millicores.
     work: DecayingSum,
-    /// Squares of a step's processors times seconds, as declared.
+    /// The sum of a step's squared CPU times seconds, as declared.
     squares: DecayingSum,
-    /// Squares of a task's processors times seconds, over all tasks, as declared.
+    /// The sum of a task's squared CPU times seconds over all tasks, as declared.
     sizes: DecayingSum,
-    /// What runs declared and what they took, in processors times seconds.
+    /// The CPU times seconds that completed runs declared, and that they took.
     declared: DecayingSum,
     taken: DecayingSum,
 }
@@ -55,8 +57,8 @@
 }
 
 impl ShortDemand {
-    /// Takes note of an occurrence of a job that arrived. What no worker can hold needs nothing, and no step needs more
-    /// than the pool has.
+    /// Records the arrival of a job's occurrence. A task that no worker can hold counts as no need,
+    /// and no step counts for more than the pool has.
     pub(crate) fn note_arrival(&mut self, graph: &JobGraph, pool: PoolSize, at: Duration) {
         let short = graph.steps.iter();
         let able = short.filter(|step| {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Takes note of how long a task that is done took.
+    /// Records how long a completed task took.
     pub(crate) fn note_done(&mut self, step: &StepSpec, took: Duration, at: Duration) {
         if step.kind() != WorkKind::Short || step.estimate.is_zero() {
             return;
@@ -83,7 +85,7 @@
         self.taken.add(millis(step) * took.as_secs_f64(), at);
     }
 
-    /// Returns how many processors short work needs, in thousandths.
+    /// Returns the CPU that short tasks need, in millicores.
     pub(crate) fn need(&self, now: Duration) -> u64 {
         let correction = self.correction(now);
         let mean = self.work.rate(now, LEAST_SEEN) * correction;
@@ -92,7 +94,7 @@
         (mean + SPREADS * variance.sqrt()) as u64
     }
 
-    /// Returns the processors of a usual task, in thousandths, the larger ones counted for more; at least 1.
+    /// Returns the mean CPU of a task in millicores, weighted by CPU times run time; at least 1.
     pub(crate) fn usual_size(&self, now: Duration) -> u64 {
         let work = self.work.total(now);
         let size = if work > 0.0 {
@@ -104,6 +106,7 @@
         (size as u64).max(1)
     }
 
+    /// Returns the ratio of actual to declared run times.
     fn correction(&self, now: Duration) -> f64 {
         let declared = self.declared.total(now);
         if declared <= 0.0 {
@@ -113,6 +116,7 @@
     }
 }
 
+/// Returns the CPU of one of a step's tasks, in millicores.
 fn millis(step: &StepSpec) -> f64 {
     // CAST: Exact up to 2^53 thousandths of a processor.
     step.size.cpu_millis as f64
--- a/crates/dispatch/src/start_window.rs
+++ b/crates/dispatch/src/start_window.rs
@@ -1,24 +1,26 @@
-//! How many orders may be under way at a time.
+//! Limit on the number of orders in flight.
 
 use std::time::Duration;
 
-/// How many orders may be under way at first: some 10 ms each, so that this is 6,000 a second.
+/// The initial limit. An order takes some 10 ms, so this allows 6,000 a second.
 const FIRST: usize = 64;
-/// How few at the least: the owner must get on.
+/// The lowest limit: the owner must continue to make progress.
 const LEAST: usize = 8;
-/// How many at most: 770 starts a second, each under way for up to 0.6 s.
+/// The highest limit: 770 starts a second, each in flight for up to 0.6 s.
 const MOST: usize = 512;
-/// How late the process's own timers are when it has more to do than its share of a processor allows. A wake-up on an
-/// idle VM is some milliseconds late; an order counts as lost after 600 ms.
+/// The timer lag from which the process counts as overloaded. A wake-up on an idle VM is some
+/// milliseconds late; an order counts as lost after 600 ms.
 const LATE: Duration = Duration::from_millis(60);
-/// The pause between two cuts: what was sent before a cut still makes timers late.
+/// The minimum interval between two reductions of the limit: orders sent before a reduction still
+/// delay the timers.
 const CUT_EVERY: Duration = Duration::from_millis(100);
 
-/// How many orders may be under way at a time.
+/// Limits the number of orders in flight by the lag of the process's own timers.
 ///
-/// An owner on a small VM that sends hundreds of starts at once hears the answers too late, takes them for lost,
-/// orders stops, and is kept so busy by these that it never gets out of it, though every worker is well. Its own
-/// timers tell it: when they are late, fewer orders go out. Lost answers tell nothing: the workers may be at fault.
+/// An owner on a small VM that sends hundreds of starts at once processes the answers too late,
+/// takes them for lost, orders stops, and stays overloaded by these although every worker is
+/// healthy. The lag of its own timers reveals the overload, and fewer orders are sent. Lost answers
+/// are no indication: the workers may be the cause.
 #[derive(Debug)]
 pub(crate) struct StartWindow {
     limit: usize,
@@ -37,7 +39,8 @@
 }
 
 impl StartWindow {
-    /// Takes note of how late the process's timers are.
+    /// Adjusts the limit to the lag of the process's timers: additive increase, multiplicative
+    /// decrease.
     pub(crate) fn note_lag(&mut self, lag: Duration, now: Duration) {
         if lag < LATE {
             self.limit = (self.limit + 1).min(MOST);
@@ -50,7 +53,7 @@
         self.limit = (self.limit / 2).max(LEAST);
     }
 
-    /// Returns how many more orders may be sent.
+    /// Returns how many more orders may be sent now.
     pub(crate) fn room(&self) -> usize {
         self.limit.saturating_sub(self.under_way)
     }
--- a/crates/dispatch/src/step_rank.rs
+++ b/crates/dispatch/src/step_rank.rs
@@ -1,4 +1,4 @@
-//! Which step goes first.
+//! Order in which steps are planned.
 
 use std::time::Duration;
 
@@ -9,44 +9,48 @@
     job_state::JobState, //
 };
 
-/// How many times its objective a job may take until nobody waits for it any more.
+/// The factor of its objective beyond which a job counts as expired.
 const HOPELESS: f64 = 3.0;
-/// After how long without a run a long-running task comes before short ones: earlier, short ones lose on full pools, and
-/// services win nothing.
+/// The wait after which a long-running task is planned before short ones. With a shorter wait,
+/// short tasks lose on full pools while services gain nothing.
 const LASTING_WAIT: Duration = Duration::from_millis(5000);
-/// How long before a step's latest start room begins to be kept for it: what runs there ends within about that time.
+/// The time before a step's latest start from which free capacity is reserved for it: runs on the
+/// workers end within about that time.
 const PRESSING: Duration = Duration::from_millis(1000);
 
-/// The rank of a step: the least goes first.
+/// Rank of a step; the lowest is planned first. The fields are compared in their order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct StepRank {
+    /// The priority of the job's queue; 0 is first.
     priority: u32,
     lateness: Lateness,
-    /// Whether nothing of the job has started: what is begun is finished first.
+    /// Whether no task of the job has started: started jobs are finished first.
     fresh: bool,
+    /// The latest time at which the step can start for the job to meet its objective; for
+    /// long-running steps, since when they wait, or `Duration::MAX` while they yield.
     latest_start: Duration,
 }
 
-/// Whether a job can still be in time.
+/// Whether a job can still meet its objective.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Lateness {
-    /// It can be in time.
+    /// The job can meet its objective.
     InTime,
-    /// It will be late.
+    /// The job will miss its objective.
     Late,
-    /// Nobody waits for it any more.
+    /// The job will take so much longer than its objective that it is assumed nobody waits for it.
     Hopeless,
 }
 
 impl StepRank {
-    /// Tells whether a step should start soon, and is not given up.
+    /// Returns whether a step should start soon and its job has not expired.
     pub(crate) fn is_pressing(&self, now: Duration) -> bool {
         self.latest_start <= now + PRESSING && self.lateness != Lateness::Hopeless
     }
 }
 
 impl Dispatcher {
-    /// Ranks a step of a job.
+    /// Returns the rank of a job's step.
     pub(crate) fn rank(&self, job: &JobState, step: StepKey, now: Duration) -> StepRank {
         let rule = self.rules.get(&job.queue);
         let priority = rule.map_or(u32::MAX, |rule| rule.priority);
@@ -55,8 +59,9 @@
             let patient = switches.has(PolicyPart::LongRunningLast);
             let waiting = job.waits_since(step.occurrence, step.step);
             let starves = !patient || now >= waiting + LASTING_WAIT;
-            // What stays for good waits behind what comes and goes: it would fill the pool, and keep out all else.
-            // It does not wait for long: its own callers do without it.
+            // Long-running tasks yield to short ones at first: they would fill the pool and keep
+            // out all others. They do not yield for long, because their service's callers wait as
+            // well.
             return StepRank {
                 priority,
                 lateness: Lateness::InTime,
--- a/crates/dispatch/src/step_spec.rs
+++ b/crates/dispatch/src/step_spec.rs
@@ -1,4 +1,4 @@
-//! One step of a job: equal tasks.
+//! Definition of a step of a job.
 
 use std::{
     sync::Arc,
@@ -11,56 +11,58 @@
     Serialize, //
 };
 
-/// One step of a job: equal tasks.
+/// Definition of a step of a job: a number of equal tasks.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StepSpec {
-    /// How many tasks it has.
+    /// The number of tasks.
     pub count: u32,
-    /// What each task is declared to need.
+    /// The CPU and memory that each task declares to need.
     pub size: ResourceAmount,
-    /// How long a task is declared to run; a rough figure.
+    /// The declared run time of a task; a rough value.
     pub estimate: Duration,
-    /// The steps whose tasks must all be done first.
+    /// The steps whose tasks must all be done before this step starts.
     pub after: Vec<u16>,
-    /// Whether the tasks work only together.
+    /// Whether the tasks form a gang: they run only all together.
     pub gang: bool,
-    /// Whether the tasks are slower on more than one rack.
+    /// Whether the tasks are slower when spread over more than one rack.
     pub rack_sensitive: bool,
-    /// A label that the worker must have.
+    /// A label that the worker must have; `None` allows any worker.
     pub label: Option<Arc<str>>,
-    /// The rack where its data is.
+    /// The rack where the step's data is stored, if known.
     pub data_rack: Option<Arc<str>>,
-    /// The most tasks of the step that may run on one worker.
+    /// The maximum number of the step's tasks on one worker; `None` for no limit.
     pub spread: Option<u32>,
-    /// Whether copies of a task may run side by side.
+    /// Whether several runs of a task may execute at the same time.
     pub copies: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks are long-running: they run until the job is cancelled.
     pub lasting: bool,
-    /// Whether a task saves its progress.
+    /// Whether a task saves checkpoints, from which a later run resumes.
     pub checkpoints: bool,
-    /// What its tasks run; tasks of one image behave alike.
+    /// The image that the tasks run; tasks of one image are assumed to behave alike.
     pub image: Option<Arc<str>>,
-    /// The tail latency that its tasks must stay below, if they serve requests.
+    /// The tail latency that the tasks must stay below, if they serve requests.
     pub target: Option<Duration>,
-    /// Whether it takes only the processors that other tasks leave unused.
+    /// Whether the tasks are fillers: best-effort tasks that use only CPU that other tasks leave
+    /// idle.
     pub filler: bool,
-    /// How many of its lasting tasks may be away at a time by the scheduler's own acts.
+    /// The maximum number of the step's long-running tasks that the scheduler itself may make
+    /// unavailable at a time.
     pub may_miss: u32,
 }
 
-/// How a step's tasks use their worker's processors.
+/// How a step's tasks use their worker's CPU.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkKind {
-    /// They set processors aside until their job is cancelled.
+    /// The tasks reserve CPU until their job is cancelled.
     LongRunning,
-    /// They set processors aside until they are done.
+    /// The tasks reserve CPU until they are done.
     Short,
-    /// They use what the others leave unused.
+    /// The tasks reserve no CPU and use what the others leave idle (best-effort).
     Filler,
 }
 
 impl StepSpec {
-    /// Returns how its tasks use their worker's processors.
+    /// Returns how the step's tasks use their worker's CPU.
     pub fn kind(&self) -> WorkKind {
         match (self.filler, self.lasting) {
             (true, _) => WorkKind::Filler,
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Returns what a task sets aside on its worker: a filler's processors are not counted.
+    /// Returns the capacity that a task reserves on its worker; a filler reserves memory only.
     pub fn reserved(&self) -> ResourceAmount {
         let mut size = self.size;
         if self.filler {
--- a/crates/dispatch/src/task_key.rs
+++ b/crates/dispatch/src/task_key.rs
@@ -1,4 +1,4 @@
-//! The identity of a task, and of the step that it belongs to.
+//! Identifiers of steps and tasks.
 
 use std::str::FromStr;
 
@@ -6,42 +6,42 @@
 
 use crate::JobKey;
 
-/// One step of one occurrence of a job.
+/// Identifies one step of one occurrence of a job.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{job}.{occurrence}.{step}")]
 pub struct StepKey {
-    /// The job.
+    /// The job that the step belongs to.
     pub job: JobKey,
-    /// Which occurrence of a repeated job; 0 for a job that runs once.
+    /// The number of the occurrence of a repeated job, from 0; 0 for a job that runs once.
     pub occurrence: u32,
     /// The step's number, from 0.
     pub step: u16,
 }
 
-/// One task of a step.
+/// Identifies one task of a step.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{step}.{index}")]
 pub struct TaskKey {
-    /// The step.
+    /// The step that the task belongs to.
     pub step: StepKey,
     /// The task's number in its step, from 0.
     pub index: u32,
 }
 
-/// A text that is no identity of a task.
+/// Error for a text that is not a valid task identifier.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-#[display("a task's identity is a job's and three numbers, with dots between")]
+#[display("a task identifier has the form <job>.<occurrence>.<step>.<index>")]
 pub struct TaskKeyError;
 
 impl StepKey {
-    /// Returns the key of one of its tasks.
+    /// Returns the key of one of the step's tasks.
     pub fn task(self, index: u32) -> TaskKey {
         TaskKey { step: self, index }
     }
 }
 
 impl TaskKey {
-    /// Returns the job that it belongs to.
+    /// Returns the job that the task belongs to.
     pub fn job(self) -> JobKey {
         self.step.job
     }
@@ -67,6 +67,7 @@
     }
 }
 
+/// Parses the next of the dot-separated parts.
 fn part<'a, Value>(parts: &mut impl Iterator<Item = &'a str>) -> Result<Value, TaskKeyError>
 where
     Value: FromStr,
--- a/crates/dispatch/src/wait_note.rs
+++ b/crates/dispatch/src/wait_note.rs
@@ -1,43 +1,45 @@
-//! Why a task waits.
+//! Explanation of why a step waits, for the log.
 
 use crate::StepKey;
 
-/// Why the tasks of a step wait although they should have started: how many workers speak against it, and by what.
+/// Number of workers that were rejected for a step that should have started, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct WaitReasons {
-    /// Workers without enough free processors.
+    /// Workers without enough free CPU.
     pub processors: usize,
     /// Workers without enough free memory.
     pub memory: usize,
-    /// Workers that leave, that are not listed, or whose failure domain is closed.
+    /// Workers that are draining, unlisted, in maintenance or in a closed failure domain.
     pub leaving: usize,
-    /// Workers that did not answer, or were not heard since the owner changed.
+    /// Workers that did not answer the last call, or have not answered since the owner changed.
     pub silent: usize,
-    /// Workers that are set aside since runs failed there.
+    /// Workers quarantined because runs failed or got stuck there.
     pub set_aside: usize,
-    /// Workers without the label, of another pool, or with as many of the step's tasks as may be there.
+    /// Workers of another pool, without the required label, or that already run as many of the
+    /// step's tasks as its spread allows.
     pub unfit: usize,
-    /// Workers whose room is kept for what waited longer.
+    /// Workers whose free capacity is reserved for steps that have waited longer.
     pub kept: usize,
-    /// Workers whose processors are believed to be in use, by services or by other fillers.
+    /// Workers whose unreserved CPU is estimated to be in use by services or other fillers.
     pub busy: usize,
-    /// Workers where a service was too slow just now.
+    /// Workers where a service was too slow a moment ago.
     pub shielded: usize,
-    /// Workers where the effect of another newcomer on a service is not seen yet.
+    /// Workers where the effect of another, recently placed filler is not visible yet.
     pub learning: usize,
-    /// Workers where a service would be slowed too much.
+    /// Workers where the filler would slow a service down too much.
     pub harm: usize,
-    /// Workers that have room and that no ticket names, or that were chosen for the step's other tasks.
+    /// Workers with free capacity for which there is no ticket, or that were used for other tasks
+    /// of the step.
     pub other: usize,
 }
 
 /// A step that waits although it should have started.
 #[derive(Clone, Debug)]
 pub struct WaitNote {
-    /// The step.
+    /// The waiting step.
     pub step: StepKey,
-    /// How many of its tasks have no place.
+    /// The number of its tasks for which no worker was found.
     pub missing: usize,
-    /// What speaks against the workers.
+    /// The number of workers rejected for each reason.
     pub reasons: WaitReasons,
 }
--- a/crates/dispatch/src/worker_clock.rs
+++ b/crates/dispatch/src/worker_clock.rs
@@ -1,20 +1,21 @@
-//! What is known of a worker's clock, and when its lease has surely lapsed.
+//! Estimate of a worker's clock, and the expiry of its lease.
 
 use std::time::Duration;
 
-/// The share of true time that a worker's clock counts at the least, in hundredths; the platform's
-/// pages allow it to be 2% slow.
+/// The lowest rate of a worker's clock, in percent of true time; the platform's documentation
+/// allows it to be 2% slow.
 const SLOWEST_HUNDREDTHS: u32 = 98;
-/// What is added before a lease counts as lapsed: reading and acting take a moment.
+/// The margin before a lease counts as lapsed: reading the clock and acting on it take a moment.
 const LAPSE_MARGIN: Duration = Duration::from_millis(50);
 
-/// What is known of a worker's clock, and when its lease has surely lapsed.
+/// Estimate of a worker's clock, and the deadline of the lease granted to it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerClock {
     reading: Option<ClockReading>,
     deadline: Option<Duration>,
 }
 
+/// One reading of the worker's clock: its value, and when it was received on this process's clock.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     value: Duration,
@@ -22,7 +23,7 @@
 }
 
 impl WorkerClock {
-    /// Takes note of a reading that was heard at `now`.
+    /// Records a reading of the worker's clock that was received at `now`.
     pub fn hear(&mut self, value: Duration, now: Duration) {
         let newer = self.reading.is_none_or(|reading| value >= reading.value);
         if newer {
@@ -30,12 +31,13 @@
         }
     }
 
-    /// Tells whether the worker's clock was ever read.
+    /// Returns whether the worker's clock was ever read.
     pub fn is_known(&self) -> bool {
         self.reading.is_some()
     }
 
-    /// Returns the deadline of a lease that begins at `now` and takes note that it is given.
+    /// Grants a lease that begins at `now` and returns its deadline on the worker's clock; `None`
+    /// while that clock is unknown.
     pub fn grant(&mut self, lease: Duration, now: Duration) -> Option<Duration> {
         let reading = self.reading?;
         let clock = reading.value + now.saturating_sub(reading.heard);
@@ -44,8 +46,8 @@
         Some(deadline)
     }
 
-    /// Tells whether every lease that was given has surely lapsed by `now`: also if the worker's
-    /// clock is as slow as it may be.
+    /// Returns whether every granted lease has certainly lapsed by `now`, even if the worker's
+    /// clock is as slow as allowed.
     pub fn has_lapsed(&self, now: Duration) -> bool {
         let (Some(reading), Some(deadline)) = (self.reading, self.deadline) else {
             return false;
@@ -57,7 +59,7 @@
         reading.value + surely > deadline
     }
 
-    /// Returns how long at most a lease of this length lasts in true time.
+    /// Returns the longest true time that a lease of this duration can last.
     pub fn longest(lease: Duration) -> Duration {
         lease * 100 / SLOWEST_HUNDREDTHS + LAPSE_MARGIN
     }
--- a/crates/dispatch/src/worker_health.rs
+++ b/crates/dispatch/src/worker_health.rs
@@ -1,20 +1,20 @@
-//! Whether a worker does its work.
+//! Health of a worker, and its quarantine.
 
 use std::time::Duration;
 
 use crate::TaskKey;
 
-/// Runs that failed in a row, of different tasks, until a worker is set aside: with one task in
-/// twenty failing of itself, two in a row are one in 400.
+/// The number of consecutive failed runs, of different tasks, after which a worker is quarantined:
+/// with one task in twenty failing by its own fault, two in a row happen once in 400.
 const FAILURES_IN_A_ROW: usize = 2;
-/// How long a worker is set aside at first.
+/// The duration of a worker's first quarantine.
 const FIRST_REST: Duration = Duration::from_secs(2);
-/// How long at most: a worker that is well again is found within this time.
+/// The longest quarantine: a worker that has recovered is found within this time.
 const LONGEST_REST: Duration = Duration::from_secs(8);
-/// How long a failure speaks against a worker where another would do as well.
+/// The time after a failure during which other workers are preferred.
 const MEMORY: Duration = Duration::from_secs(10);
 
-/// Whether a worker does its work, from how its runs end.
+/// Health of a worker, judged by the results of its runs.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerHealth {
     failed: Vec<TaskKey>,
@@ -24,14 +24,14 @@
 }
 
 impl WorkerHealth {
-    /// Takes note of a run that ended as it should.
+    /// Records a successful run: ends the quarantine and forgets earlier failures.
     pub(crate) fn note_done(&mut self) {
         self.failed.clear();
         self.rest = None;
         self.rest_until = None;
     }
 
-    /// Takes note of a run that failed, or that stood still.
+    /// Records a run that failed or got stuck.
     pub(crate) fn note_failure(&mut self, task: TaskKey, now: Duration) {
         self.last_failure = Some(now);
         if !self.failed.contains(&task) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Sets the worker aside, each time for twice as long.
+    /// Quarantines the worker, each time for twice as long as before.
     pub(crate) fn set_aside(&mut self, now: Duration) {
         let rest = self
             .rest
@@ -51,17 +51,18 @@
         self.rest_until = Some(now + rest);
     }
 
-    /// Tells whether nothing is to be started on it.
+    /// Returns whether the worker is quarantined: nothing may be started on it.
     pub(crate) fn rests(&self, now: Duration) -> bool {
         self.rest_until.is_some_and(|until| now < until)
     }
 
-    /// Returns since when it has been back from a rest, if it has not done anything since: one task probes it.
+    /// Returns when the worker's last quarantine ends or ended, if no run has succeeded since;
+    /// until then one task at a time probes the worker.
     pub(crate) fn on_probation_since(&self) -> Option<Duration> {
         self.rest_until
     }
 
-    /// Tells whether something failed there lately.
+    /// Returns whether a run failed on the worker recently.
     pub(crate) fn is_doubtful(&self, now: Duration) -> bool {
         self.last_failure.is_some_and(|at| now < at + MEMORY)
     }
--- a/crates/dispatch/src/worker_key.rs
+++ b/crates/dispatch/src/worker_key.rs
@@ -1,19 +1,19 @@
-//! The key of a worker in its owner's arena.
+//! Index of a worker in its owner's list of workers.
 
 use derive_more::Display;
 
-/// The key of a worker in its owner's arena.
+/// Index of a worker in its owner's list of workers; valid only in the dispatcher that assigned it.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkerKey(u32);
 
 impl WorkerKey {
-    /// Creates the key of a place in the arena.
+    /// Creates a key from an index.
     pub fn new(place: usize) -> Self {
-        // CAST: An arena holds some thousand workers.
+        // // CAST: A list holds some thousand workers.
         Self(place as u32)
     }
 
-    /// Returns the place in the arena.
+    /// Returns the index.
     pub fn place(self) -> usize {
         // CAST: From 32 bits to at least as many.
         self.0 as usize
--- a/crates/dispatch/src/worker_order.rs
+++ b/crates/dispatch/src/worker_order.rs
@@ -1,4 +1,4 @@
-//! What a worker is told.
+//! Orders and lease renewals sent to workers, and their outcomes.
 
 use std::{
     sync::Arc,
@@ -11,92 +11,92 @@
     WorkerKey, //
 };
 
-/// An order to start a run.
+/// Order to start a run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartOrder {
-    /// The worker.
+    /// The worker that receives the order.
     pub worker: WorkerKey,
-    /// The task.
+    /// The task to run.
     pub task: TaskKey,
-    /// The run.
+    /// The new run's number.
     pub run: RunNumber,
-    /// What the task is told.
+    /// The job's payload, passed to the task.
     pub payload: Arc<str>,
-    /// Where it goes on from.
+    /// The checkpoint from which the task resumes; `None` to start from the beginning.
     pub checkpoint: Option<Arc<str>>,
-    /// The ticket that its worker wants to see.
+    /// The advice service's ticket, if the worker requires one.
     pub ticket: Option<Arc<str>>,
 }
 
-/// What a worker is told.
+/// Order to a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerOrder {
-    /// Start a run.
+    /// Starts a run.
     Start(StartOrder),
-    /// Stop a run, and never start it later.
+    /// Stops a run. The worker must not start the run afterwards either.
     Stop {
-        /// The worker.
+        /// The worker that receives the order.
         worker: WorkerKey,
-        /// The task.
+        /// The task of the run.
         task: TaskKey,
-        /// The run.
+        /// The run's number.
         run: RunNumber,
     },
-    /// Let a run work at this share.
+    /// Throttles a run.
     Pace {
-        /// The worker.
+        /// The worker that receives the order.
         worker: WorkerKey,
-        /// The task.
+        /// The task of the run.
         task: TaskKey,
-        /// The run.
+        /// The run's number.
         run: RunNumber,
-        /// The share, in hundredths.
+        /// The throttle factor in percent; 100 is unthrottled.
         percent: u32,
     },
 }
 
-/// How an order went.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderEnd {
-    /// It was carried out.
+    /// The worker carried the order out.
     Taken,
-    /// It was refused, and nothing was done.
+    /// The order was refused and had no effect.
     Refused(OrderRefusal),
-    /// No answer came: it may have been carried out, or be carried out later.
+    /// No answer came: the order may have been carried out, or may be carried out later.
     Unknown,
 }
 
-/// Why a worker refused an order.
+/// Reason for which an order was refused or not sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderRefusal {
-    /// It follows a newer owner.
+    /// The worker follows an owner with a newer fencing token.
     Fenced,
-    /// The run, or a higher one, has ended there.
+    /// The run, or one with a higher number, has already ended on the worker.
     Old,
-    /// The order came after its deadline.
+    /// The order arrived after its deadline.
     Late,
-    /// There is no room.
+    /// The worker lacks free capacity.
     Room,
-    /// Its ticket does not hold.
+    /// The ticket is invalid or has expired.
     Ticket,
-    /// The worker is not well, or another life of it answered.
+    /// The worker is unhealthy, or another incarnation of it answered.
     Unwell,
-    /// No byte of it was sent: there was no connection.
+    /// There was no connection, and no byte of the order was sent.
     Unsent,
     /// Nothing listens at the worker's address.
     Closed,
-    /// The worker can't read it.
+    /// The worker cannot parse the order.
     Malformed,
 }
 
-/// What a renewal of a worker's lease says.
+/// Lease renewal sent to a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HoldOrder {
-    /// Until when everything there may run, on the worker's clock; nothing on the first contact,
-    /// when its clock is not known.
+    /// The time until which the worker may execute its runs, on the worker's clock; `None` on the
+    /// first contact, when that clock is unknown, and if no lease is granted.
     pub deadline: Option<Duration>,
-    /// The last end that is on record.
+    /// The number of the last completion that is on record; 0 for none.
     pub acknowledged: u64,
-    /// How long the worker waits for an end before it answers.
+    /// The longest time that the worker waits for a completion before it answers.
     pub wait: Duration,
 }
