--- a/crates/dispatch/src/worker_state.rs
+++ b/crates/dispatch/src/worker_state.rs
@@ -1,4 +1,4 @@
-//! A worker as its owner knows it.
+//! The owner's view of a worker.
 
 use std::{
     collections::VecDeque,
@@ -24,59 +24,63 @@
     worker_health::WorkerHealth, //
 };
 
-/// The time of which a worker's figures are: of the last half second, and some time old.
+/// The time span that a worker's metrics reflect: they cover half a second and arrive some time
+/// later.
 const FIGURES_OF: Duration = Duration::from_millis(700);
-/// The share of what a service's task sets aside that it is believed to use before its load was seen.
+/// The share of its reserved CPU that a service's task is assumed to use before its load has been
+/// observed.
 const USUAL_USE: f64 = 0.6;
-/// The shares between which it is believed to be: a tail is a rough figure.
+/// The bounds of that share: the load derived from a tail latency is rough.
 const LEAST_USE: f64 = 0.25;
 const MOST_USE: f64 = 0.75;
 
-/// A worker as its owner knows it.
+/// The owner's view of a worker: its registry record, lease, runs and metrics.
 #[derive(Debug)]
 pub(crate) struct WorkerState {
     pub(crate) record: FleetWorker,
-    /// Whether the registry lists it.
+    /// Whether the registry lists the worker.
     pub(crate) listed: bool,
     pub(crate) clock: WorkerClock,
-    /// Whether it has answered to this owner's token in this life of it.
+    /// Whether the worker's current incarnation has answered a call with this owner's fencing
+    /// token.
     pub(crate) fenced: bool,
-    /// Until when it may go on with what a former owner told it, if it has not answered.
+    /// The time until which the worker may execute a former owner's orders; `None` once it has
+    /// answered this owner.
     pub(crate) inherited_until: Option<Duration>,
-    /// When its last answer came.
+    /// When the worker last answered.
     pub(crate) heard: Option<Duration>,
-    /// How many calls in a row got no answer.
+    /// The number of consecutive calls without an answer.
     pub(crate) unanswered: u32,
-    /// Whether nothing listened at its address when it was last called.
+    /// Whether the last call found nothing listening at the worker's address.
     pub(crate) closed: bool,
     pub(crate) born: Option<Duration>,
     pub(crate) runs: IndexMap<(TaskKey, RunNumber), RunState>,
     pub(crate) reserved: ResourceAmount,
     pub(crate) filler_cpu: u64,
-    /// What services' tasks set aside of the processors, in thousandths.
+    /// The CPU that services' tasks reserve, in millicores.
     pub(crate) service_cpu: u64,
-    /// What long-running tasks set aside of the processors, in thousandths.
+    /// The CPU that long-running tasks reserve, in millicores.
     pub(crate) long_running_cpu: u64,
-    /// What services are believed to use of what they set aside.
+    /// The CPU that services are estimated to use of what they reserve, in millicores.
     pub(crate) service_use: u64,
-    /// The last end that was looked at.
+    /// The number of the last completion processed.
     pub(crate) processed: u64,
-    /// The last end that is on record.
+    /// The number of the last completion that is on record and may be acknowledged.
     pub(crate) acknowledged: u64,
-    /// Ends that were looked at, with the commit that puts each on record.
+    /// Completions processed but not yet on record: their number and the change that records each.
     pub(crate) pending_acks: VecDeque<(u64, u64)>,
-    /// Whether it is emptied for its VM's upkeep.
+    /// Whether the worker is being drained for maintenance of its VM.
     pub(crate) upkeep: bool,
     pub(crate) health: WorkerHealth,
     pub(crate) watch: ServiceWatch,
-    /// When its services' figures were last learned from.
+    /// When the model last learned from the worker's metrics.
     pub(crate) learned: Option<Duration>,
-    /// The fillers that left it just now, and when: figures still show them.
+    /// Fillers that ended recently, with the time: the metrics still reflect them.
     pub(crate) departed: Vec<(FillerPresence, Duration)>,
-    /// How often it has changed.
+    /// The number of changes so far; invalidates the service snapshot.
     pub(crate) version: u64,
     pub(crate) view: ServiceView,
-    /// The last plan before it last changed.
+    /// The number of the last plan made before the worker last changed.
     pub(crate) changed: u64,
 }
 
@@ -112,18 +116,21 @@
         }
     }
 
+    /// Returns the unreserved capacity.
     pub(crate) fn free(&self) -> ResourceAmount {
         self.record.capacity.saturating_sub(self.reserved)
     }
 
-    /// Returns the processors that nothing is believed to use, in thousandths; negative if fillers
-    /// want more than there is. Services set aside what their peak needs and use as much as their load.
+    /// Returns the CPU that is estimated to be idle, in millicores; negative if fillers declare
+    /// more than there is. Services reserve CPU for their peak and use it in proportion to their
+    /// load.
     pub(crate) fn idle_cpu(&self) -> i64 {
         let unused = signed(self.service_cpu) - signed(self.service_use);
         signed(self.free().cpu_millis) + unused - signed(self.filler_cpu)
     }
 
-    /// Returns the fillers that its services' figures show, those that came or left just now in part if `fading`.
+    /// Returns the fillers that the services' metrics reflect. If `fading`, fillers that started or
+    /// ended recently count in proportion to the time that the metrics cover.
     pub(crate) fn company(&mut self, now: Duration, fading: bool) -> Vec<FillerPresence> {
         let shown = |since: Duration| {
             if !fading {
@@ -148,18 +155,19 @@
         gone.chain(present).collect()
     }
 
-    /// Returns what short tasks set aside of the processors, in thousandths.
+    /// Returns the CPU that short tasks reserve, in millicores.
     pub(crate) fn short_cpu(&self) -> u64 {
         self.reserved
             .cpu_millis
             .saturating_sub(self.long_running_cpu)
     }
 
+    /// Returns the CPU capacity in millicores, at least 1.
     pub(crate) fn processors(&self) -> f64 {
         self.record.capacity.cpu_millis.max(1) as f64
     }
 
-    /// Returns by how much its fillers, at full pace, raise the load of an image that serves.
+    /// Returns the load that the worker's fillers, unthrottled, add to a service image.
     pub(crate) fn fillers_effect(&self, service: &Arc<str>, harm: &HarmModel) -> f64 {
         let fillers = self.runs.values().filter(|run| run.is_filler());
         let effects = fillers.filter_map(|run| {
@@ -169,7 +177,7 @@
         effects.sum()
     }
 
-    /// Works out anew what its services use.
+    /// Recomputes the CPU that the services are estimated to use.
     pub(crate) fn weigh_services(&mut self, now: Duration) {
         let services = self.runs.values().filter(|run| run.target.is_some());
         let used = services.map(|run| {
@@ -182,6 +190,7 @@
         self.service_use = used.sum::<f64>() as u64;
     }
 
+    /// Adds a run and reserves its capacity.
     pub(crate) fn add(&mut self, run: RunNumber, state: RunState) {
         self.reserved += state.reserved;
         self.filler_cpu += state.filler_cpu;
@@ -192,6 +201,7 @@
         self.weigh_services(now);
     }
 
+    /// Removes a run and releases its capacity.
     pub(crate) fn drop_run(&mut self, task: TaskKey, run: RunNumber, now: Duration) {
         let Some(state) = self.runs.swap_remove(&(task, run)) else {
             return;
@@ -215,13 +225,14 @@
         self.weigh_services(now);
     }
 
-    /// Tells whether it has left, and runs nothing any more: it said that it would, its entry is gone, and
-    /// nothing listens at its address. One of these alone may also be a cut.
+    /// Returns whether the worker has certainly left: it announced that it would, the registry no
+    /// longer lists it, and nothing listens at its address. Each of these alone may also be a
+    /// network partition.
     pub(crate) fn has_left(&self) -> bool {
         self.record.draining && !self.listed && self.closed
     }
 
-    /// Forgets everything that a former life of it ran and said.
+    /// Discards everything that depends on the worker's previous incarnation.
     pub(crate) fn forget_life(&mut self) {
         self.clock = WorkerClock::default();
         self.fenced = false;
@@ -233,7 +244,7 @@
         self.watch = ServiceWatch::default();
     }
 
-    /// Moves the acknowledgement forward over the ends that are on record by `committed`.
+    /// Advances the acknowledgement over the completions whose change is at most `committed`.
     pub(crate) fn acknowledge(&mut self, committed: u64) {
         while let Some(&(number, commit)) = self.pending_acks.front() {
             if commit > committed {
@@ -244,16 +255,19 @@
         }
     }
 
-    /// Tells whether fillers gave way to its services lately, so that no more of them should come.
+    /// Returns whether one of its services was too slow recently, so that no more fillers should be
+    /// placed.
     pub(crate) fn shields_services(&self, now: Duration) -> bool {
         self.watch.is_active(now) && self.serves()
     }
 
+    /// Returns whether a service's task runs on the worker.
     pub(crate) fn serves(&self) -> bool {
         self.runs.values().any(|run| run.target.is_some())
     }
 }
 
+/// Converts an amount to a signed number, saturating.
 pub(crate) fn signed(amount: u64) -> i64 {
     i64::try_from(amount).unwrap_or(i64::MAX)
 }
