--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -11,7 +11,7 @@
 use crate::JobKey;
 
 /// The lifetime of a grant for a job that is not on record yet.
-const GRANT_LIFE: Duration = Duration::from_secs(10);
+const GRANT_TTL: Duration = Duration::from_secs(10);
 
 /// Admission decision for a job.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -37,23 +37,23 @@
 
 /// Grants of long-running jobs that are not known to be on record yet.
 #[derive(Debug, Default)]
-pub(crate) struct GrantLedger {
+pub(crate) struct AdmissionGrants {
     grants: IndexMap<JobKey, (u64, Duration)>,
 }
 
-impl GrantLedger {
+impl AdmissionGrants {
     /// Records a grant of this CPU, in millicores.
     pub(crate) fn grant(&mut self, key: JobKey, demand: u64, now: Duration) {
-        self.grants.insert(key, (demand, now + GRANT_LIFE));
+        self.grants.insert(key, (demand, now + GRANT_TTL));
     }
 
     /// Removes the grant of a job that is on record.
-    pub(crate) fn settle(&mut self, key: JobKey) {
+    pub(crate) fn remove(&mut self, key: JobKey) {
         self.grants.swap_remove(&key);
     }
 
     /// Returns whether a job has an unexpired grant.
-    pub(crate) fn holds(&self, key: JobKey, now: Duration) -> bool {
+    pub(crate) fn contains(&self, key: JobKey, now: Duration) -> bool {
         self.grants.get(&key).is_some_and(|(_, until)| now < *until)
     }
 
--- a/crates/dispatch/src/commit_ledger.rs
+++ b/crates/dispatch/src/commit_tracker.rs
@@ -11,24 +11,24 @@
 /// changes up to the moment at which it was taken, so only each job's first uncommitted change has
 /// to be known.
 #[derive(Debug, Default)]
-pub(crate) struct CommitLedger {
-    changes: u64,
-    dirty: IndexMap<JobKey, u64>,
+pub(crate) struct CommitTracker {
+    last_change: u64,
+    uncommitted: IndexMap<JobKey, u64>,
     in_flight: IndexMap<JobKey, (u64, Option<JobOutcome>)>,
 }
 
-impl CommitLedger {
+impl CommitTracker {
     /// Records a change of a job and returns its number.
-    pub(crate) fn note(&mut self, job: JobKey) -> u64 {
-        self.changes += 1;
-        self.dirty.entry(job).or_insert(self.changes);
-        self.changes
+    pub(crate) fn record_change(&mut self, job: JobKey) -> u64 {
+        self.last_change += 1;
+        self.uncommitted.entry(job).or_insert(self.last_change);
+        self.last_change
     }
 
     /// Moves up to `limit` jobs into the commit in flight and returns them.
-    pub(crate) fn take(&mut self, limit: usize) -> Vec<JobKey> {
-        let count = limit.min(self.dirty.len());
-        let taken: Vec<(JobKey, u64)> = self.dirty.drain(..count).collect();
+    pub(crate) fn take_jobs(&mut self, limit: usize) -> Vec<JobKey> {
+        let count = limit.min(self.uncommitted.len());
+        let taken: Vec<(JobKey, u64)> = self.uncommitted.drain(..count).collect();
         let keys = taken.iter().map(|&(key, _)| key).collect();
         for (key, change) in taken {
             self.in_flight.insert(key, (change, None));
@@ -37,14 +37,14 @@
     }
 
     /// Stores the outcome that a job's record in flight contains.
-    pub(crate) fn carry(&mut self, job: JobKey, outcome: Option<JobOutcome>) {
+    pub(crate) fn set_outcome(&mut self, job: JobKey, outcome: Option<JobOutcome>) {
         if let Some((_, carried)) = self.in_flight.get_mut(&job) {
             *carried = outcome;
         }
     }
 
     /// Marks the commit in flight as on record and returns the job outcomes that it contained.
-    pub(crate) fn settle(&mut self) -> Vec<(JobKey, JobOutcome)> {
+    pub(crate) fn confirm(&mut self) -> Vec<(JobKey, JobOutcome)> {
         let done = std::mem::take(&mut self.in_flight);
         done.into_iter()
             .filter_map(|(key, (_, outcome))| Some((key, outcome?)))
@@ -52,31 +52,31 @@
     }
 
     /// Marks the commit in flight as failed: its jobs are taken again, before the others.
-    pub(crate) fn give_back(&mut self) {
-        let later = std::mem::take(&mut self.dirty);
+    pub(crate) fn abort(&mut self) {
+        let newer = std::mem::take(&mut self.uncommitted);
         for (key, (change, _)) in std::mem::take(&mut self.in_flight) {
-            self.dirty.insert(key, change);
+            self.uncommitted.insert(key, change);
         }
-        for (key, change) in later {
-            self.dirty.entry(key).or_insert(change);
+        for (key, change) in newer {
+            self.uncommitted.entry(key).or_insert(change);
         }
     }
 
     /// Returns the highest change number up to which all changes are on record.
-    pub(crate) fn on_record(&self) -> u64 {
-        let dirty = self.dirty.values().copied();
-        let flying = self.in_flight.values().map(|&(change, _)| change);
-        dirty
-            .chain(flying)
+    pub(crate) fn committed_through(&self) -> u64 {
+        let uncommitted = self.uncommitted.values().copied();
+        let in_flight = self.in_flight.values().map(|&(change, _)| change);
+        uncommitted
+            .chain(in_flight)
             .min()
-            .map_or(self.changes, |first| first - 1)
+            .map_or(self.last_change, |first| first - 1)
     }
 
-    pub(crate) fn is_clean(&self) -> bool {
-        self.dirty.is_empty()
+    pub(crate) fn is_empty(&self) -> bool {
+        self.uncommitted.is_empty()
     }
 
-    pub(crate) fn is_flying(&self) -> bool {
+    pub(crate) fn is_in_flight(&self) -> bool {
         !self.in_flight.is_empty()
     }
 }
--- a/crates/dispatch/src/decaying_sum.rs
+++ b/crates/dispatch/src/decaying_sum.rs
@@ -10,7 +10,7 @@
     /// The time as of which `sum` is valid.
     at: Duration,
     /// The time of the earliest amount; `None` before any was added.
-    since: Option<Duration>,
+    first_at: Option<Duration>,
 }
 
 impl DecayingSum {
@@ -19,38 +19,38 @@
             half_life,
             sum: 0.0,
             at: Duration::ZERO,
-            since: None,
+            first_at: None,
         }
     }
 
     /// Adds an amount that occurred at `at`.
     pub(crate) fn add(&mut self, amount: f64, at: Duration) {
         if at > self.at {
-            self.sum *= self.left_after(at - self.at);
+            self.sum *= self.decay_factor(at - self.at);
             self.at = at;
         }
-        self.sum += amount * self.left_after(self.at - at);
-        self.since = Some(self.since.map_or(at, |since| since.min(at)));
+        self.sum += amount * self.decay_factor(self.at - at);
+        self.first_at = Some(self.first_at.map_or(at, |first_at| first_at.min(at)));
     }
 
     /// Returns the decayed sum at `now`.
     pub(crate) fn total(&self, now: Duration) -> f64 {
-        self.sum * self.left_after(now.saturating_sub(self.at))
+        self.sum * self.decay_factor(now.saturating_sub(self.at))
     }
 
     /// Returns the average amount per second; 0 if none was added yet. The observation is assumed
     /// to have lasted at least `least`.
     pub(crate) fn rate(&self, now: Duration, least: Duration) -> f64 {
-        let Some(since) = self.since else {
+        let Some(first_at) = self.first_at else {
             return 0.0;
         };
-        let seen = now.saturating_sub(since).max(least);
+        let observed = now.saturating_sub(first_at).max(least);
         let mean_life = self.half_life.as_secs_f64() / std::f64::consts::LN_2;
-        self.total(now) / (mean_life * (1.0 - self.left_after(seen)))
+        self.total(now) / (mean_life * (1.0 - self.decay_factor(observed)))
     }
 
     /// Returns the factor by which an amount decays within `time`.
-    fn left_after(&self, time: Duration) -> f64 {
+    fn decay_factor(&self, time: Duration) -> f64 {
         0.5f64.powf(time.as_secs_f64() / self.half_life.as_secs_f64())
     }
 }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -27,17 +27,17 @@
     TaskKey,
     WorkerKey,
     WorkerOrder,
-    admission::GrantLedger,
-    commit_ledger::CommitLedger,
-    harm_model::HarmModel,
-    hopeless_demand::HopelessDemands,
+    admission::AdmissionGrants,
+    commit_tracker::CommitTracker,
+    interference_model::InterferenceModel,
     job_state::{
         JobState,
         OccurrenceState, //
     },
+    order_window::OrderWindow,
     pool_demand::PoolDemand,
-    service_view::ServiceView,
-    start_window::StartWindow,
+    service_snapshot::ServiceSnapshot,
+    unplaceable_demands::UnplaceableDemands,
     worker_state::WorkerState, //
 };
 
@@ -61,7 +61,7 @@
     Unknown,
     /// Only this owner: it saw a task running on which the step depends, so no former owner can
     /// have opened the step.
-    Own,
+    ThisOwner,
 }
 
 /// Schedules the tasks of the jobs that one owner holds onto that owner's workers.
@@ -74,97 +74,97 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) settings: DispatchSettings,
-    pub(crate) token: u64,
+    pub(crate) fencing_token: u64,
     pub(crate) run_count: u64,
     pub(crate) configuration: Arc<FleetConfiguration>,
     /// The latest known rule of each queue, including removed queues, whose jobs continue.
-    pub(crate) rules: IndexMap<Arc<str>, QueueRule>,
-    pub(crate) closed: BTreeSet<DomainName>,
+    pub(crate) queue_rules: IndexMap<Arc<str>, QueueRule>,
+    pub(crate) closed_domains: BTreeSet<DomainName>,
     pub(crate) workers: Vec<WorkerState>,
-    pub(crate) by_id: IndexMap<Arc<str>, WorkerKey>,
+    pub(crate) worker_keys: IndexMap<Arc<str>, WorkerKey>,
     pub(crate) jobs: IndexMap<JobKey, JobState>,
     /// Steps that may have tasks without a run.
-    pub(crate) open: IndexSet<StepKey>,
+    pub(crate) pending_steps: IndexSet<StepKey>,
     /// Runs to be stopped; an entry stays until its run is gone.
-    pub(crate) stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
+    pub(crate) pending_stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
     /// Orders decided between two plans, to be returned by the next plan.
-    pub(crate) decided: Vec<WorkerOrder>,
-    pub(crate) notes: Vec<DecisionNote>,
-    pub(crate) ledger: CommitLedger,
-    pub(crate) harm: HarmModel,
-    pub(crate) hopeless: HopelessDemands,
+    pub(crate) pending_orders: Vec<WorkerOrder>,
+    pub(crate) pending_notes: Vec<DecisionNote>,
+    pub(crate) commits: CommitTracker,
+    pub(crate) interference: InterferenceModel,
+    pub(crate) unplaceable: UnplaceableDemands,
     /// Workers whose free capacity the current plan reserves for steps that have waited too long.
-    pub(crate) kept: IndexSet<WorkerKey>,
+    pub(crate) reserved_workers: IndexSet<WorkerKey>,
     /// The wall-clock time (since 1970) of the process clock's origin, as of the last reading of
     /// both clocks.
     pub(crate) clock_origin: Duration,
-    pub(crate) window: StartWindow,
+    pub(crate) order_window: OrderWindow,
     /// Whether the last plan deferred starts because too many orders were in flight.
-    pub(crate) held_back: bool,
+    pub(crate) starts_deferred: bool,
     /// The number of plans made so far.
-    pub(crate) plans: u64,
+    pub(crate) plan_count: u64,
     /// Repeated jobs with occurrences still to come, each with the number of the next occurrence.
-    pub(crate) scheduled: IndexMap<JobKey, u32>,
-    pub(crate) demands: IndexMap<Arc<str>, PoolDemand>,
-    pub(crate) grants: GrantLedger,
+    pub(crate) next_occurrences: IndexMap<JobKey, u32>,
+    pub(crate) pool_demands: IndexMap<Arc<str>, PoolDemand>,
+    pub(crate) grants: AdmissionGrants,
     /// When the first plan was made; `None` before it.
-    pub(crate) acting_since: Option<Duration>,
+    pub(crate) first_plan_at: Option<Duration>,
     /// When the last plan was made.
-    pub(crate) planned: Duration,
+    pub(crate) last_plan_at: Duration,
 }
 
 impl Dispatcher {
     /// Creates the dispatcher of the owner with this fencing token.
-    pub fn new(token: u64, settings: DispatchSettings) -> Self {
+    pub fn new(fencing_token: u64, settings: DispatchSettings) -> Self {
         Self {
             settings,
-            token,
+            fencing_token,
             run_count: 0,
             configuration: Arc::new(FleetConfiguration::default()),
-            rules: IndexMap::new(),
-            closed: BTreeSet::new(),
+            queue_rules: IndexMap::new(),
+            closed_domains: BTreeSet::new(),
             workers: Vec::new(),
-            by_id: IndexMap::new(),
+            worker_keys: IndexMap::new(),
             jobs: IndexMap::new(),
-            open: IndexSet::new(),
-            stops: IndexSet::new(),
-            decided: Vec::new(),
-            notes: Vec::new(),
-            ledger: CommitLedger::default(),
-            harm: HarmModel::default(),
-            hopeless: HopelessDemands::default(),
-            kept: IndexSet::new(),
+            pending_steps: IndexSet::new(),
+            pending_stops: IndexSet::new(),
+            pending_orders: Vec::new(),
+            pending_notes: Vec::new(),
+            commits: CommitTracker::default(),
+            interference: InterferenceModel::default(),
+            unplaceable: UnplaceableDemands::default(),
+            reserved_workers: IndexSet::new(),
             clock_origin: Duration::ZERO,
-            window: StartWindow::default(),
-            held_back: false,
-            plans: 0,
-            scheduled: IndexMap::new(),
-            demands: IndexMap::new(),
-            grants: GrantLedger::default(),
-            acting_since: None,
-            planned: Duration::ZERO,
+            order_window: OrderWindow::default(),
+            starts_deferred: false,
+            plan_count: 0,
+            next_occurrences: IndexMap::new(),
+            pool_demands: IndexMap::new(),
+            grants: AdmissionGrants::default(),
+            first_plan_at: None,
+            last_plan_at: Duration::ZERO,
         }
     }
 
     /// Returns the owner's fencing token.
     pub fn token(&self) -> u64 {
-        self.token
+        self.fencing_token
     }
 
     /// Replaces the configuration. Rules of queues that it no longer contains stay in force for
     /// their remaining jobs.
     pub fn configure(&mut self, configuration: Arc<FleetConfiguration>) {
         for (name, rule) in &configuration.queues {
-            self.rules.insert(Arc::clone(name), rule.clone());
+            self.queue_rules.insert(Arc::clone(name), rule.clone());
         }
         self.configuration = configuration;
-        self.hopeless.clear();
+        self.unplaceable.clear();
     }
 
     /// Sets the failure domains in which no run may start.
     pub fn close_domains(&mut self, closed: BTreeSet<DomainName>) {
-        self.closed = closed;
-        self.hopeless.clear();
+        self.closed_domains = closed;
+        self.unplaceable.clear();
     }
 
     /// Adds a job. A job that is already known stays unchanged.
@@ -172,27 +172,27 @@
         if self.jobs.contains_key(&key) {
             return;
         }
-        let chains = job.graph.remaining_chains();
+        let remaining_chains = job.graph.remaining_chains();
         let repeated = job.graph.schedule.is_some();
         let state = JobState {
             queue: job.queue,
-            chains,
+            remaining_chains,
             accepted: job.accepted,
             inherited: job.inherited,
             started: false,
             cancelled: false,
             outcome: None,
-            recorded: None,
+            recorded_outcome: None,
             occurrences: Default::default(),
-            running: 0,
+            run_count: 0,
             idle_since: job.accepted,
-            forced: None,
+            last_forced_search: None,
             graph: job.graph,
         };
         self.jobs.insert(key, state);
-        self.grants.settle(key);
+        self.grants.remove(key);
         match repeated {
-            true => drop(self.scheduled.insert(key, 0)),
+            true => drop(self.next_occurrences.insert(key, 0)),
             false => self.open_occurrence(key, 0),
         }
     }
@@ -208,8 +208,8 @@
         job.cancelled = true;
         job.outcome = Some(JobOutcome::Cancelled);
         // The stored row that requests the cancellation is its record.
-        job.recorded = Some(JobOutcome::Cancelled);
-        self.end_job(key);
+        job.recorded_outcome = Some(JobOutcome::Cancelled);
+        self.stop_job_runs(key);
     }
 
     /// Opens the occurrences that are due at `wall`, the time since 1970 that corresponds to `now`
@@ -217,7 +217,7 @@
     pub fn begin_due(&mut self, wall: Duration, now: Duration) {
         self.clock_origin = wall.saturating_sub(now);
         let due: Vec<(JobKey, u32)> = self
-            .scheduled
+            .next_occurrences
             .iter()
             .filter_map(|(&key, &next)| {
                 let schedule = self.jobs.get(&key)?.graph.schedule?;
@@ -228,15 +228,15 @@
             self.open_occurrence(key, next);
             let count = self.jobs.get(&key).map_or(0, |job| job.graph.occurrences());
             match next + 1 < count {
-                true => drop(self.scheduled.insert(key, next + 1)),
-                false => drop(self.scheduled.shift_remove(&key)),
+                true => drop(self.next_occurrences.insert(key, next + 1)),
+                false => drop(self.next_occurrences.shift_remove(&key)),
             }
         }
     }
 
     /// Returns when the next occurrence is due, since 1970; `None` if none is to come.
     pub fn next_due(&self) -> Option<Duration> {
-        let due = self.scheduled.iter().filter_map(|(key, &next)| {
+        let due = self.next_occurrences.iter().filter_map(|(key, &next)| {
             let schedule = self.jobs.get(key)?.graph.schedule?;
             Some(schedule.due(next))
         });
@@ -288,10 +288,10 @@
             job.occurrences.insert(occurrence, state);
             // Occurrences that began before the process's clock did count as arrived at its origin,
             // and their arrival rate is unknown.
-            let begun = job.begun(occurrence, self.clock_origin);
+            let started_at = job.occurrence_start(occurrence, self.clock_origin);
             let (queue, graph) = (Arc::clone(&job.queue), Arc::clone(&job.graph));
-            if !begun.is_zero() {
-                self.note_arrival(&queue, &graph, begun);
+            if !started_at.is_zero() {
+                self.record_arrival(&queue, &graph, started_at);
             }
         }
         self.open_steps(key, occurrence, StepOrigin::Unknown);
@@ -309,7 +309,7 @@
         state.open_steps(&graph, origin);
         for (number, step) in state.steps.iter().enumerate() {
             if step.has_pending() {
-                self.open.insert(StepKey {
+                self.pending_steps.insert(StepKey {
                     job: key,
                     occurrence,
                     // CAST: A job has at most 256 steps.
@@ -320,9 +320,9 @@
     }
 
     /// Stops all runs of a job that is over and forgets its open steps.
-    pub(crate) fn end_job(&mut self, key: JobKey) {
-        self.scheduled.shift_remove(&key);
-        self.open.retain(|step| step.job != key);
+    pub(crate) fn stop_job_runs(&mut self, key: JobKey) {
+        self.next_occurrences.shift_remove(&key);
+        self.pending_steps.retain(|step| step.job != key);
         let Some(job) = self.jobs.get(&key) else {
             return;
         };
@@ -344,7 +344,7 @@
             }
         }
         if !runs.is_empty() {
-            self.note_released(&queue, &graph, self.planned);
+            self.record_released_cpu(&queue, &graph, self.last_plan_at);
         }
         for (worker, task, run) in runs {
             self.stop_run(worker, task, run);
@@ -353,13 +353,13 @@
 
     /// Requests that a run be stopped; the next plan sends the order.
     pub(crate) fn stop_run(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
-        self.stops.insert((worker, task, run));
+        self.pending_stops.insert((worker, task, run));
     }
 
     /// Returns a new run number of this owner.
     pub(crate) fn next_run(&mut self) -> RunNumber {
         self.run_count += 1;
-        RunNumber::of_owner(self.token, self.run_count)
+        RunNumber::of_owner(self.fencing_token, self.run_count)
     }
 
     pub(crate) fn step_spec(&self, step: StepKey) -> Option<&StepSpec> {
@@ -374,17 +374,17 @@
     /// Returns a worker for modification and marks it as changed.
     pub(crate) fn worker_mut(&mut self, key: WorkerKey) -> &mut WorkerState {
         let worker = &mut self.workers[key.place()];
-        worker.changed = self.plans;
+        worker.changed_in_plan = self.plan_count;
         worker.version += 1;
         worker
     }
 
     /// Recomputes the service snapshots that are out of date because their worker has changed or
     /// their lifetime has passed.
-    pub(crate) fn renew_views(&mut self, now: Duration) {
+    pub(crate) fn refresh_snapshots(&mut self, now: Duration) {
         for worker in &mut self.workers {
-            if !worker.view.is_fresh(worker, now) {
-                worker.view = ServiceView::new(worker, &self.harm, now);
+            if !worker.service_snapshot.is_valid(worker, now) {
+                worker.service_snapshot = ServiceSnapshot::new(worker, &self.interference, now);
             }
         }
     }
--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -18,14 +18,14 @@
 };
 
 /// The bounds of the time after which a refused caller is asked to retry.
-const SOONEST_BACK: Duration = Duration::from_secs(1);
-const LATEST_BACK: Duration = Duration::from_secs(60);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// The retry time while no long-running job has been seen to end.
-const USUAL_BACK: Duration = Duration::from_secs(10);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// The longest time that a former owner's grant may take to be on record.
-const FORMER_GRANTS: Duration = Duration::from_secs(2);
+const FORMER_GRANT_SETTLE_TIME: Duration = Duration::from_secs(2);
 /// The minimum observation time assumed for the rate at which long-running jobs release CPU.
-const LEAST_SEEN: Duration = Duration::from_secs(10);
+const MIN_RELEASE_OBSERVATION: Duration = Duration::from_secs(10);
 
 impl Dispatcher {
     /// Decides whether to accept a job. A long-running job never ends by itself: if it took the CPU
@@ -38,101 +38,108 @@
         now: Duration,
     ) -> Admission {
         let demand = long_running_cpu(graph);
-        let decides = self.settings.switches.has(PolicyPart::Admission);
-        let known = self.jobs.contains_key(&key) || self.grants.holds(key, now);
-        if demand == 0 || !decides || known || !self.knows_grants(now) {
+        let is_enabled = self.settings.switches.has(PolicyPart::Admission);
+        let already_accepted = self.jobs.contains_key(&key) || self.grants.contains(key, now);
+        if demand == 0 || !is_enabled || already_accepted || !self.former_grants_have_settled(now) {
             return Admission::Granted;
         }
-        let Some(rule) = self.rules.get(queue) else {
+        let Some(rule) = self.queue_rules.get(queue) else {
             return Admission::Granted;
         };
         let pool = Arc::clone(&rule.pool);
-        let demands = self.demands.entry(Arc::clone(&pool)).or_default();
-        let short_need = demands.short.need(now);
-        let short_size = demands.short.usual_size(now);
-        let waiting = self.waiting_long_running(&pool);
-        let promised = waiting.saturating_add(self.grants.total(now));
-        let room = self
-            .unpromised_room(&pool, short_size)
-            .saturating_sub(promised);
-        let wanted = short_need.saturating_add(demand);
-        if room >= wanted {
+        let demands = self.pool_demands.entry(Arc::clone(&pool)).or_default();
+        let short_need = demands.short.required_cpu(now);
+        let task_cpu = demands.short.typical_task_cpu(now);
+        let waiting = self.waiting_long_running_cpu(&pool);
+        let promised_cpu = waiting.saturating_add(self.grants.total(now));
+        let available = self
+            .unpromised_cpu(&pool, task_cpu)
+            .saturating_sub(promised_cpu);
+        let required = short_need.saturating_add(demand);
+        if available >= required {
             self.grants.grant(key, demand, now);
             return Admission::Granted;
         }
         Admission::Refused(RoomShortage {
             demand,
-            room,
+            room: available,
             short_need,
-            back: self.back_in(&pool, wanted - room, now),
+            back: self.retry_after(&pool, required - available, now),
         })
     }
 
     /// Returns whether every grant of a former owner must be on record by now.
-    fn knows_grants(&self, now: Duration) -> bool {
-        self.token <= 1
+    fn former_grants_have_settled(&self, now: Duration) -> bool {
+        self.fencing_token <= 1
             || self
-                .acting_since
-                .is_some_and(|since| now >= since + FORMER_GRANTS)
+                .first_plan_at
+                .is_some_and(|since| now >= since + FORMER_GRANT_SETTLE_TIME)
     }
 
     /// Returns the CPU of a pool that long-running tasks do not hold, in millicores, counted only
     /// as far as short tasks of the usual size fit. A worker that is silent for a moment counts.
-    fn unpromised_room(&self, pool: &Arc<str>, size: u64) -> u64 {
-        let expected = self.workers.iter().filter(|worker| {
+    fn unpromised_cpu(&self, pool: &Arc<str>, size: u64) -> u64 {
+        let staying_workers = self.workers.iter().filter(|worker| {
             let record = &worker.record;
-            let stays = worker.listed && !record.draining && !worker.upkeep;
-            stays && record.pool == *pool && !self.closed.contains(&record.domain)
+            let stays = worker.listed && !record.draining && !worker.in_maintenance;
+            stays && record.pool == *pool && !self.closed_domains.contains(&record.domain)
         });
-        let rooms = expected.map(|worker| {
+        let unpromised = staying_workers.map(|worker| {
             let capacity = worker.record.capacity.cpu_millis;
             capacity.saturating_sub(worker.long_running_cpu) / size * size
         });
-        rooms.sum()
+        unpromised.sum()
     }
 
     /// Returns the CPU that long-running tasks without a run wait for, in millicores.
-    fn waiting_long_running(&self, pool: &Arc<str>) -> u64 {
-        let pending = self.open.iter().map(|&step| {
+    fn waiting_long_running_cpu(&self, pool: &Arc<str>) -> u64 {
+        let pending = self.pending_steps.iter().map(|&step| {
             let job = self.jobs.get(&step.job)?;
             let spec = job.graph.steps.get(usize::from(step.step))?;
             let state = job.step(step.occurrence, step.step)?;
-            let rule = self.rules.get(&job.queue)?;
-            let counts = spec.kind() == WorkKind::LongRunning && rule.pool == *pool;
+            let rule = self.queue_rules.get(&job.queue)?;
+            let is_counted = spec.kind() == WorkKind::LongRunning && rule.pool == *pool;
             let tasks = state.tasks.iter().filter(|task| task.is_pending());
             // CAST: A step has at most 20,000 tasks.
-            counts.then(|| spec.size.cpu_millis.saturating_mul(tasks.count() as u64))
+            is_counted.then(|| spec.size.cpu_millis.saturating_mul(tasks.count() as u64))
         });
         pending.flatten().fold(0, u64::saturating_add)
     }
 
     /// Returns the time in which `missing` millicores should become free, given the rate at which
     /// long-running jobs end.
-    fn back_in(&self, pool: &Arc<str>, missing: u64, now: Duration) -> Duration {
-        let demand = self.demands.get(pool);
-        let rate = demand.map_or(0.0, |demand| demand.released.rate(now, LEAST_SEEN));
+    fn retry_after(&self, pool: &Arc<str>, missing: u64, now: Duration) -> Duration {
+        let demand = self.pool_demands.get(pool);
+        let rate = demand.map_or(0.0, |demand| {
+            demand.released.rate(now, MIN_RELEASE_OBSERVATION)
+        });
         if rate <= 0.0 {
-            return USUAL_BACK;
+            return DEFAULT_RETRY_AFTER;
         }
-        // CAST: Exact up to 2^53 thousandths of a processor.
-        let seconds = (missing as f64 / rate).min(LATEST_BACK.as_secs_f64());
-        Duration::from_secs_f64(seconds).max(SOONEST_BACK)
+        // CAST: Exact up to 2^53 millicores.
+        let seconds = (missing as f64 / rate).min(MAX_RETRY_AFTER.as_secs_f64());
+        Duration::from_secs_f64(seconds).max(MIN_RETRY_AFTER)
     }
 
     /// Records that a job is over and the CPU of its long-running tasks becomes free.
-    pub(crate) fn note_released(&mut self, queue: &Arc<str>, graph: &JobGraph, now: Duration) {
+    pub(crate) fn record_released_cpu(
+        &mut self,
+        queue: &Arc<str>,
+        graph: &JobGraph,
+        now: Duration,
+    ) {
         let released = long_running_cpu(graph);
         if released > 0
             && let Some(demand) = self.demand_mut(queue)
         {
-            // CAST: Exact up to 2^53 thousandths of a processor.
+            // CAST: Exact up to 2^53 millicores.
             demand.released.add(released as f64, now);
         }
     }
 
     /// Records the arrival of a job's occurrence in the demand of its pool.
-    pub(crate) fn note_arrival(&mut self, queue: &Arc<str>, graph: &JobGraph, at: Duration) {
-        let Some(rule) = self.rules.get(queue) else {
+    pub(crate) fn record_arrival(&mut self, queue: &Arc<str>, graph: &JobGraph, at: Duration) {
+        let Some(rule) = self.queue_rules.get(queue) else {
             return;
         };
         let mut size = PoolSize::default();
@@ -143,14 +150,14 @@
             size.all = size.all.saturating_add(capacity);
         }
         if let Some(demand) = self.demand_mut(queue) {
-            demand.short.note_arrival(graph, size, at);
+            demand.short.record_arrival(graph, size, at);
         }
     }
 
     /// Returns the demand statistics of a queue's pool, or `None` if the queue is unknown.
     pub(crate) fn demand_mut(&mut self, queue: &Arc<str>) -> Option<&mut PoolDemand> {
-        let pool = Arc::clone(&self.rules.get(queue)?.pool);
-        Some(self.demands.entry(pool).or_default())
+        let pool = Arc::clone(&self.queue_rules.get(queue)?.pool);
+        Some(self.pool_demands.entry(pool).or_default())
     }
 }
 
--- a/crates/dispatch/src/dispatcher_advice.rs
+++ b/crates/dispatch/src/dispatcher_advice.rs
@@ -18,12 +18,12 @@
 };
 
 /// The time after which unanswered advice is requested again.
-const ADVICE_AGAIN: Duration = Duration::from_millis(1500);
+const ADVICE_RETRY_INTERVAL: Duration = Duration::from_millis(1500);
 /// The maximum number of workers in one advice request.
-const ADVICE_WORKERS: usize = 30;
+const MAX_WORKERS_PER_ADVICE_REQUEST: usize = 30;
 /// The minimum remaining validity of a ticket with which a start is sent: the start takes a moment
 /// to arrive.
-pub(crate) const TICKET_MARGIN: Duration = Duration::from_millis(300);
+pub(crate) const MIN_TICKET_VALIDITY: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
     /// Stores the tickets, by worker identity, for the tasks of a step; workers without a ticket
@@ -34,14 +34,14 @@
         tickets: Vec<(Arc<str>, Arc<str>)>,
         until: Duration,
     ) {
-        let keyed: Vec<(WorkerKey, Arc<str>)> = tickets
+        let by_worker: Vec<(WorkerKey, Arc<str>)> = tickets
             .into_iter()
             .filter_map(|(id, ticket)| Some((self.worker_key(&id)?, ticket)))
             .collect();
         if let Some(state) = self.jobs.get_mut(&step.job)
             && let Some(state) = state.step_mut(step.occurrence, step.step)
         {
-            for (key, ticket) in keyed {
+            for (key, ticket) in by_worker {
                 state.tickets.insert(key, (ticket, until));
             }
         }
@@ -49,7 +49,7 @@
 
     /// Requests advice for a step if valid tickets exist for fewer than half as many workers as it
     /// has unfinished tasks.
-    pub(crate) fn wish_advice(
+    pub(crate) fn request_advice(
         &mut self,
         step: StepKey,
         spec: &StepSpec,
@@ -64,12 +64,12 @@
         else {
             return;
         };
-        let asked = state.advice_asked;
-        let fresh = state.tickets.iter().filter(|(key, (_, until))| {
-            now + TICKET_MARGIN < *until && self.is_usable(self.worker(**key), pool, now)
+        let requested_at = state.advice_requested_at;
+        let valid = state.tickets.iter().filter(|(key, (_, until))| {
+            now + MIN_TICKET_VALIDITY < *until && self.is_usable(self.worker(**key), pool, now)
         });
-        let enough = fresh.count() * 2 >= state.tasks.iter().filter(|task| !task.done).count();
-        if enough || asked.is_some_and(|at| now < at + ADVICE_AGAIN) {
+        let has_enough = valid.count() * 2 >= state.tasks.iter().filter(|task| !task.done).count();
+        if has_enough || requested_at.is_some_and(|at| now < at + ADVICE_RETRY_INTERVAL) {
             return;
         }
         let known = &state.tickets;
@@ -85,14 +85,14 @@
         candidates.sort_unstable_by(|left, right| right.cmp(left));
         let workers = candidates
             .into_iter()
-            .take(ADVICE_WORKERS)
+            .take(MAX_WORKERS_PER_ADVICE_REQUEST)
             .map(|(_, key)| Arc::clone(&self.worker(key).record.id))
             .collect();
         outcome.advice.push(AdviceWish { step, workers });
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(state) = job.step_mut(step.occurrence, step.step)
         {
-            state.advice_asked = Some(now);
+            state.advice_requested_at = Some(now);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher_ends.rs
+++ b/crates/dispatch/src/dispatcher_completions.rs
@@ -18,58 +18,58 @@
 impl Dispatcher {
     /// Applies the completion of a run to its task, step and job. Returns the number of the change
     /// that must be on record before the completion may be acknowledged.
-    pub(crate) fn settle_end(
+    pub(crate) fn apply_completion(
         &mut self,
         key: WorkerKey,
         ended: &EndedRun,
         seen: bool,
         now: Duration,
     ) -> u64 {
-        let settled = self.ledger.on_record();
+        let committed = self.commits.committed_through();
         let step = ended.task.step;
         let Some(job) = self.jobs.get(&step.job) else {
-            return settled;
+            return committed;
         };
         let Some(spec) = job.graph.steps.get(usize::from(step.step)).cloned() else {
-            return settled;
+            return committed;
         };
         self.open_occurrence(step.job, step.occurrence);
         match ended.end {
-            RunEnd::Done => self.worker_mut(key).health.note_done(),
-            RunEnd::Failed => self.worker_mut(key).health.note_failure(ended.task, now),
+            RunEnd::Done => self.worker_mut(key).health.record_success(),
+            RunEnd::Failed => self.worker_mut(key).health.record_failure(ended.task, now),
             _ => {}
         }
         if spec.lasting {
-            self.note_away(ended.task, now);
-            return settled;
+            self.mark_unavailable(ended.task, now);
+            return committed;
         }
         if let Some(checkpoint) = &ended.checkpoint {
-            self.note_checkpoint(ended.task, Arc::clone(checkpoint));
+            self.record_checkpoint(ended.task, Arc::clone(checkpoint));
         }
         match ended.end {
             RunEnd::Done => {
                 // For gangs and copies, another worker may have reported the same result to the
                 // former owner.
-                let own = seen && !spec.gang && !spec.copies;
-                let origin = if own {
-                    StepOrigin::Own
+                let seen_by_owner = seen && !spec.gang && !spec.copies;
+                let origin = if seen_by_owner {
+                    StepOrigin::ThisOwner
                 } else {
                     StepOrigin::Unknown
                 };
-                self.note_done(ended.task, spec.gang, origin)
+                self.mark_done(ended.task, spec.gang, origin)
             }
-            RunEnd::Failed => self.note_failed(key, ended, spec.gang),
+            RunEnd::Failed => self.count_failure(key, ended, spec.gang),
             RunEnd::Stopped | RunEnd::Lapsed if ended.checkpoint.is_some() => {
-                self.ledger.note(step.job)
+                self.commits.record_change(step.job)
             }
-            _ => settled,
+            _ => committed,
         }
     }
 
     /// Records how long a task took, for a run that this owner placed at `placed`.
-    pub(crate) fn note_run_time(&mut self, ended: &EndedRun, placed: Duration, now: Duration) {
+    pub(crate) fn record_run_time(&mut self, ended: &EndedRun, placed: Duration, now: Duration) {
         let step = ended.task.step;
-        if ended.end != RunEnd::Done || !ended.run.is_of_owner(self.token) {
+        if ended.end != RunEnd::Done || !ended.run.is_of_owner(self.fencing_token) {
             return;
         }
         let Some(job) = self.jobs.get(&step.job) else {
@@ -80,20 +80,20 @@
             && let Some(demand) = self.demand_mut(&queue)
         {
             let took = now.saturating_sub(placed);
-            demand.short.note_done(spec, took, now);
+            demand.short.record_run_time(spec, took, now);
         }
     }
 
     /// Marks a task, or all tasks of a gang, as done and stops surplus copies. Returns the number
     /// of the change.
-    fn note_done(&mut self, task: TaskKey, gang: bool, origin: StepOrigin) -> u64 {
+    fn mark_done(&mut self, task: TaskKey, gang: bool, origin: StepOrigin) -> u64 {
         let step = task.step;
         let mut surplus = Vec::new();
         let Some(job) = self.jobs.get_mut(&step.job) else {
             return 0;
         };
         if job.is_over() {
-            return self.ledger.on_record();
+            return self.commits.committed_through();
         }
         let Some(state) = job.step_mut(step.occurrence, step.step) else {
             return 0;
@@ -106,57 +106,57 @@
             }
             held.done = true;
             held.checkpoint = None;
-            state.done += 1;
+            state.done_count += 1;
             let key = step.task(index);
             surplus.extend(held.runs.iter().map(|&(worker, run)| (worker, key, run)));
         }
-        let whole = state.is_whole();
+        let is_done = state.is_done();
         if !gang {
             for (worker, key, run) in surplus {
                 self.stop_run(worker, key, run);
             }
         }
-        let change = self.ledger.note(step.job);
-        if whole {
-            self.open.swap_remove(&step);
+        let change = self.commits.record_change(step.job);
+        if is_done {
+            self.pending_steps.swap_remove(&step);
             self.open_steps(step.job, step.occurrence, origin);
-            self.finish_if_whole(task);
+            self.complete_job_if_done(task);
         }
         change
     }
 
     /// Completes the job if all its occurrences are done.
-    fn finish_if_whole(&mut self, task: TaskKey) {
+    fn complete_job_if_done(&mut self, task: TaskKey) {
         let step = task.step;
         let Some(job) = self.jobs.get(&step.job) else {
             return;
         };
         // Each member of a gang reports the same completion, and a successor receives it again; so
         // the finished occurrences are recounted instead of incrementing a counter.
-        let whole = job.occurrences.values().filter(|state| state.is_whole());
-        if whole.count() >= job.graph.occurrences() as usize {
-            self.finish(step.job, JobOutcome::Completed);
+        let done = job.occurrences.values().filter(|state| state.is_done());
+        if done.count() >= job.graph.occurrences() as usize {
+            self.finish_job(step.job, JobOutcome::Completed);
         }
     }
 
     /// Counts a failed run and fails the job if the task has used up its attempts. Returns the
     /// number of the change.
-    fn note_failed(&mut self, key: WorkerKey, ended: &EndedRun, gang: bool) -> u64 {
+    fn count_failure(&mut self, key: WorkerKey, ended: &EndedRun, gang: bool) -> u64 {
         let step = ended.task.step;
         let Some(job) = self.jobs.get_mut(&step.job) else {
             return 0;
         };
         if job.is_over() {
-            return self.ledger.on_record();
+            return self.commits.committed_through();
         }
         let queue = Arc::clone(&job.queue);
         let Some(state) = job.step_mut(step.occurrence, step.step) else {
             return 0;
         };
         // A gang fails as a whole: its failures are counted at its first task.
-        let counted = if gang { 0 } else { ended.task.index };
+        let counted_index = if gang { 0 } else { ended.task.index };
         let mut failures = 0;
-        if let Some(task) = state.tasks.get_mut(counted as usize) {
+        if let Some(task) = state.tasks.get_mut(counted_index as usize) {
             if !task.failures.contains(&ended.run) {
                 task.failures.push(ended.run);
             }
@@ -164,12 +164,12 @@
             failures = task.failures.len();
         }
         let attempts = self
-            .rules
+            .queue_rules
             .get(&queue)
             .map_or(1, |rule| rule.attempts.max(1));
-        let change = self.ledger.note(step.job);
+        let change = self.commits.record_change(step.job);
         if failures >= attempts as usize {
-            self.finish(step.job, JobOutcome::Failed);
+            self.finish_job(step.job, JobOutcome::Failed);
         }
         change
     }
--- a/crates/dispatch/src/dispatcher_upkeep.rs
+++ b/crates/dispatch/src/dispatcher_maintenance.rs
@@ -19,10 +19,10 @@
         let Some(key) = self.worker_key(id) else {
             return true;
         };
-        self.worker_mut(key).upkeep = true;
+        self.worker_mut(key).in_maintenance = true;
         let runs: Vec<(TaskKey, RunNumber)> = self.worker(key).runs.keys().copied().collect();
         for &(task, run) in &runs {
-            if self.may_move(task, key, run, now) {
+            if self.can_move_run(task, key, run, now) {
                 self.stop_run(key, task, run);
             }
         }
@@ -32,27 +32,33 @@
     /// Lets tasks start again on a worker whose maintenance was cancelled.
     pub fn end_upkeep(&mut self, id: &str) {
         if let Some(key) = self.worker_key(id) {
-            self.worker_mut(key).upkeep = false;
+            self.worker_mut(key).in_maintenance = false;
         }
     }
 
     /// Returns whether a run may be stopped now so that its task moves to another worker.
-    fn may_move(&self, task: TaskKey, worker: WorkerKey, run: RunNumber, now: Duration) -> bool {
-        if self.stops.contains(&(worker, task, run)) {
+    fn can_move_run(
+        &self,
+        task: TaskKey,
+        worker: WorkerKey,
+        run: RunNumber,
+        now: Duration,
+    ) -> bool {
+        if self.pending_stops.contains(&(worker, task, run)) {
             return false;
         }
         let Some(spec) = self.step_spec(task.step) else {
             return true;
         };
         match spec.lasting {
-            true => self.count_away(task.step, now) < spec.may_miss,
+            true => self.unavailable_task_count(task.step, now) < spec.may_miss,
             false => spec.checkpoints,
         }
     }
 
     /// Returns the number of a step's tasks that are not running, are being stopped, or were absent
     /// within the notice period.
-    fn count_away(&self, step: StepKey, now: Duration) -> u32 {
+    fn unavailable_task_count(&self, step: StepKey, now: Duration) -> u32 {
         let Some(state) = self
             .jobs
             .get(&step.job)
@@ -60,20 +66,20 @@
         else {
             return 0;
         };
-        let away = (0..).zip(&state.tasks).filter(|(index, task)| {
-            !self.is_at_work(step.task(*index), task)
+        let unavailable = (0..).zip(&state.tasks).filter(|(index, task)| {
+            !self.is_fully_running(step.task(*index), task)
                 || task
-                    .away_since
+                    .unavailable_since
                     .is_some_and(|since| now < since + self.settings.notice)
         });
-        u32::try_from(away.count()).unwrap_or(u32::MAX)
+        u32::try_from(unavailable.count()).unwrap_or(u32::MAX)
     }
 
     /// Returns whether a task has a confirmed run at 100 percent that is not to be stopped.
-    fn is_at_work(&self, key: TaskKey, task: &TaskState) -> bool {
+    fn is_fully_running(&self, key: TaskKey, task: &TaskState) -> bool {
         task.runs.iter().any(|&(worker, run)| {
             let state = self.worker(worker).runs.get(&(key, run));
-            let stopped = self.stops.contains(&(worker, key, run));
+            let stopped = self.pending_stops.contains(&(worker, key, run));
             !stopped && state.is_some_and(|state| state.is_confirmed() && state.percent >= 100)
         })
     }
--- a/crates/dispatch/src/dispatcher_pools.rs
+++ b/crates/dispatch/src/dispatcher_pools.rs
@@ -28,13 +28,13 @@
             used.short.held += worker.short_cpu();
             used.filler.held += worker.filler_cpu;
         }
-        for step in &self.open {
+        for step in &self.pending_steps {
             let Some(job) = self.jobs.get(&step.job) else {
                 continue;
             };
             let spec = job.graph.steps.get(usize::from(step.step));
             let state = job.step(step.occurrence, step.step);
-            let rule = self.rules.get(&job.queue);
+            let rule = self.queue_rules.get(&job.queue);
             if let (Some(spec), Some(state), Some(rule)) = (spec, state, rule) {
                 let pending = state.tasks.iter().filter(|task| task.is_pending());
                 // CAST: A step has at most 20,000 tasks.
--- a/crates/dispatch/src/dispatcher_records.rs
+++ b/crates/dispatch/src/dispatcher_records.rs
@@ -23,31 +23,31 @@
     /// Takes up to `limit` jobs with uncommitted changes, with the records to write. Returns
     /// nothing while a commit is in flight: there is at most one at a time.
     pub fn take_commit(&mut self, limit: usize) -> Vec<(JobKey, ProgressRecord)> {
-        if self.ledger.is_flying() {
+        if self.commits.is_in_flight() {
             return Vec::new();
         }
-        let keys = self.ledger.take(limit);
+        let keys = self.commits.take_jobs(limit);
         let mut records = Vec::with_capacity(keys.len());
         for key in keys {
             let Some(job) = self.jobs.get(&key) else {
                 continue;
             };
-            records.push((key, record(job)));
-            self.ledger.carry(key, job.outcome);
+            records.push((key, job_record(job)));
+            self.commits.set_outcome(key, job.outcome);
         }
         records
     }
 
     /// Returns whether there are changes to commit and no commit is in flight.
     pub fn wants_commit(&self) -> bool {
-        !self.ledger.is_clean() && !self.ledger.is_flying()
+        !self.commits.is_empty() && !self.commits.is_in_flight()
     }
 
     /// Reports that the commit in flight is on record.
     pub fn note_committed(&mut self) {
-        for (key, outcome) in self.ledger.settle() {
+        for (key, outcome) in self.commits.confirm() {
             if let Some(job) = self.jobs.get_mut(&key) {
-                job.recorded = Some(outcome);
+                job.recorded_outcome = Some(outcome);
             }
         }
         self.acknowledge();
@@ -55,7 +55,7 @@
 
     /// Reports that the commit in flight is not known to be on record; its jobs are taken again.
     pub fn note_uncommitted(&mut self) {
-        self.ledger.give_back();
+        self.commits.abort();
     }
 
     /// Restores a job's state from its record. Must be called before any task of the job is
@@ -68,25 +68,25 @@
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
-        for kept in &record.steps {
-            if let Some(step) = job.step_mut(kept.occurrence, kept.step) {
-                restore_step(step, kept);
+        for stored in &record.steps {
+            if let Some(step) = job.step_mut(stored.occurrence, stored.step) {
+                restore_step(step, stored);
             }
         }
         job.started = job.started || !record.steps.is_empty();
         if !job.cancelled {
             job.outcome = record.outcome;
-            job.recorded = record.outcome;
+            job.recorded_outcome = record.outcome;
         }
         let occurrences: Vec<u32> = job.occurrences.keys().copied().collect();
         if job.is_over() {
-            self.end_job(key);
+            self.stop_job_runs(key);
             return;
         }
         for occurrence in occurrences {
             self.open_steps(key, occurrence, StepOrigin::Unknown);
         }
-        self.open.retain(|step| {
+        self.pending_steps.retain(|step| {
             let state = self.jobs.get(&step.job);
             let state = state.and_then(|job| job.step(step.occurrence, step.step));
             state.is_some_and(StepState::has_pending)
@@ -95,7 +95,7 @@
 
     /// Returns the learned interference between fillers and services, to be stored for a successor.
     pub fn learned(&self) -> LearnedRecord {
-        self.harm.record()
+        self.interference.record()
     }
 
     /// Restores the interference that a former owner has learned.
@@ -103,19 +103,19 @@
         if !self.settings.switches.has(PolicyPart::KeptLearning) {
             return;
         }
-        self.harm.restore(record);
+        self.interference.restore(record);
     }
 
     /// Advances every worker's acknowledgement over the completions that are now on record.
     pub(crate) fn acknowledge(&mut self) {
-        let on_record = self.ledger.on_record();
+        let on_record = self.commits.committed_through();
         for worker in &mut self.workers {
             worker.acknowledge(on_record);
         }
     }
 
     /// Ends a job with this outcome and queues the outcome to be committed.
-    pub(crate) fn finish(&mut self, key: JobKey, outcome: JobOutcome) {
+    pub(crate) fn finish_job(&mut self, key: JobKey, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
         };
@@ -123,8 +123,8 @@
             return;
         }
         job.outcome = Some(outcome);
-        self.ledger.note(key);
-        self.end_job(key);
+        self.commits.record_change(key);
+        self.stop_job_runs(key);
     }
 
     /// Returns how long ago a job was accepted, or `None` if it is unknown.
@@ -141,7 +141,7 @@
 }
 
 /// Returns the record of a job; one that has ended needs only its outcome.
-fn record(job: &JobState) -> ProgressRecord {
+fn job_record(job: &JobState) -> ProgressRecord {
     let mut steps = Vec::new();
     if job.outcome.is_none() {
         for (&occurrence, state) in &job.occurrences {
@@ -159,48 +159,48 @@
 
 /// Returns the record of a step, or `None` if nothing of it has ended.
 fn step_record(occurrence: u32, number: u16, step: &StepState) -> Option<StepProgress> {
-    let mut kept = StepProgress {
+    let mut stored = StepProgress {
         occurrence,
         step: number,
-        whole: step.is_whole(),
+        whole: step.is_done(),
         ..StepProgress::default()
     };
     for (index, task) in step.tasks.iter().enumerate() {
         // CAST: A step has at most 20,000 tasks.
         let index = index as u32;
         if task.done {
-            if !kept.whole {
-                kept.done.push(index);
+            if !stored.whole {
+                stored.done.push(index);
             }
             continue;
         }
         let failures = task.failures.iter().map(|&run| (index, run));
-        kept.failures.extend(failures);
+        stored.failures.extend(failures);
         if let Some(checkpoint) = &task.checkpoint {
-            kept.checkpoints.push((index, checkpoint.to_string()));
+            stored.checkpoints.push((index, checkpoint.to_string()));
         }
     }
-    let empty = !kept.whole
-        && kept.done.is_empty()
-        && kept.failures.is_empty()
-        && kept.checkpoints.is_empty();
-    (!empty).then_some(kept)
+    let empty = !stored.whole
+        && stored.done.is_empty()
+        && stored.failures.is_empty()
+        && stored.checkpoints.is_empty();
+    (!empty).then_some(stored)
 }
 
-fn restore_step(step: &mut StepState, kept: &StepProgress) {
+fn restore_step(step: &mut StepState, stored: &StepProgress) {
     for (index, task) in step.tasks.iter_mut().enumerate() {
         // CAST: A step has at most 20,000 tasks.
-        task.done = kept.whole || kept.done.contains(&(index as u32));
+        task.done = stored.whole || stored.done.contains(&(index as u32));
     }
-    for &(index, run) in &kept.failures {
+    for &(index, run) in &stored.failures {
         if let Some(task) = step.tasks.get_mut(index as usize) {
             task.failures.push(run);
         }
     }
-    for (index, checkpoint) in &kept.checkpoints {
+    for (index, checkpoint) in &stored.checkpoints {
         if let Some(task) = step.tasks.get_mut(*index as usize) {
             task.checkpoint = Some(checkpoint.as_str().into());
         }
     }
-    step.done = count(step.tasks.iter().filter(|task| task.done));
+    step.done_count = count(step.tasks.iter().filter(|task| task.done));
 }
--- a/crates/dispatch/src/dispatcher_room.rs
+++ b/crates/dispatch/src/dispatcher_reservations.rs
@@ -15,39 +15,39 @@
     WaitReasons,
     WorkerKey,
     dispatcher_plan::fits_labels,
-    place_score::{
-        PlaceRefusal,
-        PlaceScore, //
+    placement_score::{
+        PlacementRejection,
+        PlacementScore, //
     },
-    service_view::FillerProfile,
+    service_snapshot::FillerProfile,
     worker_state::WorkerState, //
 };
 
 /// The divisor of the number of workers that yields the maximum that may be reserved; the others
 /// continue to accept small tasks.
-const MOST_KEPT: usize = 4;
+const MAX_RESERVED_WORKERS_DIVISOR: usize = 4;
 
 /// The minimum interval between two explanations of why the same step waits.
-const NOTE_EVERY: Duration = Duration::from_millis(2000);
+const WAIT_NOTE_INTERVAL: Duration = Duration::from_millis(2000);
 
 impl Dispatcher {
     /// Reserves as many workers as tasks of the step are missing, preferring those with the most
     /// free CPU, if the step is long-running or a gang. Otherwise small tasks would take each piece
     /// of capacity as it becomes free, and a large task would never fit.
-    pub(crate) fn keep_room(&mut self, step: StepKey, missing: usize, now: Duration) {
-        let most = (self.workers.len() / MOST_KEPT).max(1);
-        let left = most.saturating_sub(self.kept.len());
+    pub(crate) fn reserve_workers(&mut self, step: StepKey, missing: usize, now: Duration) {
+        let limit = (self.workers.len() / MAX_RESERVED_WORKERS_DIVISOR).max(1);
+        let left = limit.saturating_sub(self.reserved_workers.len());
         let Some(spec) = self.step_spec(step) else {
             return;
         };
-        let keeps = self.settings.switches.has(PolicyPart::RoomKept);
-        if !keeps || left == 0 || spec.filler || !(spec.lasting || spec.gang) {
+        let is_enabled = self.settings.switches.has(PolicyPart::RoomKept);
+        if !is_enabled || left == 0 || spec.filler || !(spec.lasting || spec.gang) {
             return;
         }
         let Some(rule) = self
             .jobs
             .get(&step.job)
-            .and_then(|job| self.rules.get(&job.queue))
+            .and_then(|job| self.queue_rules.get(&job.queue))
         else {
             return;
         };
@@ -59,28 +59,28 @@
         else {
             return;
         };
-        let mut able: Vec<(u64, WorkerKey)> = (0..self.workers.len())
+        let mut candidates: Vec<(u64, WorkerKey)> = (0..self.workers.len())
             .map(WorkerKey::new)
             .filter(|key| {
                 let worker = self.worker(*key);
-                !self.kept.contains(key)
+                !self.reserved_workers.contains(key)
                     && self.is_usable(worker, &pool, now)
                     && fits_labels(worker, spec)
-                    && !state.is_crowded(*key, spec)
-                    && could_hold(worker, spec)
+                    && !state.is_at_spread_limit(*key, spec)
+                    && fits_beside_services(worker, spec)
             })
-            .map(|key| (self.worker(key).free().cpu_millis, key))
+            .map(|key| (self.worker(key).free_capacity().cpu_millis, key))
             .collect();
-        able.sort_unstable_by(|left, right| right.cmp(left));
-        let chosen = able.into_iter().take(missing.min(left));
-        self.kept.extend(chosen.map(|(_, key)| key));
+        candidates.sort_unstable_by(|left, right| right.cmp(left));
+        let chosen = candidates.into_iter().take(missing.min(left));
+        self.reserved_workers.extend(chosen.map(|(_, key)| key));
     }
 }
 
 impl Dispatcher {
     /// Returns why a step waits that should have started, or `None` if that was explained a short
     /// time ago.
-    pub(crate) fn note_wait(
+    pub(crate) fn explain_wait(
         &mut self,
         step: StepKey,
         missing: usize,
@@ -88,45 +88,51 @@
     ) -> Option<WaitNote> {
         let job = self.jobs.get(&step.job)?;
         let spec = self.step_spec(step)?;
-        let rule = self.rules.get(&job.queue)?;
+        let rule = self.queue_rules.get(&job.queue)?;
         let state = job.step(step.occurrence, step.step)?;
         if state
-            .wait_noted
-            .is_some_and(|noted| now < noted + NOTE_EVERY)
+            .wait_noted_at
+            .is_some_and(|noted| now < noted + WAIT_NOTE_INTERVAL)
         {
             return None;
         }
         let mut reasons = WaitReasons::default();
-        let profile = FillerProfile::new(&self.harm, spec.image.as_ref());
-        let seeker = self.seeker(spec, &profile, now);
+        let profile = FillerProfile::new(&self.interference, spec.image.as_ref());
+        let context = self.placement_context(spec, &profile, now);
         for (place, worker) in self.workers.iter().enumerate() {
             let key = WorkerKey::new(place);
-            let crowded = state.is_crowded(key, spec);
-            let free = worker.free();
+            let at_spread_limit = state.is_at_spread_limit(key, spec);
+            let free = worker.free_capacity();
             let size = spec.reserved();
             let reason = match () {
-                () if worker.record.pool != rule.pool || !fits_labels(worker, spec) || crowded => {
+                () if worker.record.pool != rule.pool
+                    || !fits_labels(worker, spec)
+                    || at_spread_limit =>
+                {
                     &mut reasons.unfit
                 }
                 () if !worker.listed
                     || worker.record.draining
-                    || worker.upkeep
-                    || self.closed.contains(&worker.record.domain) =>
+                    || worker.in_maintenance
+                    || self.closed_domains.contains(&worker.record.domain) =>
                 {
                     &mut reasons.leaving
                 }
-                () if !worker.fenced || worker.unanswered > 0 || !worker.clock.is_known() => {
+                () if !worker.has_owner_token
+                    || worker.unanswered > 0
+                    || !worker.clock.is_known() =>
+                {
                     &mut reasons.silent
                 }
                 () if !self.is_usable(worker, &rule.pool, now) => &mut reasons.set_aside,
                 () if size.cpu_millis > free.cpu_millis => &mut reasons.processors,
                 () if !size.fits_in(free) => &mut reasons.memory,
-                () if self.kept.contains(&key) => &mut reasons.kept,
-                () => match PlaceScore::new(worker, seeker, true) {
-                    Err(PlaceRefusal::Busy) => &mut reasons.busy,
-                    Err(PlaceRefusal::Shielded) => &mut reasons.shielded,
-                    Err(PlaceRefusal::Learning) => &mut reasons.learning,
-                    Err(PlaceRefusal::Harm) => &mut reasons.harm,
+                () if self.reserved_workers.contains(&key) => &mut reasons.kept,
+                () => match PlacementScore::new(worker, context, true) {
+                    Err(PlacementRejection::Busy) => &mut reasons.busy,
+                    Err(PlacementRejection::Shielded) => &mut reasons.shielded,
+                    Err(PlacementRejection::Learning) => &mut reasons.learning,
+                    Err(PlacementRejection::Harm) => &mut reasons.harm,
                     Ok(_) => &mut reasons.other,
                 },
             };
@@ -135,7 +141,7 @@
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(state) = job.step_mut(step.occurrence, step.step)
         {
-            state.wait_noted = Some(now);
+            state.wait_noted_at = Some(now);
         }
         Some(WaitNote {
             step,
@@ -146,7 +152,7 @@
 }
 
 /// Returns whether a task fits on a worker beside the services there.
-fn could_hold(worker: &WorkerState, spec: &StepSpec) -> bool {
-    let beside = worker.service_cpu + spec.reserved().cpu_millis;
-    beside <= worker.record.capacity.cpu_millis
+fn fits_beside_services(worker: &WorkerState, spec: &StepSpec) -> bool {
+    let used = worker.service_cpu + spec.reserved().cpu_millis;
+    used <= worker.record.capacity.cpu_millis
 }
--- a/crates/dispatch/src/dispatcher_runs.rs
+++ b/crates/dispatch/src/dispatcher_runs.rs
@@ -20,14 +20,20 @@
 
 /// The time without progress after which a running task counts as stuck. A hundredth of the longest
 /// usual task takes a tenth of this.
-const STUCK: Duration = Duration::from_millis(1000);
+const STUCK_TASK_TIMEOUT: Duration = Duration::from_millis(1000);
 
 impl Dispatcher {
     /// Removes a run from its worker and its task. The task becomes pending again unless it has
     /// another run.
-    pub(crate) fn release(&mut self, key: WorkerKey, task: TaskKey, run: RunNumber, now: Duration) {
-        self.worker_mut(key).drop_run(task, run, now);
-        self.stops.swap_remove(&(key, task, run));
+    pub(crate) fn release_run(
+        &mut self,
+        key: WorkerKey,
+        task: TaskKey,
+        run: RunNumber,
+        now: Duration,
+    ) {
+        self.worker_mut(key).remove_run(task, run, now);
+        self.pending_stops.swap_remove(&(key, task, run));
         let step = task.step;
         let Some(job) = self.jobs.get_mut(&step.job) else {
             return;
@@ -41,64 +47,66 @@
         };
         let before = task_state.runs.len();
         task_state.runs.retain(|&held| held != (key, run));
-        let left = task_state.runs.len() < before;
+        let was_attached = task_state.runs.len() < before;
         let pending = task_state.is_pending();
-        let opens = pending && !over && step_state.open;
-        if left {
-            step_state.note_left(key);
-            job.note_run_over(now);
+        let becomes_pending = pending && !over && step_state.open;
+        if was_attached {
+            step_state.remove_placed_task(key);
+            job.remove_run(now);
         }
-        if opens {
-            self.open.insert(step);
+        if becomes_pending {
+            self.pending_steps.insert(step);
         }
     }
 
     /// Updates a run from a worker's report, and stops it if it is stuck.
-    pub(crate) fn note_running(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
+    pub(crate) fn update_run(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
         let id = (running.task, running.run);
         let Some(state) = self.worker_mut(key).runs.get_mut(&id) else {
-            self.adopt(key, running, now);
+            self.adopt_run(key, running, now);
             return;
         };
         if matches!(state.phase, RunPhase::Sent) {
             state.phase = RunPhase::Running(now);
         }
-        let at_work = state.target.is_some() && running.percent >= 100 && state.percent < 100;
+        let is_ready = state.target.is_some() && running.percent >= 100 && state.percent < 100;
         if running.percent != state.percent {
             state.percent = running.percent;
-            state.moved = now;
+            state.last_progress_at = now;
         }
         state.figure = running.figure;
         let filler = state.is_filler();
-        let stuck = state.is_confirmed()
-            && state.pace >= 100
+        let is_stuck = state.is_confirmed()
+            && state.throttle_percent >= 100
             && state.percent < 100
-            && now > state.moved + STUCK;
-        if at_work {
-            self.worker_mut(key).health.note_done();
+            && now > state.last_progress_at + STUCK_TASK_TIMEOUT;
+        if is_ready {
+            self.worker_mut(key).health.record_success();
         }
-        let starved = filler && self.worker(key).idle_cpu() < 0;
+        let is_starved = filler && self.worker(key).idle_cpu() < 0;
         if let Some(checkpoint) = running.checkpoint {
-            self.note_checkpoint(running.task, checkpoint);
+            self.record_checkpoint(running.task, checkpoint);
         }
-        if stuck && !starved {
-            self.worker_mut(key).health.note_failure(running.task, now);
+        if is_stuck && !is_starved {
+            self.worker_mut(key)
+                .health
+                .record_failure(running.task, now);
             self.stop_run(key, running.task, running.run);
         }
     }
 
     /// Adopts a run that a former owner started, or stops it if its job is unknown or over, its
     /// task is done, or the task has another run and allows no copies.
-    fn adopt(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
+    fn adopt_run(&mut self, key: WorkerKey, running: RunningTask, now: Duration) {
         let step = running.task.step;
-        let wanted = self.jobs.get_mut(&step.job).and_then(|job| {
+        let requested = self.jobs.get_mut(&step.job).and_then(|job| {
             let over = job.is_over();
             let spec = job.graph.steps.get(usize::from(step.step))?.clone();
             job.started = true;
             Some((over, spec))
         });
-        let Some((over, spec)) = wanted else {
-            self.decided.push(WorkerOrder::Stop {
+        let Some((over, spec)) = requested else {
+            self.pending_orders.push(WorkerOrder::Stop {
                 worker: key,
                 task: running.task,
                 run: running.run,
@@ -109,35 +117,35 @@
         let mut state = RunState::new(running.task, &spec, RunPhase::Running(now), now);
         state.percent = running.percent;
         state.figure = running.figure;
-        self.worker_mut(key).add(running.run, state);
-        let mut surplus = over;
+        self.worker_mut(key).add_run(running.run, state);
+        let mut is_surplus = over;
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(step_state) = job.step_mut(step.occurrence, step.step)
             && let Some(task) = step_state.tasks.get_mut(running.task.index as usize)
         {
-            surplus |= task.done || (!task.runs.is_empty() && !spec.copies);
+            is_surplus |= task.done || (!task.runs.is_empty() && !spec.copies);
             task.runs.push((key, running.run));
-            step_state.note_placed(key);
-            job.note_run();
+            step_state.add_placed_task(key);
+            job.add_run();
         }
         if let Some(checkpoint) = running.checkpoint {
-            self.note_checkpoint(running.task, checkpoint);
+            self.record_checkpoint(running.task, checkpoint);
         }
-        if surplus {
+        if is_surplus {
             self.stop_run(key, running.task, running.run);
         }
     }
 
     /// Drops the runs that a worker certainly does not have: it confirmed them, or their stop,
     /// before the report was requested at `sent`, and the report does not list them.
-    pub(crate) fn note_missing(
+    pub(crate) fn drop_missing_runs(
         &mut self,
         key: WorkerKey,
         sent: Duration,
         listed: &[(TaskKey, RunNumber)],
         now: Duration,
     ) {
-        let gone: Vec<(TaskKey, RunNumber)> = self
+        let missing: Vec<(TaskKey, RunNumber)> = self
             .worker(key)
             .runs
             .iter()
@@ -150,13 +158,13 @@
             })
             .map(|(&id, _)| id)
             .collect();
-        for (task, run) in gone {
-            self.release(key, task, run, now);
+        for (task, run) in missing {
+            self.release_run(key, task, run, now);
         }
     }
 
     /// Records a task's latest checkpoint.
-    pub(crate) fn note_checkpoint(&mut self, task: TaskKey, checkpoint: Arc<str>) {
+    pub(crate) fn record_checkpoint(&mut self, task: TaskKey, checkpoint: Arc<str>) {
         let step = task.step;
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(step) = job.step_mut(step.occurrence, step.step)
@@ -167,22 +175,22 @@
     }
 
     /// Counts all runs of a worker as over, so that their tasks can start elsewhere.
-    pub(crate) fn lose_runs(&mut self, key: WorkerKey, now: Duration) {
+    pub(crate) fn drop_all_runs(&mut self, key: WorkerKey, now: Duration) {
         let runs: Vec<(TaskKey, RunNumber)> = self.worker(key).runs.keys().copied().collect();
         for (task, run) in runs {
-            self.release(key, task, run, now);
-            self.note_away(task, now);
+            self.release_run(key, task, run, now);
+            self.mark_unavailable(task, now);
         }
     }
 
     /// Records that a task has been without a run since `now`.
-    pub(crate) fn note_away(&mut self, task: TaskKey, now: Duration) {
+    pub(crate) fn mark_unavailable(&mut self, task: TaskKey, now: Duration) {
         let step = task.step;
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(step) = job.step_mut(step.occurrence, step.step)
             && let Some(task) = step.tasks.get_mut(task.index as usize)
         {
-            task.away_since = Some(now);
+            task.unavailable_since = Some(now);
         }
     }
 }
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -22,13 +22,13 @@
 };
 
 /// The maximum number of run completions in one report; a list of this length may be truncated.
-const ENDS_AT_A_TIME: usize = 500;
+const MAX_COMPLETIONS_PER_REPORT: usize = 500;
 /// The longest wait of a renewal while fillers run beside a service: the metrics cover the last
 /// half second, so a shorter wait would return the same values twice.
-const WATCHING_WAIT: Duration = Duration::from_millis(500);
+const INTERFERENCE_RENEWAL_WAIT: Duration = Duration::from_millis(500);
 /// The longest wait of a renewal while tasks run that make progress; bounds how late a lost answer
 /// or a stuck task is noticed.
-const WORKING_WAIT: Duration = Duration::from_millis(700);
+const ACTIVE_RENEWAL_WAIT: Duration = Duration::from_millis(700);
 
 impl Dispatcher {
     /// Returns how long after a takeover workers may continue to execute a former owner's orders.
@@ -54,17 +54,17 @@
     /// Adds or updates a worker that the registry lists. `inherited` is the time until which the
     /// worker may continue to execute a former owner's orders, if there was one.
     pub fn list_worker(&mut self, record: FleetWorker, inherited: Option<Duration>) -> WorkerKey {
-        let key = match self.by_id.get(&record.id) {
+        let key = match self.worker_keys.get(&record.id) {
             Some(&key) => {
-                self.renew_record(key, record);
+                self.update_record(key, record);
                 return key;
             }
             None => WorkerKey::new(self.workers.len()),
         };
-        self.by_id.insert(Arc::clone(&record.id), key);
+        self.worker_keys.insert(Arc::clone(&record.id), key);
         let mut state = WorkerState::new(record);
         state.inherited_until = inherited;
-        state.changed = self.plans;
+        state.changed_in_plan = self.plan_count;
         self.workers.push(state);
         key
     }
@@ -79,7 +79,7 @@
 
     /// Marks a worker as no longer listed by the registry.
     pub fn unlist_worker(&mut self, id: &str) {
-        if let Some(&key) = self.by_id.get(id) {
+        if let Some(&key) = self.worker_keys.get(id) {
             self.worker_mut(key).listed = false;
         }
     }
@@ -115,18 +115,18 @@
 
     /// Returns when a worker last answered, or `None` if it never did.
     pub fn heard(&self, key: WorkerKey) -> Option<Duration> {
-        self.worker(key).heard
+        self.worker(key).last_answer_at
     }
 
     /// Returns whether a completion of this number from a worker was processed already.
     pub fn has_processed(&self, id: &str, number: u64) -> bool {
         self.worker_key(id)
-            .is_some_and(|key| number <= self.worker(key).processed)
+            .is_some_and(|key| number <= self.worker(key).last_processed)
     }
 
     /// Returns the key of the worker with this identity.
     pub fn worker_key(&self, id: &str) -> Option<WorkerKey> {
-        self.by_id.get(id).copied()
+        self.worker_keys.get(id).copied()
     }
 
     /// Returns a worker's registry record.
@@ -142,24 +142,24 @@
 
     /// Returns the start time of a worker's current incarnation, since 1970, if it is known.
     pub fn incarnation(&self, key: WorkerKey) -> Option<Duration> {
-        self.worker(key).born
+        self.worker(key).incarnation
     }
 
     /// Returns the next lease renewal for a worker, and records the lease as granted. An owner that
     /// is not `confirmed` only reads the worker's state and grants no lease.
     pub fn hold_order(&mut self, key: WorkerKey, confirmed: bool, now: Duration) -> HoldOrder {
         let lease = self.settings.lease;
-        let wait = self.hold_wait(key);
+        let wait = self.renewal_wait(key);
         let worker = self.worker_mut(key);
         // A call that may not arrive grants no lease: otherwise an owner that keeps calling a dead
         // worker would extend the lease forever.
-        let answers = confirmed && worker.unanswered == 0;
+        let may_grant = confirmed && worker.unanswered == 0;
         HoldOrder {
-            deadline: answers.then(|| worker.clock.grant(lease, now)).flatten(),
+            deadline: may_grant.then(|| worker.clock.grant(lease, now)).flatten(),
             // After missed answers another incarnation may answer, whose completions use the same
             // numbers.
             acknowledged: if worker.unanswered == 0 {
-                worker.acknowledged
+                worker.last_acknowledged
             } else {
                 0
             },
@@ -188,29 +188,29 @@
         report: HoldReport,
         now: Duration,
     ) {
-        let former = self.worker(key).born;
+        let previous = self.worker(key).incarnation;
         let lease = self.settings.lease;
-        let reborn = former.is_some() && report.born.is_some() && former != report.born;
+        let is_restarted = previous.is_some() && report.born.is_some() && previous != report.born;
         let worker = self.worker_mut(key);
-        if reborn {
+        if is_restarted {
             // A start sent a moment ago may run in the new incarnation, so the runs are not given
             // up here: `note_missing` below drops those that the new incarnation does not have.
-            worker.forget_life();
+            worker.reset_incarnation();
         }
-        worker.born = report.born.or(worker.born);
+        worker.incarnation = report.born.or(worker.incarnation);
         worker.clock.hear(report.clock, now);
-        if reborn {
+        if is_restarted {
             // Covers the lease that such a start has granted to the new incarnation.
             worker.clock.grant(lease, now);
         }
-        worker.heard = Some(now);
+        worker.last_answer_at = Some(now);
         worker.unanswered = 0;
-        worker.closed = false;
-        worker.fenced = true;
+        worker.connection_refused = false;
+        worker.has_owner_token = true;
         worker.inherited_until = None;
-        let cut_short = report.ended.len() >= ENDS_AT_A_TIME;
+        let is_truncated = report.ended.len() >= MAX_COMPLETIONS_PER_REPORT;
         for ended in report.ended {
-            self.note_end(key, ended, now);
+            self.process_completion(key, ended, now);
         }
         let listed: Vec<(TaskKey, RunNumber)> = report
             .running
@@ -218,13 +218,13 @@
             .map(|running| (running.task, running.run))
             .collect();
         for running in report.running {
-            self.note_running(key, running, now);
+            self.update_run(key, running, now);
         }
-        if !cut_short {
-            self.note_missing(key, sent, &listed, now);
+        if !is_truncated {
+            self.drop_missing_runs(key, sent, &listed, now);
         }
         self.acknowledge();
-        self.watch_services(key, now);
+        self.protect_services(key, now);
     }
 
     /// Records that this process was suspended: its knowledge of the workers is stale, and any of
@@ -239,7 +239,7 @@
     pub fn hold_unanswered(&mut self, key: WorkerKey, end: OrderEnd) {
         let worker = self.worker_mut(key);
         worker.unanswered += 1;
-        worker.closed = end == OrderEnd::Refused(OrderRefusal::Closed);
+        worker.connection_refused = end == OrderEnd::Refused(OrderRefusal::Closed);
     }
 
     /// Records the outcome of a start order.
@@ -251,7 +251,7 @@
         end: OrderEnd,
         now: Duration,
     ) {
-        self.window.note_answered();
+        self.order_window.record_answered();
         match end {
             OrderEnd::Taken => {
                 if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run))
@@ -267,8 +267,8 @@
                 }
             }
             OrderEnd::Refused(refusal) => {
-                self.start_refused(key, task, refusal, now);
-                self.release(key, task, run, now);
+                self.handle_start_refusal(key, task, refusal, now);
+                self.release_run(key, task, run, now);
             }
         }
     }
@@ -282,13 +282,13 @@
         end: OrderEnd,
         now: Duration,
     ) {
-        self.window.note_answered();
-        let answered = match end {
+        self.order_window.record_answered();
+        let answered_at = match end {
             OrderEnd::Taken | OrderEnd::Refused(OrderRefusal::Old) => Some(now),
             OrderEnd::Refused(_) | OrderEnd::Unknown => return,
         };
         if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run)) {
-            state.phase = RunPhase::Stopping(answered);
+            state.phase = RunPhase::Stopping(answered_at);
         }
     }
 
@@ -301,27 +301,27 @@
             if worker.inherited_until.is_some_and(|until| now > until) {
                 worker.inherited_until = None;
             }
-            let over = worker.clock.has_lapsed(now) || worker.has_left();
-            if !worker.runs.is_empty() && over {
-                self.lose_runs(key, now);
+            let is_lost = worker.clock.has_lapsed(now) || worker.has_left();
+            if !worker.runs.is_empty() && is_lost {
+                self.drop_all_runs(key, now);
             }
         }
     }
 
     /// Replaces a listed worker's record; moves its long-running tasks if it starts to drain.
-    fn renew_record(&mut self, key: WorkerKey, record: FleetWorker) {
+    fn update_record(&mut self, key: WorkerKey, record: FleetWorker) {
         let worker = self.worker_mut(key);
-        let leaves = record.draining && !worker.record.draining;
+        let starts_draining = record.draining && !worker.record.draining;
         worker.record = record;
         worker.listed = true;
-        if leaves {
-            self.move_lasting(key);
+        if starts_draining {
+            self.stop_long_running_tasks(key);
         }
     }
 
     /// Stops the long-running tasks of a draining worker, so that they restart elsewhere before it
     /// leaves.
-    fn move_lasting(&mut self, key: WorkerKey) {
+    fn stop_long_running_tasks(&mut self, key: WorkerKey) {
         let lasting: Vec<(TaskKey, RunNumber)> = self
             .worker(key)
             .runs
@@ -335,25 +335,25 @@
     }
 
     /// Returns how long the worker may delay its answer to the next renewal.
-    fn hold_wait(&self, key: WorkerKey) -> Duration {
+    fn renewal_wait(&self, key: WorkerKey) -> Duration {
         let worker = self.worker(key);
         let longest = self.settings.longest_wait;
-        if !worker.fenced || worker.unanswered > 0 || !worker.pending_acks.is_empty() {
+        if !worker.has_owner_token || worker.unanswered > 0 || !worker.pending_acks.is_empty() {
             return Duration::ZERO;
         }
-        let fills = worker.filler_cpu > 0;
-        if fills && worker.serves() {
-            return WATCHING_WAIT.min(longest);
+        let has_fillers = worker.filler_cpu > 0;
+        if has_fillers && worker.has_services() {
+            return INTERFERENCE_RENEWAL_WAIT.min(longest);
         }
-        let only_steady = worker.runs.values().all(|run| run.target.is_some());
-        match only_steady {
+        let only_services = worker.runs.values().all(|run| run.target.is_some());
+        match only_services {
             true => longest,
-            false => WORKING_WAIT.min(longest),
+            false => ACTIVE_RENEWAL_WAIT.min(longest),
         }
     }
 
     /// Adjusts the state of a worker or step to the reason for which a start was refused.
-    fn start_refused(
+    fn handle_start_refusal(
         &mut self,
         key: WorkerKey,
         task: TaskKey,
@@ -363,7 +363,7 @@
         match refusal {
             OrderRefusal::Unsent | OrderRefusal::Closed => self.worker_mut(key).unanswered += 1,
             OrderRefusal::Unwell | OrderRefusal::Room | OrderRefusal::Malformed => {
-                self.worker_mut(key).health.set_aside(now);
+                self.worker_mut(key).health.quarantine(now);
             }
             OrderRefusal::Ticket => {
                 let step = task.step;
@@ -378,21 +378,21 @@
     }
 
     /// Processes a completion that a worker reports, unless it was processed before.
-    fn note_end(&mut self, key: WorkerKey, ended: EndedRun, now: Duration) {
-        if ended.number <= self.worker(key).processed {
+    fn process_completion(&mut self, key: WorkerKey, ended: EndedRun, now: Duration) {
+        if ended.number <= self.worker(key).last_processed {
             return;
         }
         let worker = self.worker_mut(key);
-        worker.processed = ended.number;
+        worker.last_processed = ended.number;
         // This owner has seen the run on the worker, which followed this owner's token by then: a
         // former owner cannot have received the completion.
         let seen = worker.runs.get(&(ended.task, ended.run));
-        let placed = seen.map(|run| run.placed);
-        self.release(key, ended.task, ended.run, now);
+        let placed = seen.map(|run| run.placed_at);
+        self.release_run(key, ended.task, ended.run, now);
         if let Some(placed) = placed {
-            self.note_run_time(&ended, placed, now);
+            self.record_run_time(&ended, placed, now);
         }
-        let change = self.settle_end(key, &ended, placed.is_some(), now);
+        let change = self.apply_completion(key, &ended, placed.is_some(), now);
         let worker = self.worker_mut(key);
         worker.pending_acks.push_back((ended.number, change));
     }
--- a/crates/dispatch/src/graph_error.rs
+++ b/crates/dispatch/src/graph_error.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 
 use crate::job_graph::{
-    MAX_PAYLOAD,
+    MAX_PAYLOAD_BYTES,
     MAX_STEPS,
     MAX_TASKS, //
 };
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum GraphError {
     /// The payload is too long.
-    #[display("the payload has {bytes} bytes, more than the limit of {MAX_PAYLOAD}")]
+    #[display("the payload has {bytes} bytes, more than the limit of {MAX_PAYLOAD_BYTES}")]
     Payload {
         /// The payload's length in bytes.
         bytes: usize,
--- a/crates/dispatch/src/harm_model.rs
+++ b/crates/dispatch/src/interference_model.rs
@@ -8,38 +8,38 @@
     LearnedEffect,
     LearnedRecord,
     LearnedService,
-    load_track::LoadTrack,
-    service_view::FillerProfile, //
+    load_estimate::LoadEstimate,
+    service_snapshot::FillerProfile, //
 };
 
 /// The growth of an effect's variance with each observation of its service: effects change only
 /// slowly.
-const DRIFT: f64 = 0.00002;
+const EFFECT_VARIANCE_DRIFT: f64 = 0.00002;
 /// The variance below which an effect counts as known, so that more fillers may be placed by it.
-const KNOWN: f64 = 0.25;
+const KNOWN_EFFECT_VARIANCE: f64 = 0.25;
 /// The variance of an effect before any observation.
-const UNKNOWN_EFFECT: f64 = 1.0;
+const UNKNOWN_EFFECT_VARIANCE: f64 = 1.0;
 /// The variance of one observation: initial value and bounds.
-const FIRST_NOISE: f64 = 0.004;
-const LEAST_NOISE: f64 = 0.0015;
-const MOST_NOISE: f64 = 0.03;
+const INITIAL_NOISE_VARIANCE: f64 = 0.004;
+const MIN_NOISE_VARIANCE: f64 = 0.0015;
+const MAX_NOISE_VARIANCE: f64 = 0.03;
 /// The weight of the previous noise estimate in the moving average, per observation.
-const NOISE_KEPT: f64 = 0.99;
+const NOISE_AVERAGE_WEIGHT: f64 = 0.99;
 /// The limit, in standard deviations, to which the error of an observation is clamped.
-const LARGEST_ERROR: f64 = 3.0;
+const MAX_ERROR_DEVIATIONS: f64 = 3.0;
 /// The load above which a tail latency only gives a lower bound of the load.
-const SATURATED: f64 = 0.93;
+const SATURATED_LOAD: f64 = 0.93;
 /// The lower bound of an effect: fillers speed nothing up, but measurements are rough.
-const LEAST_EFFECT: f64 = -0.2;
+const MIN_EFFECT: f64 = -0.2;
 /// The upper bound of the effect of a filler on all of a worker's CPU.
-const LARGEST_EFFECT: f64 = 5.0;
+const MAX_EFFECT: f64 = 5.0;
 /// The effect, at all of a worker's CPU, above which a filler image counts as harmful: at a tenth
 /// of the CPU it costs a service a twentieth of its load.
-const HARMFUL: f64 = 0.5;
+const HARMFUL_EFFECT: f64 = 0.5;
 /// The tail latency assumed of a service without load, as a share of the lowest tail observed.
-const IDLE_SHARE: f64 = 0.8;
+const IDLE_TAIL_SHARE: f64 = 0.8;
 /// The initial value of the lowest tail, as a share of the target, before any was observed.
-const FIRST_LEAST: f64 = 0.3;
+const INITIAL_MIN_TAIL_RATIO: f64 = 0.3;
 
 /// A filler beside a service, as far as the service's metrics reflect it.
 #[derive(Clone, Debug)]
@@ -49,7 +49,7 @@
     /// The share of the worker's CPU that the filler uses.
     pub(crate) share: f64,
     /// The share of the services' metrics window during which the filler ran.
-    pub(crate) seen: f64,
+    pub(crate) seen_share: f64,
 }
 
 /// Learns how much each filler image slows each service image down.
@@ -60,7 +60,7 @@
 /// effect times the share of CPU that the filler uses. Most pairs of images interfere little, some
 /// strongly.
 #[derive(Debug, Default)]
-pub(crate) struct HarmModel {
+pub(crate) struct InterferenceModel {
     services: IndexMap<Arc<str>, ServiceModel>,
 }
 
@@ -68,8 +68,8 @@
 #[derive(Debug)]
 struct ServiceModel {
     /// The lowest observed tail latency, as a share of the target.
-    least: f64,
-    fillers: IndexMap<Arc<str>, PairEffect>,
+    min_tail_ratio: f64,
+    fillers: IndexMap<Arc<str>, EffectEstimate>,
     /// The variance of one observation of the service's load.
     noise: f64,
     /// The share of the filler images observed beside the service that do not harm it.
@@ -79,23 +79,23 @@
 /// Estimate of the load that a filler image on all of a worker's CPU adds to a service: mean and
 /// variance.
 #[derive(Clone, Copy, Debug)]
-struct PairEffect {
+struct EffectEstimate {
     mean: f64,
     variance: f64,
 }
 
-impl HarmModel {
+impl InterferenceModel {
     /// Returns the load that a tail latency indicates; `ratio` is the tail divided by its target.
-    pub(crate) fn load(&mut self, service: &Arc<str>, ratio: f64) -> f64 {
+    pub(crate) fn observe_tail(&mut self, service: &Arc<str>, ratio: f64) -> f64 {
         let model = self.model(service);
         if ratio > 0.0 {
-            model.least = model.least.min(ratio);
+            model.min_tail_ratio = model.min_tail_ratio.min(ratio);
         }
         model.load(ratio)
     }
 
     /// Returns the load at which a service's tail latency is this share of its target.
-    pub(crate) fn limit(&self, service: &Arc<str>, ratio: f64) -> f64 {
+    pub(crate) fn load_limit(&self, service: &Arc<str>, ratio: f64) -> f64 {
         self.services.get(service).map_or_else(
             || ServiceModel::new().load(ratio),
             |model| model.load(ratio),
@@ -104,29 +104,32 @@
 
     /// Updates the effects of the fillers in `company` and the estimate of the service's own load
     /// in `track` from the service's measured load.
-    pub(crate) fn learn(
+    pub(crate) fn observe_load(
         &mut self,
         service: &Arc<str>,
-        company: &[FillerPresence],
-        track: &mut LoadTrack,
+        fillers_present: &[FillerPresence],
+        estimate: &mut LoadEstimate,
         load: f64,
     ) {
-        self.model(service).learn(company, track, load);
+        self.model(service)
+            .observe_load(fillers_present, estimate, load);
     }
 
     /// Returns whether the effect of a filler image on a service image is known well enough.
-    pub(crate) fn knows(&self, service: &Arc<str>, filler: &Arc<str>) -> bool {
+    pub(crate) fn is_known(&self, service: &Arc<str>, filler: &Arc<str>) -> bool {
         let model = self.services.get(service);
         model
             .and_then(|model| model.fillers.get(filler))
-            .is_some_and(PairEffect::is_known)
+            .is_some_and(EffectEstimate::is_known)
     }
 
     /// Returns the effects of a filler image on all service images.
     pub(crate) fn profile(&self, filler: &Arc<str>) -> FillerProfile {
         let pairs = self.services.values().map(|model| {
             let pair = model.fillers.get(filler);
-            pair.map_or((0.0, false), |pair| (pair.believed(), pair.is_known()))
+            pair.map_or((0.0, false), |pair| {
+                (pair.significant_mean(), pair.is_known())
+            })
         });
         FillerProfile {
             effects: pairs.collect(),
@@ -134,7 +137,7 @@
     }
 
     /// Returns the index of a service image in a [`FillerProfile`].
-    pub(crate) fn place_of(&self, service: &Arc<str>) -> Option<usize> {
+    pub(crate) fn service_index(&self, service: &Arc<str>) -> Option<usize> {
         self.services.get_index_of(service)
     }
 
@@ -182,19 +185,19 @@
 impl ServiceModel {
     fn new() -> Self {
         Self {
-            least: FIRST_LEAST,
+            min_tail_ratio: INITIAL_MIN_TAIL_RATIO,
             fillers: IndexMap::new(),
-            noise: FIRST_NOISE,
+            noise: INITIAL_NOISE_VARIANCE,
             harmless: 1.0,
         }
     }
 
     fn restored(record: &LearnedService) -> Self {
         let mut model = Self::new();
-        model.least = f64::from(record.least);
-        model.noise = f64::from(record.noise).clamp(LEAST_NOISE, MOST_NOISE);
+        model.min_tail_ratio = f64::from(record.least);
+        model.noise = f64::from(record.noise).clamp(MIN_NOISE_VARIANCE, MAX_NOISE_VARIANCE);
         for (image, effect) in &record.fillers {
-            let pair = PairEffect {
+            let pair = EffectEstimate {
                 mean: f64::from(effect.mean),
                 variance: f64::from(effect.variance),
             };
@@ -209,7 +212,7 @@
         LearnedService {
             image: image.to_string(),
             // CAST: Figures around 1, rough already.
-            least: self.least as f32,
+            least: self.min_tail_ratio as f32,
             // CAST: As above.
             noise: self.noise as f32,
             fillers: fillers
@@ -220,48 +223,56 @@
 
     /// Returns the load that a ratio of tail latency to target indicates.
     fn load(&self, ratio: f64) -> f64 {
-        let idle = self.least * IDLE_SHARE;
+        let idle = self.min_tail_ratio * IDLE_TAIL_SHARE;
         1.0 - idle / ratio.max(idle)
     }
 
     fn effect(&self, filler: &Arc<str>) -> f64 {
-        self.fillers.get(filler).map_or(0.0, PairEffect::believed)
+        self.fillers
+            .get(filler)
+            .map_or(0.0, EffectEstimate::significant_mean)
     }
 
-    fn learn(&mut self, company: &[FillerPresence], track: &mut LoadTrack, measured: f64) {
+    fn observe_load(
+        &mut self,
+        fillers_present: &[FillerPresence],
+        estimate: &mut LoadEstimate,
+        measured: f64,
+    ) {
         let mut shares: IndexMap<&Arc<str>, f64> = IndexMap::new();
-        let mut doubt = track.variance();
-        for filler in company {
-            *shares.entry(&filler.image).or_insert(0.0) += filler.share * filler.seen;
+        let mut expected_variance = estimate.variance();
+        for filler in fillers_present {
+            *shares.entry(&filler.image).or_insert(0.0) += filler.share * filler.seen_share;
             // For fillers that started or ended within the metrics window, the share that the
             // metrics reflect is only roughly known.
-            let rough = filler.seen * (1.0 - filler.seen);
+            let uncertain_share = filler.seen_share * (1.0 - filler.seen_share);
             let effect = self
                 .fillers
                 .get(&filler.image)
                 .map_or(1.0, |pair| pair.mean);
-            doubt += (effect * filler.share * rough).powi(2);
+            expected_variance += (effect * filler.share * uncertain_share).powi(2);
         }
-        let mut expected = track.load();
+        let mut expected = estimate.load();
         for (image, share) in &shares {
             let pair = self
                 .fillers
                 .entry(Arc::clone(image))
-                .or_insert_with(PairEffect::unknown);
+                .or_insert_with(EffectEstimate::unknown);
             expected += pair.mean * share;
-            doubt += pair.variance * share * share;
+            expected_variance += pair.variance * share * share;
         }
-        if measured > SATURATED && expected > measured {
+        if measured > SATURATED_LOAD && expected > measured {
             return;
         }
-        let total = doubt + self.noise;
+        let total = expected_variance + self.noise;
         let difference = measured - expected;
-        let most = LARGEST_ERROR * total.sqrt();
-        let difference = difference.clamp(-most, most);
-        self.noise = (self.noise * NOISE_KEPT
-            + (difference * difference - doubt).max(0.0) * (1.0 - NOISE_KEPT))
-            .clamp(LEAST_NOISE, MOST_NOISE);
-        track.correct(difference, total);
+        let bound = MAX_ERROR_DEVIATIONS * total.sqrt();
+        let difference = difference.clamp(-bound, bound);
+        self.noise = (self.noise * NOISE_AVERAGE_WEIGHT
+            + (difference * difference - expected_variance).max(0.0)
+                * (1.0 - NOISE_AVERAGE_WEIGHT))
+            .clamp(MIN_NOISE_VARIANCE, MAX_NOISE_VARIANCE);
+        estimate.correct(difference, total);
         for (image, share) in shares {
             if let Some(pair) = self.fillers.get_mut(image) {
                 pair.correct(share, difference, total);
@@ -276,29 +287,29 @@
         let harmful = self
             .fillers
             .values()
-            .filter(|pair| pair.believed() > HARMFUL);
+            .filter(|pair| pair.significant_mean() > HARMFUL_EFFECT);
         1.0 - harmful.count() as f64 / images
     }
 }
 
-impl PairEffect {
+impl EffectEstimate {
     fn unknown() -> Self {
         Self {
             mean: 0.0,
-            variance: UNKNOWN_EFFECT,
+            variance: UNKNOWN_EFFECT_VARIANCE,
         }
     }
 
     /// Returns whether the estimate is precise enough to place fillers by it.
     fn is_known(&self) -> bool {
-        self.variance < KNOWN
+        self.variance < KNOWN_EFFECT_VARIANCE
     }
 
     /// Returns the mean if it is statistically significant, else 0: insignificant effects would add
     /// up over many fillers.
-    fn believed(&self) -> f64 {
+    fn significant_mean(&self) -> f64 {
         if self.mean * self.mean > self.variance {
-            self.mean.clamp(0.0, LARGEST_EFFECT)
+            self.mean.clamp(0.0, MAX_EFFECT)
         } else {
             0.0
         }
@@ -308,9 +319,9 @@
     /// load and `total` its variance.
     fn correct(&mut self, share: f64, difference: f64, total: f64) {
         let gain = self.variance * share / total;
-        self.mean = (self.mean + gain * difference).clamp(LEAST_EFFECT, LARGEST_EFFECT);
+        self.mean = (self.mean + gain * difference).clamp(MIN_EFFECT, MAX_EFFECT);
         let left = self.variance - gain * self.variance * share;
-        self.variance = (left + DRIFT).min(UNKNOWN_EFFECT);
+        self.variance = (left + EFFECT_VARIANCE_DRIFT).min(UNKNOWN_EFFECT_VARIANCE);
     }
 
     fn record(&self) -> LearnedEffect {
--- a/crates/dispatch/src/job_graph.rs
+++ b/crates/dispatch/src/job_graph.rs
@@ -21,7 +21,7 @@
 /// The maximum number of steps in a job; a step's number has 16 bits.
 pub(crate) const MAX_STEPS: usize = 256;
 /// The maximum length of a payload.
-pub(crate) const MAX_PAYLOAD: usize = 4_000;
+pub(crate) const MAX_PAYLOAD_BYTES: usize = 4_000;
 
 /// Definition of a job as it is submitted: its steps and their dependencies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -42,7 +42,7 @@
     ///
     /// Returns the first [`GraphError`] found.
     pub fn check(&self) -> Result<(), GraphError> {
-        if self.payload.len() > MAX_PAYLOAD {
+        if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(GraphError::Payload {
                 bytes: self.payload.len(),
             });
@@ -78,8 +78,8 @@
         for number in self.ordered().into_iter().rev() {
             for &before in &self.steps[number].after {
                 let before = usize::from(before);
-                let through = self.steps[before].estimate + chains[number];
-                chains[before] = chains[before].max(through);
+                let chain = self.steps[before].estimate + chains[number];
+                chains[before] = chains[before].max(chain);
             }
         }
         chains
@@ -117,14 +117,14 @@
     /// Returns the steps in topological order; steps on a cycle, or that depend on one, are left
     /// out.
     fn ordered(&self) -> Vec<usize> {
-        let mut placed = vec![false; self.steps.len()];
+        let mut is_ordered = vec![false; self.steps.len()];
         let mut order = Vec::with_capacity(self.steps.len());
         loop {
             let before = order.len();
             for (number, step) in self.steps.iter().enumerate() {
-                let ready = step.after.iter().all(|&step| placed[usize::from(step)]);
-                if !placed[number] && ready {
-                    placed[number] = true;
+                let ready = step.after.iter().all(|&step| is_ordered[usize::from(step)]);
+                if !is_ordered[number] && ready {
+                    is_ordered[number] = true;
                     order.push(number);
                 }
             }
--- a/crates/dispatch/src/job_key.rs
+++ b/crates/dispatch/src/job_key.rs
@@ -12,7 +12,7 @@
 };
 
 /// The number of hexadecimal digits of a job identifier.
-const DIGITS: usize = 16;
+const HEX_DIGITS: usize = 16;
 
 /// Identifier of a job, chosen by its submitter: 64 bits, written as 16 lower-case hexadecimal
 /// digits.
@@ -52,10 +52,10 @@
     type Err = JobKeyError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let plain = text
+        let is_lower_hex = text
             .bytes()
             .all(|byte| byte.is_ascii_digit() || (b'a'..=b'f').contains(&byte));
-        if text.len() != DIGITS || !plain {
+        if text.len() != HEX_DIGITS || !is_lower_hex {
             return Err(JobKeyError);
         }
         u64::from_str_radix(text, 16)
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -16,7 +16,7 @@
     StepSpec,
     WorkerKey,
     dispatcher::StepOrigin,
-    load_track::LoadTrack, //
+    load_estimate::LoadEstimate, //
 };
 
 /// The owner's view of a job.
@@ -25,7 +25,7 @@
     pub(crate) queue: Arc<str>,
     pub(crate) graph: Arc<JobGraph>,
     /// For each step, the declared run time of the longest dependency chain that begins with it.
-    pub(crate) chains: Vec<Duration>,
+    pub(crate) remaining_chains: Vec<Duration>,
     /// When the job was accepted, on this process's clock; 0 if that was before the clock's origin.
     pub(crate) accepted: Duration,
     /// Whether a former owner may have started some of the job's tasks.
@@ -35,14 +35,14 @@
     /// How the job ended, whether or not that is on record.
     pub(crate) outcome: Option<JobOutcome>,
     /// How the job ended, once that is on record.
-    pub(crate) recorded: Option<JobOutcome>,
+    pub(crate) recorded_outcome: Option<JobOutcome>,
     pub(crate) occurrences: BTreeMap<u32, OccurrenceState>,
     /// The number of the job's current runs.
-    pub(crate) running: u32,
+    pub(crate) run_count: u32,
     /// When the job's last run ended, or when the job was accepted if it had none.
     pub(crate) idle_since: Duration,
     /// When a worker was last searched for the job regardless of the interference with services.
-    pub(crate) forced: Option<Duration>,
+    pub(crate) last_forced_search: Option<Duration>,
 }
 
 /// The state of one occurrence of a job.
@@ -55,23 +55,23 @@
 #[derive(Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<TaskState>,
-    pub(crate) done: u32,
+    pub(crate) done_count: u32,
     /// Whether all steps on which it depends are done.
     pub(crate) open: bool,
     /// Whether a former owner may have started some of the step's tasks.
     pub(crate) inherited: bool,
     /// The rack of the step's first placed task.
-    pub(crate) rack: Option<Arc<str>>,
+    pub(crate) first_rack: Option<Arc<str>>,
     /// The number of the step's tasks that run on each worker.
-    pub(crate) placed: IndexMap<WorkerKey, u32>,
+    pub(crate) tasks_per_worker: IndexMap<WorkerKey, u32>,
     /// The tickets for the step's tasks by worker, each with the time until which it is valid.
     pub(crate) tickets: IndexMap<WorkerKey, (Arc<str>, Duration)>,
     /// When tickets were last requested.
-    pub(crate) advice_asked: Option<Duration>,
+    pub(crate) advice_requested_at: Option<Duration>,
     /// When it was last logged why the step waits.
-    pub(crate) wait_noted: Option<Duration>,
+    pub(crate) wait_noted_at: Option<Duration>,
     /// The estimated load of the step's tasks without fillers, if they serve requests.
-    pub(crate) load: Option<LoadTrack>,
+    pub(crate) load: Option<LoadEstimate>,
 }
 
 /// The state of one task.
@@ -86,7 +86,7 @@
     /// The worker on which the task last failed.
     pub(crate) failed_on: Option<WorkerKey>,
     /// When the task's last run was lost, or ended if the task is long-running.
-    pub(crate) away_since: Option<Duration>,
+    pub(crate) unavailable_since: Option<Duration>,
 }
 
 impl JobState {
@@ -105,32 +105,32 @@
     }
 
     /// Returns whether a former owner may have started some of a step's tasks.
-    pub(crate) fn inherits(&self, occurrence: u32, step: u16) -> bool {
+    pub(crate) fn may_be_inherited(&self, occurrence: u32, step: u16) -> bool {
         self.step(occurrence, step)
             .is_none_or(|state| state.inherited)
     }
 
     /// Returns since when the longest-waiting task of a step has been without a run.
-    pub(crate) fn waits_since(&self, occurrence: u32, step: u16) -> Duration {
+    pub(crate) fn waiting_since(&self, occurrence: u32, step: u16) -> Duration {
         let tasks = self.step(occurrence, step).map(|state| &state.tasks);
         let pending = tasks.into_iter().flatten().filter(|task| task.is_pending());
-        let since = pending.map(|task| task.away_since.unwrap_or(self.accepted));
+        let since = pending.map(|task| task.unavailable_since.unwrap_or(self.accepted));
         since.min().unwrap_or(self.accepted)
     }
 
-    pub(crate) fn note_run(&mut self) {
-        self.running += 1;
+    pub(crate) fn add_run(&mut self) {
+        self.run_count += 1;
     }
 
-    pub(crate) fn note_run_over(&mut self, now: Duration) {
-        self.running = self.running.saturating_sub(1);
-        if self.running == 0 {
+    pub(crate) fn remove_run(&mut self, now: Duration) {
+        self.run_count = self.run_count.saturating_sub(1);
+        if self.run_count == 0 {
             self.idle_since = now;
         }
     }
 
     /// Returns when an occurrence was accepted or due, on the process's clock.
-    pub(crate) fn begun(&self, occurrence: u32, clock_origin: Duration) -> Duration {
+    pub(crate) fn occurrence_start(&self, occurrence: u32, clock_origin: Duration) -> Duration {
         self.graph.schedule.map_or(self.accepted, |schedule| {
             schedule.due(occurrence).saturating_sub(clock_origin)
         })
@@ -143,7 +143,7 @@
 
     /// Returns the job's progress; an outcome is reported only once it is on record.
     pub(crate) fn progress(&self) -> JobProgress {
-        match self.recorded {
+        match self.recorded_outcome {
             Some(outcome) => JobProgress::Ended(outcome),
             None if self.cancelled && self.outcome.is_none() => {
                 JobProgress::Ended(JobOutcome::Cancelled)
@@ -158,14 +158,14 @@
     pub(crate) fn new(graph: &JobGraph, inherited: bool) -> Self {
         let steps = graph.steps.iter().map(|spec| StepState {
             tasks: vec![TaskState::default(); spec.count as usize],
-            done: 0,
+            done_count: 0,
             open: spec.after.is_empty(),
             inherited,
-            rack: None,
-            placed: IndexMap::new(),
+            first_rack: None,
+            tasks_per_worker: IndexMap::new(),
             tickets: IndexMap::new(),
-            advice_asked: None,
-            wait_noted: None,
+            advice_requested_at: None,
+            wait_noted_at: None,
             load: None,
         });
         Self {
@@ -173,14 +173,14 @@
         }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        self.steps.iter().all(StepState::is_whole)
+    pub(crate) fn is_done(&self) -> bool {
+        self.steps.iter().all(StepState::is_done)
     }
 
     /// Opens the steps whose dependencies are all done.
     pub(crate) fn open_steps(&mut self, graph: &JobGraph, origin: StepOrigin) {
         for (number, spec) in graph.steps.iter().enumerate() {
-            let ready = |&before: &u16| self.steps[usize::from(before)].is_whole();
+            let ready = |&before: &u16| self.steps[usize::from(before)].is_done();
             if !self.steps[number].open && spec.after.iter().all(ready) {
                 self.steps[number].open = true;
                 self.steps[number].inherited &= origin == StepOrigin::Unknown;
@@ -190,8 +190,8 @@
 }
 
 impl StepState {
-    pub(crate) fn is_whole(&self) -> bool {
-        self.done as usize == self.tasks.len()
+    pub(crate) fn is_done(&self) -> bool {
+        self.done_count as usize == self.tasks.len()
     }
 
     /// Returns whether the step is open and has a task that neither is done nor has a run.
@@ -200,17 +200,17 @@
     }
 
     /// Returns whether a worker already runs as many of the step's tasks as its spread allows.
-    pub(crate) fn is_crowded(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
-        let held = self.placed.get(&worker).copied().unwrap_or(0);
+    pub(crate) fn is_at_spread_limit(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
+        let held = self.tasks_per_worker.get(&worker).copied().unwrap_or(0);
         spec.spread.is_some_and(|most| held >= most)
     }
 
-    pub(crate) fn note_placed(&mut self, worker: WorkerKey) {
-        *self.placed.entry(worker).or_insert(0) += 1;
+    pub(crate) fn add_placed_task(&mut self, worker: WorkerKey) {
+        *self.tasks_per_worker.entry(worker).or_insert(0) += 1;
     }
 
-    pub(crate) fn note_left(&mut self, worker: WorkerKey) {
-        if let Some(count) = self.placed.get_mut(&worker) {
+    pub(crate) fn remove_placed_task(&mut self, worker: WorkerKey) {
+        if let Some(count) = self.tasks_per_worker.get_mut(&worker) {
             *count = count.saturating_sub(1);
         }
     }
--- a/crates/dispatch/src/load_track.rs
+++ b/crates/dispatch/src/load_estimate.rs
@@ -3,16 +3,16 @@
 use std::time::Duration;
 
 /// The growth of the slope's variance per second: loads swing within five to twenty seconds.
-const SLOPE_DRIFT: f64 = 0.05;
+const SLOPE_VARIANCE_PER_SECOND: f64 = 0.05;
 /// The variances of the load and of its slope before any observation; also their upper bounds.
-const FIRST_VARIANCE: f64 = 0.06;
-const FIRST_SLOPE_VARIANCE: f64 = 0.01;
+const INITIAL_LOAD_VARIANCE: f64 = 0.06;
+const INITIAL_SLOPE_VARIANCE: f64 = 0.01;
 /// The lower bound of both variances.
-const LEAST_VARIANCE: f64 = 1e-6;
+const MIN_VARIANCE: f64 = 1e-6;
 /// The load assumed of a service before any observation.
-const USUAL: f64 = 0.45;
+const DEFAULT_LOAD: f64 = 0.45;
 /// The highest load that is forecast of a service without fillers.
-const HIGHEST: f64 = 0.65;
+const MAX_FORECAST_LOAD: f64 = 0.65;
 
 /// Estimate of a service's own load over time: the load that its tasks' tail latencies indicate,
 /// less the load that fillers add. The tasks of a step share their callers, so one estimate covers
@@ -20,7 +20,7 @@
 ///
 /// A Kalman filter with the load and its slope as state.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LoadTrack {
+pub(crate) struct LoadEstimate {
     load: f64,
     slope: f64,
     /// The covariance matrix: variance of the load, covariance of load and slope, variance of the
@@ -29,28 +29,28 @@
     at: Duration,
 }
 
-impl LoadTrack {
+impl LoadEstimate {
     /// Creates an estimate without any observation.
     pub(crate) fn new(now: Duration) -> Self {
         Self {
-            load: USUAL,
+            load: DEFAULT_LOAD,
             slope: 0.0,
-            variance: [FIRST_VARIANCE, 0.0, FIRST_SLOPE_VARIANCE],
+            variance: [INITIAL_LOAD_VARIANCE, 0.0, INITIAL_SLOPE_VARIANCE],
             at: now,
         }
     }
 
     /// Predicts the state at a later time.
     pub(crate) fn advance(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        let [load, both, slope] = self.variance;
-        self.load += self.slope * passed;
+        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let [load, covariance, slope] = self.variance;
+        self.load += self.slope * elapsed;
         self.variance = [
-            load + 2.0 * passed * both
-                + passed * passed * slope
-                + SLOPE_DRIFT * passed.powi(3) / 3.0,
-            both + passed * slope + SLOPE_DRIFT * passed * passed / 2.0,
-            slope + SLOPE_DRIFT * passed,
+            load + 2.0 * elapsed * covariance
+                + elapsed * elapsed * slope
+                + SLOPE_VARIANCE_PER_SECOND * elapsed.powi(3) / 3.0,
+            covariance + elapsed * slope + SLOPE_VARIANCE_PER_SECOND * elapsed * elapsed / 2.0,
+            slope + SLOPE_VARIANCE_PER_SECOND * elapsed,
         ];
         self.load = self.load.clamp(0.0, 1.0);
         self.bound_variance();
@@ -60,13 +60,13 @@
     /// Corrects the state by an observation: `difference` is the observed load minus the expected
     /// one, `total` the variance of that difference.
     pub(crate) fn correct(&mut self, difference: f64, total: f64) {
-        let [load, both, slope] = self.variance;
+        let [load, covariance, slope] = self.variance;
         self.load = (self.load + load / total * difference).clamp(0.0, 1.0);
-        self.slope += both / total * difference;
+        self.slope += covariance / total * difference;
         self.variance = [
             load - load * load / total,
-            both - both * load / total,
-            slope - both * both / total,
+            covariance - covariance * load / total,
+            slope - covariance * covariance / total,
         ];
         self.bound_variance();
     }
@@ -82,20 +82,20 @@
     }
 
     /// Returns the highest load forecast from `now` until `within` later.
-    pub(crate) fn expected(&self, now: Duration, within: Duration) -> f64 {
-        let passed = now.saturating_sub(self.at).as_secs_f64();
-        let current = self.load + self.slope * passed;
+    pub(crate) fn forecast(&self, now: Duration, within: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.at).as_secs_f64();
+        let current = self.load + self.slope * elapsed;
         let rise = self.slope.max(0.0) * within.as_secs_f64();
-        (current + rise).clamp(0.0, HIGHEST.max(self.load))
+        (current + rise).clamp(0.0, MAX_FORECAST_LOAD.max(self.load))
     }
 
     /// Bounds the variances, since an estimate without recent observations is no better than none,
     /// and keeps the matrix a valid covariance matrix despite rounding and these bounds: otherwise
     /// the next correction would turn the load into NaN.
     fn bound_variance(&mut self) {
-        let load = self.variance[0].clamp(LEAST_VARIANCE, FIRST_VARIANCE);
-        let slope = self.variance[2].clamp(LEAST_VARIANCE, FIRST_SLOPE_VARIANCE);
-        let most = (load * slope).sqrt();
-        self.variance = [load, self.variance[1].clamp(-most, most), slope];
+        let load = self.variance[0].clamp(MIN_VARIANCE, INITIAL_LOAD_VARIANCE);
+        let slope = self.variance[2].clamp(MIN_VARIANCE, INITIAL_SLOPE_VARIANCE);
+        let limit = (load * slope).sqrt();
+        self.variance = [load, self.variance[1].clamp(-limit, limit), slope];
     }
 }
--- a/crates/dispatch/src/start_window.rs
+++ b/crates/dispatch/src/order_window.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 /// The initial limit. An order takes some 10 ms, so this allows 6,000 a second.
-const FIRST: usize = 64;
+const INITIAL_ORDER_LIMIT: usize = 64;
 /// The lowest limit: the owner must continue to make progress.
-const LEAST: usize = 8;
+const MIN_ORDER_LIMIT: usize = 8;
 /// The highest limit: 770 starts a second, each in flight for up to 0.6 s.
-const MOST: usize = 512;
+const MAX_ORDER_LIMIT: usize = 512;
 /// The timer lag from which the process counts as overloaded. A wake-up on an idle VM is some
 /// milliseconds late; an order counts as lost after 600 ms.
-const LATE: Duration = Duration::from_millis(60);
+const OVERLOAD_TIMER_LAG: Duration = Duration::from_millis(60);
 /// The minimum interval between two reductions of the limit: orders sent before a reduction still
 /// delay the timers.
-const CUT_EVERY: Duration = Duration::from_millis(100);
+const MIN_REDUCTION_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Limits the number of orders in flight by the lag of the process's own timers.
 ///
@@ -22,47 +22,50 @@
 /// healthy. The lag of its own timers reveals the overload, and fewer orders are sent. Lost answers
 /// are no indication: the workers may be the cause.
 #[derive(Debug)]
-pub(crate) struct StartWindow {
+pub(crate) struct OrderWindow {
     limit: usize,
-    under_way: usize,
-    cut: Option<Duration>,
+    in_flight: usize,
+    last_reduction: Option<Duration>,
 }
 
-impl Default for StartWindow {
+impl Default for OrderWindow {
     fn default() -> Self {
         Self {
-            limit: FIRST,
-            under_way: 0,
-            cut: None,
+            limit: INITIAL_ORDER_LIMIT,
+            in_flight: 0,
+            last_reduction: None,
         }
     }
 }
 
-impl StartWindow {
+impl OrderWindow {
     /// Adjusts the limit to the lag of the process's timers: additive increase, multiplicative
     /// decrease.
-    pub(crate) fn note_lag(&mut self, lag: Duration, now: Duration) {
-        if lag < LATE {
-            self.limit = (self.limit + 1).min(MOST);
+    pub(crate) fn adjust_to_lag(&mut self, lag: Duration, now: Duration) {
+        if lag < OVERLOAD_TIMER_LAG {
+            self.limit = (self.limit + 1).min(MAX_ORDER_LIMIT);
             return;
         }
-        if self.cut.is_some_and(|cut| now < cut + CUT_EVERY) {
+        if self
+            .last_reduction
+            .is_some_and(|last_reduction| now < last_reduction + MIN_REDUCTION_INTERVAL)
+        {
             return;
         }
-        self.cut = Some(now);
-        self.limit = (self.limit / 2).max(LEAST);
+        self.last_reduction = Some(now);
+        self.limit = (self.limit / 2).max(MIN_ORDER_LIMIT);
     }
 
     /// Returns how many more orders may be sent now.
-    pub(crate) fn room(&self) -> usize {
-        self.limit.saturating_sub(self.under_way)
+    pub(crate) fn remaining(&self) -> usize {
+        self.limit.saturating_sub(self.in_flight)
     }
 
-    pub(crate) fn note_sent(&mut self) {
-        self.under_way += 1;
+    pub(crate) fn record_sent(&mut self) {
+        self.in_flight += 1;
     }
 
-    pub(crate) fn note_answered(&mut self) {
-        self.under_way = self.under_way.saturating_sub(1);
+    pub(crate) fn record_answered(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
--- a/crates/dispatch/src/run_state.rs
+++ b/crates/dispatch/src/run_state.rs
@@ -11,7 +11,7 @@
     StepSpec,
     TaskKey,
     WorkKind,
-    load_track::LoadTrack, //
+    load_estimate::LoadEstimate, //
 };
 
 /// Phase of a run as far as the owner knows.
@@ -43,19 +43,19 @@
     pub(crate) image: Option<Arc<str>>,
     pub(crate) target: Option<Duration>,
     /// When the run was placed on its worker.
-    pub(crate) placed: Duration,
+    pub(crate) placed_at: Duration,
     pub(crate) percent: u32,
     /// When `percent` last changed.
-    pub(crate) moved: Duration,
+    pub(crate) last_progress_at: Duration,
     pub(crate) figure: Option<u64>,
     /// The estimated load without fillers, if the run serves requests.
-    pub(crate) load: Option<LoadTrack>,
+    pub(crate) load: Option<LoadEstimate>,
     /// The throttle factor last ordered, in percent; 100 is unthrottled, `u32::MAX` unknown.
-    pub(crate) pace: u32,
+    pub(crate) throttle_percent: u32,
     /// When a stop was last sent.
-    pub(crate) stop_sent: Option<Duration>,
+    pub(crate) stop_sent_at: Option<Duration>,
     /// The number of stops sent.
-    pub(crate) stop_tries: u32,
+    pub(crate) stop_attempts: u32,
 }
 
 impl RunState {
@@ -69,14 +69,14 @@
             filler_cpu: if spec.filler { spec.size.cpu_millis } else { 0 },
             image: spec.image.clone(),
             target: spec.target,
-            placed: now,
+            placed_at: now,
             percent: 0,
-            moved: now,
+            last_progress_at: now,
             figure: None,
             load: None,
-            pace: 100,
-            stop_sent: None,
-            stop_tries: 0,
+            throttle_percent: 100,
+            stop_sent_at: None,
+            stop_attempts: 0,
         }
     }
 
--- a/crates/dispatch/src/short_demand.rs
+++ b/crates/dispatch/src/short_demand.rs
@@ -10,15 +10,15 @@
 };
 
 /// The time after which an arrival counts half.
-const HALF_LIFE: Duration = Duration::from_secs(20);
+const ARRIVAL_HALF_LIFE: Duration = Duration::from_secs(20);
 /// The minimum observation time assumed for arrival rates: a rate over fewer seconds is mostly
 /// chance.
-const LEAST_SEEN: Duration = Duration::from_secs(2);
+const MIN_ARRIVAL_OBSERVATION: Duration = Duration::from_secs(2);
 /// The number of standard deviations above the mean up to which the need of short tasks is met.
-const SPREADS: f64 = 2.0;
+const NEED_DEVIATIONS: f64 = 2.0;
 /// The bounds of the factor by which declared run times are corrected.
-const LEAST_CORRECTION: f64 = 0.25;
-const LARGEST_CORRECTION: f64 = 4.0;
+const MIN_RUN_TIME_CORRECTION: f64 = 0.25;
+const MAX_RUN_TIME_CORRECTION: f64 = 4.0;
 
 /// Upper bounds of the CPU that a pool offers to short tasks, in millicores.
 #[derive(Clone, Copy, Debug, Default)]
@@ -35,9 +35,9 @@
     /// The sum of CPU times seconds over all steps, as declared, in millicores.
     work: DecayingSum,
     /// The sum of a step's squared CPU times seconds, as declared.
-    squares: DecayingSum,
+    step_squares: DecayingSum,
     /// The sum of a task's squared CPU times seconds over all tasks, as declared.
-    sizes: DecayingSum,
+    task_squares: DecayingSum,
     /// The CPU times seconds that completed runs declared, and that they took.
     declared: DecayingSum,
     taken: DecayingSum,
@@ -45,11 +45,11 @@
 
 impl Default for ShortDemand {
     fn default() -> Self {
-        let sum = DecayingSum::new(HALF_LIFE);
+        let sum = DecayingSum::new(ARRIVAL_HALF_LIFE);
         Self {
             work: sum,
-            squares: sum,
-            sizes: sum,
+            step_squares: sum,
+            task_squares: sum,
             declared: sum,
             taken: sum,
         }
@@ -59,46 +59,47 @@
 impl ShortDemand {
     /// Records the arrival of a job's occurrence. A task that no worker can hold counts as no need,
     /// and no step counts for more than the pool has.
-    pub(crate) fn note_arrival(&mut self, graph: &JobGraph, pool: PoolSize, at: Duration) {
+    pub(crate) fn record_arrival(&mut self, graph: &JobGraph, pool: PoolSize, at: Duration) {
         let short = graph.steps.iter();
-        let able = short.filter(|step| {
+        let eligible = short.filter(|step| {
             step.kind() == WorkKind::Short && step.size.cpu_millis <= pool.largest_worker
         });
-        for step in able {
-            let size = millis(step);
-            // CAST: Exact up to 2^53 thousandths of a processor.
-            let all = (size * f64::from(step.count)).min(pool.all as f64);
+        for step in eligible {
+            let task_cpu = task_cpu_millis(step);
+            // CAST: Exact up to 2^53 millicores.
+            let step_cpu = (task_cpu * f64::from(step.count)).min(pool.all as f64);
             let seconds = step.estimate.as_secs_f64();
-            self.work.add(all * seconds, at);
-            self.squares.add(all * all * seconds, at);
-            self.sizes.add(all * size * seconds, at);
+            self.work.add(step_cpu * seconds, at);
+            self.step_squares.add(step_cpu * step_cpu * seconds, at);
+            self.task_squares.add(step_cpu * task_cpu * seconds, at);
         }
     }
 
     /// Records how long a completed task took.
-    pub(crate) fn note_done(&mut self, step: &StepSpec, took: Duration, at: Duration) {
+    pub(crate) fn record_run_time(&mut self, step: &StepSpec, took: Duration, at: Duration) {
         if step.kind() != WorkKind::Short || step.estimate.is_zero() {
             return;
         }
         self.declared
-            .add(millis(step) * step.estimate.as_secs_f64(), at);
-        self.taken.add(millis(step) * took.as_secs_f64(), at);
+            .add(task_cpu_millis(step) * step.estimate.as_secs_f64(), at);
+        self.taken
+            .add(task_cpu_millis(step) * took.as_secs_f64(), at);
     }
 
     /// Returns the CPU that short tasks need, in millicores.
-    pub(crate) fn need(&self, now: Duration) -> u64 {
+    pub(crate) fn required_cpu(&self, now: Duration) -> u64 {
         let correction = self.correction(now);
-        let mean = self.work.rate(now, LEAST_SEEN) * correction;
-        let variance = self.squares.rate(now, LEAST_SEEN) * correction;
+        let mean = self.work.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
+        let variance = self.step_squares.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
         // CAST: It saturates.
-        (mean + SPREADS * variance.sqrt()) as u64
+        (mean + NEED_DEVIATIONS * variance.sqrt()) as u64
     }
 
     /// Returns the mean CPU of a task in millicores, weighted by CPU times run time; at least 1.
-    pub(crate) fn usual_size(&self, now: Duration) -> u64 {
+    pub(crate) fn typical_task_cpu(&self, now: Duration) -> u64 {
         let work = self.work.total(now);
         let size = if work > 0.0 {
-            self.sizes.total(now) / work
+            self.task_squares.total(now) / work
         } else {
             0.0
         };
@@ -112,12 +113,12 @@
         if declared <= 0.0 {
             return 1.0;
         }
-        (self.taken.total(now) / declared).clamp(LEAST_CORRECTION, LARGEST_CORRECTION)
+        (self.taken.total(now) / declared).clamp(MIN_RUN_TIME_CORRECTION, MAX_RUN_TIME_CORRECTION)
     }
 }
 
 /// Returns the CPU of one of a step's tasks, in millicores.
-fn millis(step: &StepSpec) -> f64 {
-    // CAST: Exact up to 2^53 thousandths of a processor.
+fn task_cpu_millis(step: &StepSpec) -> f64 {
+    // CAST: Exact up to 2^53 millicores.
     step.size.cpu_millis as f64
 }
--- a/crates/dispatch/src/hopeless_demand.rs
+++ b/crates/dispatch/src/unplaceable_demands.rs
@@ -12,7 +12,7 @@
 /// The lifetime of a cached result, measured from the last scan of all workers. Within it only
 /// workers that have changed since are scanned; but capacity also becomes usable without such a
 /// change, by what is learned of services and by the mere passing of time.
-const BELIEVED: Duration = Duration::from_millis(400);
+const NO_CAPACITY_CACHE_TTL: Duration = Duration::from_millis(400);
 
 /// The requirements of a task on its worker.
 #[derive(Clone, Debug)]
@@ -24,20 +24,20 @@
     filler: Option<Option<Arc<str>>>,
     cpu: u64,
     /// Whether only size and image decide which workers qualify; only such demands are cached.
-    is_plain: bool,
+    is_cacheable: bool,
     /// Whether the worker requires a ticket.
-    pub(crate) ticketed: bool,
+    pub(crate) needs_ticket: bool,
 }
 
 impl TaskDemand {
-    pub(crate) fn new(spec: &StepSpec, pool: &Arc<str>, ticketed: bool) -> Self {
+    pub(crate) fn new(spec: &StepSpec, pool: &Arc<str>, needs_ticket: bool) -> Self {
         Self {
             pool: Arc::clone(pool),
             reserved: spec.reserved(),
             filler: spec.filler.then(|| spec.image.clone()),
             cpu: spec.size.cpu_millis,
-            is_plain: spec.label.is_none() && spec.spread.is_none() && !ticketed,
-            ticketed,
+            is_cacheable: spec.label.is_none() && spec.spread.is_none() && !needs_ticket,
+            needs_ticket,
         }
     }
 
@@ -53,45 +53,47 @@
 /// Caches the demands for which no worker had capacity: each with the number of the plan that found
 /// this and the time of the last scan of all workers.
 #[derive(Debug, Default)]
-pub(crate) struct HopelessDemands {
-    known: Vec<(TaskDemand, u64, Duration)>,
+pub(crate) struct UnplaceableDemands {
+    entries: Vec<(TaskDemand, u64, Duration)>,
 }
 
-impl HopelessDemands {
+impl UnplaceableDemands {
     /// Records that no worker had capacity for a demand in this plan.
-    pub(crate) fn note(&mut self, demand: &TaskDemand, plan: u64, now: Duration) {
-        if !demand.is_plain {
+    pub(crate) fn insert(&mut self, demand: &TaskDemand, plan: u64, now: Duration) {
+        if !demand.is_cacheable {
             return;
         }
         // A result from scanning only the changed workers keeps the time of the last full scan.
-        let looked = self.believed(demand, now).map_or(now, |(_, looked)| looked);
-        self.known.retain(|(known, ..)| !demand.covers(known));
-        self.known.push((demand.clone(), plan, looked));
+        let scanned_at = self
+            .find_valid(demand, now)
+            .map_or(now, |(_, scanned_at)| scanned_at);
+        self.entries.retain(|(entry, ..)| !demand.covers(entry));
+        self.entries.push((demand.clone(), plan, scanned_at));
     }
 
     /// Returns the last plan in which no worker had capacity for a demand, unless that result has
     /// expired.
     pub(crate) fn last_plan(&self, demand: &TaskDemand, now: Duration) -> Option<u64> {
-        self.believed(demand, now).map(|(plan, _)| plan)
+        self.find_valid(demand, now).map(|(plan, _)| plan)
     }
 
     /// Removes expired results.
-    pub(crate) fn forget(&mut self, now: Duration) {
-        self.known.retain(|(_, _, looked)| now < *looked + BELIEVED);
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
+        self.entries
+            .retain(|(_, _, scanned_at)| now < *scanned_at + NO_CAPACITY_CACHE_TTL);
     }
 
     /// Removes all results, after a change of the configuration.
     pub(crate) fn clear(&mut self) {
-        self.known.clear();
+        self.entries.clear();
     }
 
-    fn believed(&self, demand: &TaskDemand, now: Duration) -> Option<(u64, Duration)> {
-        let covering = self
-            .known
-            .iter()
-            .filter(|(known, _, looked)| known.covers(demand) && now < *looked + BELIEVED);
-        covering
-            .map(|(_, plan, looked)| (*plan, *looked))
+    fn find_valid(&self, demand: &TaskDemand, now: Duration) -> Option<(u64, Duration)> {
+        let valid_entries = self.entries.iter().filter(|(entry, _, scanned_at)| {
+            entry.covers(demand) && now < *scanned_at + NO_CAPACITY_CACHE_TTL
+        });
+        valid_entries
+            .map(|(_, plan, scanned_at)| (*plan, *scanned_at))
             .max_by_key(|(plan, _)| *plan)
     }
 }
--- a/crates/dispatch/src/worker_clock.rs
+++ b/crates/dispatch/src/worker_clock.rs
@@ -4,9 +4,9 @@
 
 /// The lowest rate of a worker's clock, in percent of true time; the platform's documentation
 /// allows it to be 2% slow.
-const SLOWEST_HUNDREDTHS: u32 = 98;
+const MIN_CLOCK_RATE_PERCENT: u32 = 98;
 /// The margin before a lease counts as lapsed: reading the clock and acting on it take a moment.
-const LAPSE_MARGIN: Duration = Duration::from_millis(50);
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(50);
 
 /// Estimate of a worker's clock, and the deadline of the lease granted to it.
 #[derive(Clone, Copy, Debug, Default)]
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     value: Duration,
-    heard: Duration,
+    received_at: Duration,
 }
 
 impl WorkerClock {
@@ -27,7 +27,10 @@
     pub fn hear(&mut self, value: Duration, now: Duration) {
         let newer = self.reading.is_none_or(|reading| value >= reading.value);
         if newer {
-            self.reading = Some(ClockReading { value, heard: now });
+            self.reading = Some(ClockReading {
+                value,
+                received_at: now,
+            });
         }
     }
 
@@ -40,7 +43,7 @@
     /// while that clock is unknown.
     pub fn grant(&mut self, lease: Duration, now: Duration) -> Option<Duration> {
         let reading = self.reading?;
-        let clock = reading.value + now.saturating_sub(reading.heard);
+        let clock = reading.value + now.saturating_sub(reading.received_at);
         let deadline = clock + lease;
         self.deadline = Some(self.deadline.map_or(deadline, |last| last.max(deadline)));
         Some(deadline)
@@ -53,14 +56,14 @@
             return false;
         };
         let since = now
-            .saturating_sub(reading.heard)
-            .saturating_sub(LAPSE_MARGIN);
-        let surely = since * SLOWEST_HUNDREDTHS / 100;
-        reading.value + surely > deadline
+            .saturating_sub(reading.received_at)
+            .saturating_sub(LEASE_EXPIRY_MARGIN);
+        let min_elapsed = since * MIN_CLOCK_RATE_PERCENT / 100;
+        reading.value + min_elapsed > deadline
     }
 
     /// Returns the longest true time that a lease of this duration can last.
     pub fn longest(lease: Duration) -> Duration {
-        lease * 100 / SLOWEST_HUNDREDTHS + LAPSE_MARGIN
+        lease * 100 / MIN_CLOCK_RATE_PERCENT + LEASE_EXPIRY_MARGIN
     }
 }
--- a/crates/dispatch/src/worker_state.rs
+++ b/crates/dispatch/src/worker_state.rs
@@ -14,25 +14,25 @@
     RunNumber,
     TaskKey,
     WorkerClock,
-    harm_model::{
+    dispatcher_throttling::TargetViolationTracker,
+    interference_model::{
         FillerPresence,
-        HarmModel, //
+        InterferenceModel, //
     },
     run_state::RunState,
-    service_view::ServiceView,
-    service_watch::ServiceWatch,
+    service_snapshot::ServiceSnapshot,
     worker_health::WorkerHealth, //
 };
 
 /// The time span that a worker's metrics reflect: they cover half a second and arrive some time
 /// later.
-const FIGURES_OF: Duration = Duration::from_millis(700);
+const METRICS_WINDOW: Duration = Duration::from_millis(700);
 /// The share of its reserved CPU that a service's task is assumed to use before its load has been
 /// observed.
-const USUAL_USE: f64 = 0.6;
+const DEFAULT_SERVICE_CPU_SHARE: f64 = 0.6;
 /// The bounds of that share: the load derived from a tail latency is rough.
-const LEAST_USE: f64 = 0.25;
-const MOST_USE: f64 = 0.75;
+const MIN_SERVICE_CPU_SHARE: f64 = 0.25;
+const MAX_SERVICE_CPU_SHARE: f64 = 0.75;
 
 /// The owner's view of a worker: its registry record, lease, runs and metrics.
 #[derive(Debug)]
@@ -43,17 +43,17 @@
     pub(crate) clock: WorkerClock,
     /// Whether the worker's current incarnation has answered a call with this owner's fencing
     /// token.
-    pub(crate) fenced: bool,
+    pub(crate) has_owner_token: bool,
     /// The time until which the worker may execute a former owner's orders; `None` once it has
     /// answered this owner.
     pub(crate) inherited_until: Option<Duration>,
     /// When the worker last answered.
-    pub(crate) heard: Option<Duration>,
+    pub(crate) last_answer_at: Option<Duration>,
     /// The number of consecutive calls without an answer.
     pub(crate) unanswered: u32,
     /// Whether the last call found nothing listening at the worker's address.
-    pub(crate) closed: bool,
-    pub(crate) born: Option<Duration>,
+    pub(crate) connection_refused: bool,
+    pub(crate) incarnation: Option<Duration>,
     pub(crate) runs: IndexMap<(TaskKey, RunNumber), RunState>,
     pub(crate) reserved: ResourceAmount,
     pub(crate) filler_cpu: u64,
@@ -64,24 +64,24 @@
     /// The CPU that services are estimated to use of what they reserve, in millicores.
     pub(crate) service_use: u64,
     /// The number of the last completion processed.
-    pub(crate) processed: u64,
+    pub(crate) last_processed: u64,
     /// The number of the last completion that is on record and may be acknowledged.
-    pub(crate) acknowledged: u64,
+    pub(crate) last_acknowledged: u64,
     /// Completions processed but not yet on record: their number and the change that records each.
     pub(crate) pending_acks: VecDeque<(u64, u64)>,
     /// Whether the worker is being drained for maintenance of its VM.
-    pub(crate) upkeep: bool,
+    pub(crate) in_maintenance: bool,
     pub(crate) health: WorkerHealth,
-    pub(crate) watch: ServiceWatch,
+    pub(crate) violations: TargetViolationTracker,
     /// When the model last learned from the worker's metrics.
-    pub(crate) learned: Option<Duration>,
+    pub(crate) last_learned_at: Option<Duration>,
     /// Fillers that ended recently, with the time: the metrics still reflect them.
-    pub(crate) departed: Vec<(FillerPresence, Duration)>,
+    pub(crate) departed_fillers: Vec<(FillerPresence, Duration)>,
     /// The number of changes so far; invalidates the service snapshot.
     pub(crate) version: u64,
-    pub(crate) view: ServiceView,
+    pub(crate) service_snapshot: ServiceSnapshot,
     /// The number of the last plan made before the worker last changed.
-    pub(crate) changed: u64,
+    pub(crate) changed_in_plan: u64,
 }
 
 impl WorkerState {
@@ -90,34 +90,34 @@
             record,
             listed: true,
             clock: WorkerClock::default(),
-            fenced: false,
+            has_owner_token: false,
             inherited_until: None,
-            heard: None,
+            last_answer_at: None,
             unanswered: 0,
-            closed: false,
-            born: None,
+            connection_refused: false,
+            incarnation: None,
             runs: IndexMap::new(),
             reserved: ResourceAmount::default(),
             filler_cpu: 0,
             service_cpu: 0,
             long_running_cpu: 0,
             service_use: 0,
-            processed: 0,
-            acknowledged: 0,
+            last_processed: 0,
+            last_acknowledged: 0,
             pending_acks: VecDeque::new(),
-            upkeep: false,
+            in_maintenance: false,
             health: WorkerHealth::default(),
-            watch: ServiceWatch::default(),
-            learned: None,
-            departed: Vec::new(),
+            violations: TargetViolationTracker::default(),
+            last_learned_at: None,
+            departed_fillers: Vec::new(),
             version: 0,
-            view: ServiceView::default(),
-            changed: 0,
+            service_snapshot: ServiceSnapshot::default(),
+            changed_in_plan: 0,
         }
     }
 
     /// Returns the unreserved capacity.
-    pub(crate) fn free(&self) -> ResourceAmount {
+    pub(crate) fn free_capacity(&self) -> ResourceAmount {
         self.record.capacity.saturating_sub(self.reserved)
     }
 
@@ -126,30 +126,34 @@
     /// load.
     pub(crate) fn idle_cpu(&self) -> i64 {
         let unused = signed(self.service_cpu) - signed(self.service_use);
-        signed(self.free().cpu_millis) + unused - signed(self.filler_cpu)
+        signed(self.free_capacity().cpu_millis) + unused - signed(self.filler_cpu)
     }
 
     /// Returns the fillers that the services' metrics reflect. If `fading`, fillers that started or
     /// ended recently count in proportion to the time that the metrics cover.
-    pub(crate) fn company(&mut self, now: Duration, fading: bool) -> Vec<FillerPresence> {
-        let shown = |since: Duration| {
+    pub(crate) fn visible_fillers(&mut self, now: Duration, fading: bool) -> Vec<FillerPresence> {
+        let visible_share = |since: Duration| {
             if !fading {
                 return 1.0;
             }
-            let passed = now.saturating_sub(since).as_secs_f64();
-            (passed / FIGURES_OF.as_secs_f64()).min(1.0)
+            let elapsed = now.saturating_sub(since).as_secs_f64();
+            (elapsed / METRICS_WINDOW.as_secs_f64()).min(1.0)
         };
-        self.departed.retain(|(_, left)| shown(*left) < 1.0);
-        let gone = self.departed.iter().map(|(presence, left)| FillerPresence {
-            seen: 1.0 - shown(*left),
-            ..presence.clone()
-        });
+        self.departed_fillers
+            .retain(|(_, left)| visible_share(*left) < 1.0);
+        let gone = self
+            .departed_fillers
+            .iter()
+            .map(|(presence, left)| FillerPresence {
+                seen_share: 1.0 - visible_share(*left),
+                ..presence.clone()
+            });
         let fillers = self.runs.values().filter(|run| run.is_filler());
         let present = fillers.filter_map(|run| {
             Some(FillerPresence {
                 image: run.image.clone()?,
-                share: run.figure? as f64 / self.processors(),
-                seen: shown(run.placed),
+                share: run.figure? as f64 / self.cpu_capacity_millis(),
+                seen_share: visible_share(run.placed_at),
             })
         });
         gone.chain(present).collect()
@@ -163,46 +167,46 @@
     }
 
     /// Returns the CPU capacity in millicores, at least 1.
-    pub(crate) fn processors(&self) -> f64 {
+    pub(crate) fn cpu_capacity_millis(&self) -> f64 {
         self.record.capacity.cpu_millis.max(1) as f64
     }
 
     /// Returns the load that the worker's fillers, unthrottled, add to a service image.
-    pub(crate) fn fillers_effect(&self, service: &Arc<str>, harm: &HarmModel) -> f64 {
+    pub(crate) fn fillers_effect(&self, service: &Arc<str>, model: &InterferenceModel) -> f64 {
         let fillers = self.runs.values().filter(|run| run.is_filler());
         let effects = fillers.filter_map(|run| {
-            let share = run.filler_cpu as f64 / self.processors();
-            Some(harm.effect(service, run.image.as_ref()?, share))
+            let share = run.filler_cpu as f64 / self.cpu_capacity_millis();
+            Some(model.effect(service, run.image.as_ref()?, share))
         });
         effects.sum()
     }
 
     /// Recomputes the CPU that the services are estimated to use.
-    pub(crate) fn weigh_services(&mut self, now: Duration) {
+    pub(crate) fn update_service_use(&mut self, now: Duration) {
         let services = self.runs.values().filter(|run| run.target.is_some());
         let used = services.map(|run| {
-            let share = run
-                .load
-                .map_or(USUAL_USE, |load| load.expected(now, Duration::ZERO));
-            run.service_cpu() as f64 * share.clamp(LEAST_USE, MOST_USE)
+            let share = run.load.map_or(DEFAULT_SERVICE_CPU_SHARE, |load| {
+                load.forecast(now, Duration::ZERO)
+            });
+            run.service_cpu() as f64 * share.clamp(MIN_SERVICE_CPU_SHARE, MAX_SERVICE_CPU_SHARE)
         });
         // CAST: Less than its processors.
         self.service_use = used.sum::<f64>() as u64;
     }
 
     /// Adds a run and reserves its capacity.
-    pub(crate) fn add(&mut self, run: RunNumber, state: RunState) {
+    pub(crate) fn add_run(&mut self, run: RunNumber, state: RunState) {
         self.reserved += state.reserved;
         self.filler_cpu += state.filler_cpu;
         self.service_cpu += state.service_cpu();
         self.long_running_cpu += state.long_running_cpu();
-        let now = state.placed;
+        let now = state.placed_at;
         self.runs.insert((state.task, run), state);
-        self.weigh_services(now);
+        self.update_service_use(now);
     }
 
     /// Removes a run and releases its capacity.
-    pub(crate) fn drop_run(&mut self, task: TaskKey, run: RunNumber, now: Duration) {
+    pub(crate) fn remove_run(&mut self, task: TaskKey, run: RunNumber, now: Duration) {
         let Some(state) = self.runs.swap_remove(&(task, run)) else {
             return;
         };
@@ -211,10 +215,10 @@
         {
             let presence = FillerPresence {
                 image: Arc::clone(image),
-                share: used as f64 / self.processors(),
-                seen: 1.0,
+                share: used as f64 / self.cpu_capacity_millis(),
+                seen_share: 1.0,
             };
-            self.departed.push((presence, now));
+            self.departed_fillers.push((presence, now));
         }
         self.reserved = self.reserved.saturating_sub(state.reserved);
         self.filler_cpu = self.filler_cpu.saturating_sub(state.filler_cpu);
@@ -222,26 +226,26 @@
         self.long_running_cpu = self
             .long_running_cpu
             .saturating_sub(state.long_running_cpu());
-        self.weigh_services(now);
+        self.update_service_use(now);
     }
 
     /// Returns whether the worker has certainly left: it announced that it would, the registry no
     /// longer lists it, and nothing listens at its address. Each of these alone may also be a
     /// network partition.
     pub(crate) fn has_left(&self) -> bool {
-        self.record.draining && !self.listed && self.closed
+        self.record.draining && !self.listed && self.connection_refused
     }
 
     /// Discards everything that depends on the worker's previous incarnation.
-    pub(crate) fn forget_life(&mut self) {
+    pub(crate) fn reset_incarnation(&mut self) {
         self.clock = WorkerClock::default();
-        self.fenced = false;
+        self.has_owner_token = false;
         self.inherited_until = None;
-        self.processed = 0;
-        self.acknowledged = 0;
+        self.last_processed = 0;
+        self.last_acknowledged = 0;
         self.pending_acks.clear();
         self.health = WorkerHealth::default();
-        self.watch = ServiceWatch::default();
+        self.violations = TargetViolationTracker::default();
     }
 
     /// Advances the acknowledgement over the completions whose change is at most `committed`.
@@ -250,19 +254,19 @@
             if commit > committed {
                 return;
             }
-            self.acknowledged = number;
+            self.last_acknowledged = number;
             self.pending_acks.pop_front();
         }
     }
 
     /// Returns whether one of its services was too slow recently, so that no more fillers should be
     /// placed.
-    pub(crate) fn shields_services(&self, now: Duration) -> bool {
-        self.watch.is_active(now) && self.serves()
+    pub(crate) fn has_recent_violation(&self, now: Duration) -> bool {
+        self.violations.has_recent_violation(now) && self.has_services()
     }
 
     /// Returns whether a service's task runs on the worker.
-    pub(crate) fn serves(&self) -> bool {
+    pub(crate) fn has_services(&self) -> bool {
         self.runs.values().any(|run| run.target.is_some())
     }
 }
