--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -52,19 +52,19 @@
         let task_cpu = demands.short.typical_task_cpu(now);
         let waiting = self.waiting_long_running_cpu(&pool);
         let promised_cpu = waiting.saturating_add(self.grants.total(now));
-        let available = self
+        let room = self
             .unpromised_cpu(&pool, task_cpu)
             .saturating_sub(promised_cpu);
         let required = short_need.saturating_add(demand);
-        if available >= required {
+        if room >= required {
             self.grants.grant(key, demand, now);
             return Admission::Granted;
         }
         Admission::Refused(RoomShortage {
             demand,
-            room: available,
+            room,
             short_need,
-            back: self.retry_after(&pool, required - available, now),
+            back: self.retry_after(&pool, required - room, now),
         })
     }
 
--- a/crates/dispatch/tests/common/fleet.rs
+++ b/crates/dispatch/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet as a test sees it.
+//! The simulated fleet: setup, control and invariant checks.
 
 use std::{
     collections::BTreeMap,
@@ -36,50 +36,59 @@
     ms, //
 };
 
+/// The resolution of the simulated time.
 pub(crate) const TICK: Duration = Duration::from_millis(10);
 
-/// What goes wrong with messages, each as a share of them in hundredths.
+/// Rates of message faults, each in percent.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Faults {
     /// Orders that are lost.
     pub(crate) lost: u32,
-    /// Orders that are carried out 2 to 12 s later, without an answer.
-    pub(crate) late: u32,
+    /// Orders that are executed 2 to 12 s late and not answered.
+    pub(crate) delayed: u32,
     /// Orders whose answer is lost.
     pub(crate) unanswered: u32,
-    /// Commits that fail; half of them were done.
-    pub(crate) commits: u32,
+    /// Commits that fail; half of these are stored nevertheless.
+    pub(crate) failed_commits: u32,
 }
 
+/// An owner and the state of its process.
 pub(crate) struct Owner {
     pub(crate) dispatcher: Dispatcher,
+    /// Whether a worker rejected the owner for a newer one.
     pub(crate) deposed: bool,
-    pub(crate) frozen_until: Duration,
-    pub(super) confirmed: Duration,
-    pub(super) acted: Duration,
+    pub(crate) suspended_until: Duration,
+    /// When the owner's ownership was last confirmed.
+    pub(super) last_confirmed_at: Duration,
+    /// When the owner last ran.
+    pub(super) last_acted_at: Duration,
     pub(super) committing: bool,
 }
 
+/// The workers, owners, stored records and messages in flight of a simulated fleet.
 pub(crate) struct Fleet {
     pub(crate) now: Duration,
     pub(crate) workers: Vec<StepWorker>,
-    /// Until when each worker reaches nobody.
-    pub(crate) cut_until: Vec<Duration>,
-    pub(super) left: Vec<bool>,
+    /// The time until which each worker is unreachable.
+    pub(crate) unreachable_until: Vec<Duration>,
+    /// Whether each worker has left for good.
+    pub(super) has_left: Vec<bool>,
     pub(crate) owners: Vec<Owner>,
     pub(crate) faults: Faults,
-    /// What is on record.
+    /// The stored progress records.
     pub(crate) records: IndexMap<JobKey, ProgressRecord>,
+    /// The submitted jobs, and whether each was cancelled.
     pub(crate) jobs: IndexMap<JobKey, (JobGraph, bool)>,
     pub(crate) work: fn(TaskKey) -> TaskWork,
     pub(crate) attempts: u32,
-    pub(crate) broken: Vec<String>,
+    pub(crate) violations: Vec<String>,
+    /// Messages in flight by their time of delivery and a sequence number.
     pub(super) events: BTreeMap<(Duration, u64), Event>,
-    pub(super) count: u64,
+    pub(super) event_count: u64,
     pub(super) random: StdRng,
 }
 
-fn plain_work(_task: TaskKey) -> TaskWork {
+fn default_work(_task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(300),
         fails: false,
@@ -88,7 +97,8 @@
 }
 
 impl Fleet {
-    /// Creates a fleet of workers with 4 cores each, and its first owner.
+    /// Creates a fleet of workers with 4 cores each, and its first owner. The clocks of every other
+    /// worker are 2% slow.
     pub(crate) fn new(workers: usize, seed: u64) -> Self {
         let start = ms(1000);
         let workers: Vec<StepWorker> = (0..workers)
@@ -104,18 +114,18 @@
             .collect();
         let mut fleet = Self {
             now: start,
-            cut_until: vec![Duration::ZERO; workers.len()],
-            left: vec![false; workers.len()],
+            unreachable_until: vec![Duration::ZERO; workers.len()],
+            has_left: vec![false; workers.len()],
             workers,
             owners: Vec::new(),
             faults: Faults::default(),
             records: IndexMap::new(),
             jobs: IndexMap::new(),
-            work: plain_work,
+            work: default_work,
             attempts: 3,
-            broken: Vec::new(),
+            violations: Vec::new(),
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
             random: StdRng::seed_from_u64(seed),
         };
         fleet.replace_owner();
@@ -138,7 +148,8 @@
         self.owners.last_mut().expect("there is an owner")
     }
 
-    /// Has a new owner take over from what is on record. The former one learns of it from the workers.
+    /// Replaces the owner by one that takes over from the stored records. The former owner learns
+    /// of it only from the workers.
     pub(crate) fn replace_owner(&mut self) {
         let token = self.owners.len() as u64 + 1;
         let mut dispatcher = Dispatcher::new(token, DispatchSettings::default());
@@ -163,14 +174,14 @@
         self.owners.push(Owner {
             dispatcher,
             deposed: false,
-            frozen_until: Duration::ZERO,
-            confirmed: self.now,
-            acted: self.now,
+            suspended_until: Duration::ZERO,
+            last_confirmed_at: self.now,
+            last_acted_at: self.now,
             committing: false,
         });
         let owner = self.owners.len() - 1;
         for key in keys {
-            self.push(Duration::ZERO, Event::Attend(owner, key));
+            self.push(Duration::ZERO, Event::RenewalDue(owner, key));
         }
     }
 
@@ -197,35 +208,36 @@
         self.owner().dispatcher.progress(key)
     }
 
-    /// Has a worker leave for good: nothing listens at its address any more.
-    pub(crate) fn leave(&mut self, worker: usize) {
+    /// Removes a worker for good: nothing listens at its address any more.
+    pub(crate) fn remove_worker(&mut self, worker: usize) {
         self.workers[worker].reboot(self.now);
-        self.left[worker] = true;
-        self.cut_until[worker] = Duration::MAX;
+        self.has_left[worker] = true;
+        self.unreachable_until[worker] = Duration::MAX;
     }
 
-    /// Lets time pass.
+    /// Advances the time tick by tick, delivering messages and running all owners.
     pub(crate) fn run_for(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
             self.now += TICK;
-            self.carry_events();
+            self.deliver_due_events();
             for owner in 0..self.owners.len() {
-                self.act(owner);
+                self.run_owner(owner);
             }
         }
     }
 
-    /// Returns how often a task began.
-    pub(crate) fn begins(&self, key: JobKey) -> usize {
+    /// Returns how many runs of a job's tasks began.
+    pub(crate) fn begin_count(&self, key: JobKey) -> usize {
         let deeds = self.workers.iter().flat_map(|worker| worker.deeds());
         deeds
             .filter(|(_, deed)| matches!(deed, WorkerDeed::Began(task, _) if task.job() == key))
             .count()
     }
 
-    /// Looks at what the workers did: no task ran twice at a time, and none began after its end was noted.
-    pub(crate) fn check(&mut self) -> Vec<String> {
+    /// Returns the violations of the invariants by what the workers did: no task runs twice at a
+    /// time, and none begins after its completion was recorded.
+    pub(crate) fn check_invariants(&mut self) -> Vec<String> {
         let now = self.now;
         for worker in &mut self.workers {
             worker.settle(now);
@@ -237,17 +249,17 @@
         deeds.sort_by_key(|(at, _)| *at);
         let mut running: IndexMap<TaskKey, u32> = IndexMap::new();
         let mut noted: IndexMap<TaskKey, Duration> = IndexMap::new();
-        let mut broken = std::mem::take(&mut self.broken);
+        let mut violations = std::mem::take(&mut self.violations);
         for (at, deed) in deeds {
             match deed {
                 WorkerDeed::Began(task, run) => {
                     let count = running.entry(*task).or_insert(0);
                     *count += 1;
                     if *count > 1 {
-                        broken.push(format!("{task} runs twice at {at:?}, run {run}"));
+                        violations.push(format!("{task} runs twice at {at:?}, run {run}"));
                     }
                     if noted.contains_key(task) {
-                        broken.push(format!("{task} began at {at:?} after its end was noted"));
+                        violations.push(format!("{task} began at {at:?} after its end was noted"));
                     }
                 }
                 WorkerDeed::Ended(task, ..) => {
@@ -260,7 +272,7 @@
                 WorkerDeed::Noted(..) => {}
             }
         }
-        broken
+        violations
     }
 }
 
--- a/crates/dispatch/tests/common/fleet_messages.rs
+++ b/crates/dispatch/tests/common/fleet_messages.rs
@@ -1,4 +1,4 @@
-//! What owners and workers send to each other, and what becomes of it on the way.
+//! Messages between owners and workers, and their faults.
 
 use std::time::Duration;
 
@@ -20,35 +20,41 @@
     ms, //
 };
 
-const WAY: Duration = Duration::from_millis(2);
-const TIMEOUT: Duration = Duration::from_millis(600);
-const PAUSE: Duration = Duration::from_millis(700);
-const COMMIT: Duration = Duration::from_millis(6);
+/// The time that a message takes.
+const MESSAGE_DELAY: Duration = Duration::from_millis(2);
+/// The time after which an unanswered call fails.
+const CALL_TIMEOUT: Duration = Duration::from_millis(600);
+/// The time between two runs of an owner from which it counts as suspended.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(700);
+/// The time that a commit takes.
+const COMMIT_TIME: Duration = Duration::from_millis(6);
 
+/// A message or timer, with the index of the owner that it belongs to.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Order(usize, WorkerOrder, Duration),
     OrderAnswer(usize, WorkerOrder, OrderEnd),
-    Hold(usize, WorkerKey, HoldOrder, Duration),
-    HoldAnswer(usize, WorkerKey, Duration, Result<HoldReport, OrderEnd>),
+    Renewal(usize, WorkerKey, HoldOrder, Duration),
+    RenewalAnswer(usize, WorkerKey, Duration, Result<HoldReport, OrderEnd>),
     CommitAnswer(usize, Vec<(JobKey, ProgressRecord)>, bool),
-    Attend(usize, WorkerKey),
+    RenewalDue(usize, WorkerKey),
 }
 
 impl Fleet {
-    pub(super) fn act(&mut self, owner: usize) {
+    /// Runs one step of an owner: lapses, schedules, plan and commit.
+    pub(super) fn run_owner(&mut self, owner: usize) {
         let now = self.now;
         let state = &mut self.owners[owner];
-        if state.deposed || now < state.frozen_until || !self.confirm(owner) {
+        if state.deposed || now < state.suspended_until || !self.confirm_ownership(owner) {
             return;
         }
         let state = &mut self.owners[owner];
-        if now > state.acted + PAUSE {
+        if now > state.last_acted_at + SUSPENSION_THRESHOLD {
             state.dispatcher.note_pause();
         }
-        state.acted = now;
+        state.last_acted_at = now;
         state.dispatcher.note_lapses(now);
-        // The fleet's time of day is its clock.
+        // The simulated clock is also the wall clock.
         state.dispatcher.begin_due(now, now);
         let outcome = state.dispatcher.plan(now);
         for order in outcome.orders {
@@ -64,89 +70,104 @@
         }
     }
 
-    /// Tells whether an owner may act: it reads its row again and again, and a former owner can't any more.
-    fn confirm(&mut self, owner: usize) -> bool {
+    /// Confirms the current owner's ownership, and returns whether an owner may act: its last
+    /// confirmation is recent enough. A replaced owner is not confirmed any more.
+    fn confirm_ownership(&mut self, owner: usize) -> bool {
         let now = self.now;
         let current = owner + 1 == self.owners.len();
         let state = &mut self.owners[owner];
         if current {
-            state.confirmed = now;
+            state.last_confirmed_at = now;
         }
-        now < state.confirmed + DispatchSettings::default().unconfirmed
+        now < state.last_confirmed_at + DispatchSettings::default().unconfirmed
     }
 
+    /// Stores records, subject to faults; only the current owner's commits succeed.
     fn commit(&mut self, owner: usize, records: Vec<(JobKey, ProgressRecord)>) {
         let current = owner + 1 == self.owners.len();
-        let fails = self.draw(self.faults.commits);
-        let done = current && (!fails || self.draw(50));
+        let fails = self.chance(self.faults.failed_commits);
+        let done = current && (!fails || self.chance(50));
         if done {
             for (key, record) in &records {
                 self.records.insert(*key, record.clone());
             }
         }
-        self.push(COMMIT, Event::CommitAnswer(owner, records, done && !fails));
+        self.push(
+            COMMIT_TIME,
+            Event::CommitAnswer(owner, records, done && !fails),
+        );
     }
 
+    /// Sends an order, subject to faults.
     fn send(&mut self, owner: usize, order: WorkerOrder) {
         let now = self.now;
         let worker = worker_of(&order);
         let dispatcher = &mut self.owners[owner].dispatcher;
         let deadline = dispatcher.order_deadline(worker, now).unwrap_or_default();
-        if now < self.cut_until[worker.place()] || self.draw(self.faults.lost) {
-            self.push(TIMEOUT, Event::OrderAnswer(owner, order, OrderEnd::Unknown));
+        if now < self.unreachable_until[worker.place()] || self.chance(self.faults.lost) {
+            self.push(
+                CALL_TIMEOUT,
+                Event::OrderAnswer(owner, order, OrderEnd::Unknown),
+            );
             return;
         }
-        if self.draw(self.faults.late) {
+        if self.chance(self.faults.delayed) {
             let later = ms(self.random.random_range(2000..12_000));
             self.push(
-                TIMEOUT,
+                CALL_TIMEOUT,
                 Event::OrderAnswer(owner, order.clone(), OrderEnd::Unknown),
             );
             self.push(
                 later,
-                Event::Order(usize::MAX, relabel(order, owner, now), deadline),
+                Event::Order(usize::MAX, tag_delayed_order(order, owner, now), deadline),
             );
             return;
         }
-        self.push(WAY, Event::Order(owner, order, deadline));
+        self.push(MESSAGE_DELAY, Event::Order(owner, order, deadline));
     }
 
-    pub(super) fn carry_events(&mut self) {
+    pub(super) fn deliver_due_events(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let event = entry.remove();
-            self.carry(event);
+            self.deliver(event);
         }
     }
 
-    fn carry(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let now = self.now;
         if let Some(owner) = owner_of(&event)
-            && now < self.owners[owner].frozen_until
+            && now < self.owners[owner].suspended_until
         {
-            // What came while the owner was frozen is seen when it wakes.
-            let wait = self.owners[owner].frozen_until.saturating_sub(now);
+            // Messages that arrive while the owner is suspended are processed when it resumes.
+            let wait = self.owners[owner].suspended_until.saturating_sub(now);
             self.push(wait, event);
             return;
         }
         match event {
-            Event::Order(owner, order, deadline) => self.carry_order(owner, order, deadline),
-            Event::OrderAnswer(owner, order, end) => self.answer(owner, order, end),
-            Event::Attend(owner, key) => self.attend(owner, key),
-            Event::Hold(owner, key, order, sent) => {
-                let cut = now < self.cut_until[key.place()];
-                let answer = match cut {
-                    true if self.left[key.place()] => Err(OrderEnd::Refused(OrderRefusal::Closed)),
+            Event::Order(owner, order, deadline) => self.deliver_order(owner, order, deadline),
+            Event::OrderAnswer(owner, order, end) => self.handle_order_answer(owner, order, end),
+            Event::RenewalDue(owner, key) => self.send_renewal(owner, key),
+            Event::Renewal(owner, key, order, sent) => {
+                let is_unreachable = now < self.unreachable_until[key.place()];
+                let answer = match is_unreachable {
+                    true if self.has_left[key.place()] => {
+                        Err(OrderEnd::Refused(OrderRefusal::Closed))
+                    }
                     true => Err(OrderEnd::Unknown),
                     false => self.workers[key.place()].hold(now, owner as u64 + 1, order),
                 };
-                let wait = if cut { TIMEOUT } else { WAY };
-                self.push(wait, Event::HoldAnswer(owner, key, sent, answer));
+                let wait = if is_unreachable {
+                    CALL_TIMEOUT
+                } else {
+                    MESSAGE_DELAY
+                };
+                self.push(wait, Event::RenewalAnswer(owner, key, sent, answer));
             }
-            Event::HoldAnswer(owner, key, sent, answer) => {
-                self.hear(owner, key, sent, answer);
+            Event::RenewalAnswer(owner, key, sent, answer) => {
+                self.handle_renewal_answer(owner, key, sent, answer);
             }
             Event::CommitAnswer(owner, _, known) => {
                 let state = &mut self.owners[owner];
@@ -159,15 +180,16 @@
         }
     }
 
-    /// Carries an order out. One that comes late has its owner's token and no answer.
-    fn carry_order(&mut self, owner: usize, order: WorkerOrder, deadline: Duration) {
+    /// Executes an order on its worker. A delayed order, marked by `usize::MAX`, carries its
+    /// owner's token in its payload and is not answered.
+    fn deliver_order(&mut self, owner: usize, order: WorkerOrder, deadline: Duration) {
         let now = self.now;
         let (token, sent) = match owner {
-            usize::MAX => unlabel(&order),
+            usize::MAX => read_delayed_order_tag(&order),
             owner => (owner as u64 + 1, now),
         };
         let place = worker_of(&order).place();
-        // The worker that keeps an order for later takes it with it when it dies.
+        // A delayed order is lost if its worker has restarted since it was sent.
         if self.workers[place].record().born > Some(sent) {
             return;
         }
@@ -183,19 +205,22 @@
         let capacity = worker.record().capacity;
         if !worker.used().fits_in(capacity) {
             let used = worker.used();
-            self.broken
+            self.violations
                 .push(format!("worker-{place} holds {used:?} at {now:?}"));
         }
         if owner == usize::MAX {
             return;
         }
-        match self.draw(self.faults.unanswered) {
-            true => self.push(TIMEOUT, Event::OrderAnswer(owner, order, OrderEnd::Unknown)),
-            false => self.push(WAY, Event::OrderAnswer(owner, order, end)),
+        match self.chance(self.faults.unanswered) {
+            true => self.push(
+                CALL_TIMEOUT,
+                Event::OrderAnswer(owner, order, OrderEnd::Unknown),
+            ),
+            false => self.push(MESSAGE_DELAY, Event::OrderAnswer(owner, order, end)),
         }
     }
 
-    fn answer(&mut self, owner: usize, order: WorkerOrder, end: OrderEnd) {
+    fn handle_order_answer(&mut self, owner: usize, order: WorkerOrder, end: OrderEnd) {
         let now = self.now;
         let state = &mut self.owners[owner];
         state.deposed |= end == OrderEnd::Refused(OrderRefusal::Fenced);
@@ -212,19 +237,19 @@
         }
     }
 
-    fn attend(&mut self, owner: usize, key: WorkerKey) {
+    fn send_renewal(&mut self, owner: usize, key: WorkerKey) {
         if self.owners[owner].deposed {
             return;
         }
         let now = self.now;
-        let confirmed = self.confirm(owner);
+        let confirmed = self.confirm_ownership(owner);
         let order = self.owners[owner]
             .dispatcher
             .hold_order(key, confirmed, now);
-        self.push(WAY, Event::Hold(owner, key, order, now));
+        self.push(MESSAGE_DELAY, Event::Renewal(owner, key, order, now));
     }
 
-    fn hear(
+    fn handle_renewal_answer(
         &mut self,
         owner: usize,
         key: WorkerKey,
@@ -236,23 +261,25 @@
         match answer {
             Ok(report) => {
                 state.dispatcher.hold_answered(key, sent, report, now);
-                self.push(ms(50), Event::Attend(owner, key));
+                self.push(ms(50), Event::RenewalDue(owner, key));
             }
             Err(OrderEnd::Refused(OrderRefusal::Fenced)) => state.deposed = true,
             Err(end) => {
                 state.dispatcher.hold_unanswered(key, end);
-                self.push(ms(200), Event::Attend(owner, key));
+                self.push(ms(200), Event::RenewalDue(owner, key));
             }
         }
     }
 
-    fn draw(&mut self, hundredths: u32) -> bool {
+    /// Returns `true` with this probability in percent.
+    fn chance(&mut self, hundredths: u32) -> bool {
         hundredths > 0 && self.random.random_range(0..100) < hundredths
     }
 
     pub(super) fn push(&mut self, wait: Duration, event: Event) {
-        self.count += 1;
-        self.events.insert((self.now + wait, self.count), event);
+        self.event_count += 1;
+        self.events
+            .insert((self.now + wait, self.event_count), event);
     }
 }
 
@@ -266,15 +293,15 @@
 fn owner_of(event: &Event) -> Option<usize> {
     match event {
         Event::OrderAnswer(owner, ..)
-        | Event::HoldAnswer(owner, ..)
+        | Event::RenewalAnswer(owner, ..)
         | Event::CommitAnswer(owner, ..)
-        | Event::Attend(owner, ..) => Some(*owner),
-        Event::Order(..) | Event::Hold(..) => None,
+        | Event::RenewalDue(owner, ..) => Some(*owner),
+        Event::Order(..) | Event::Renewal(..) => None,
     }
 }
 
-/// Hides the token and the time of a late order in its payload; it has nobody to answer to.
-fn relabel(order: WorkerOrder, owner: usize, now: Duration) -> WorkerOrder {
+/// Stores the token and the send time of a delayed order in its payload.
+fn tag_delayed_order(order: WorkerOrder, owner: usize, now: Duration) -> WorkerOrder {
     match order {
         WorkerOrder::Start(mut start) => {
             start.payload = format!("{} {}", owner + 1, now.as_millis()).into();
@@ -284,8 +311,9 @@
     }
 }
 
-/// Returns a late order's token and time. A stop's are not kept: it is refused once an owner was heard.
-fn unlabel(order: &WorkerOrder) -> (u64, Duration) {
+/// Returns the token and send time of a delayed order. A delayed stop carries none, and is rejected
+/// once the worker follows an owner.
+fn read_delayed_order_tag(order: &WorkerOrder) -> (u64, Duration) {
     let WorkerOrder::Start(start) = order else {
         return (0, Duration::ZERO);
     };
--- a/crates/dispatch/tests/common/job_builders.rs
+++ b/crates/dispatch/tests/common/job_builders.rs
@@ -1,4 +1,4 @@
-//! Jobs and the configuration that they are handed in under.
+//! Builders of jobs and of the configuration under which they are submitted.
 
 use std::{
     sync::Arc,
@@ -18,7 +18,7 @@
     Duration::from_millis(millis)
 }
 
-/// A step of tasks with 1 core each.
+/// Returns a step of `count` tasks with 1 core each, after the given steps.
 pub(crate) fn step(count: u32, after: &[u16]) -> StepSpec {
     StepSpec {
         count,
--- a/crates/dispatch/tests/common/mod.rs
+++ b/crates/dispatch/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of workers and its owners under a clock of its own, with messages that are delayed, lost or
-//! late, so that a story of a failure is a few calls.
+//! A simulated fleet of workers and owners with its own clock and with messages that can be
+//! delayed, lost or unanswered, so that a failure scenario takes a few calls.
 
 #![expect(dead_code, unused_imports, reason = "each test file uses a part of it")]
 
--- a/crates/dispatch/tests/job_graphs.rs
+++ b/crates/dispatch/tests/job_graphs.rs
@@ -1,4 +1,4 @@
-//! Which jobs are accepted, and how they are named.
+//! Validation of job graphs, and the text form of job and task keys.
 
 mod common;
 
@@ -15,14 +15,14 @@
 };
 
 #[test]
-fn a_job_whose_steps_can_all_have_their_turn_is_accepted() {
+fn valid_graph_is_accepted() {
     let job = graph(vec![step(3, &[]), step(1, &[0]), step(2, &[0, 1])]);
     assert_eq!(job.check(), Ok(()));
     assert_eq!(job.task_count(), 6);
 }
 
 #[test]
-fn what_can_never_run_is_refused_with_its_reason() {
+fn invalid_graph_is_rejected_with_its_reason() {
     let cases = [
         (graph(vec![]), GraphError::Steps { count: 0 }),
         (graph(vec![step(0, &[])]), GraphError::NoTasks { step: 0 }),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_remaining_chain_of_a_step_is_the_longest_way_to_an_end() {
+fn remaining_chain_is_the_longest_path_to_an_end() {
     let mut job = graph(vec![
         step(1, &[]),
         step(1, &[0]),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn names_are_read_as_they_are_written() {
+fn keys_round_trip_through_their_text_form() {
     let key: JobKey = "5c0e7a21d94b36f8".parse().unwrap();
     assert_eq!(key.to_string(), "5c0e7a21d94b36f8");
     let task: TaskKey = "5c0e7a21d94b36f8.0.1.17".parse().unwrap();
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -1,6 +1,6 @@
-//! An owner on a small VM that has more to send than its share of a processor carries. A successor with a backlog of
-//! hundreds of starts once sent them all at once, heard the answers too late, took them for lost, and was kept busy
-//! by stops for ever, though every worker was well.
+//! Orders of an owner whose VM is overloaded. Guards against a lasting overload: a successor with a
+//! backlog of hundreds of starts sent them all at once, processed the answers too late, took them
+//! for lost, and then was kept busy by stops although every worker was healthy.
 
 mod common;
 
@@ -18,7 +18,7 @@
     WorkerOrder, //
 };
 
-fn starts(orders: Vec<WorkerOrder>) -> Vec<StartOrder> {
+fn start_orders(orders: Vec<WorkerOrder>) -> Vec<StartOrder> {
     let starts = orders.into_iter().filter_map(|order| match order {
         WorkerOrder::Start(start) => Some(start),
         _ => None,
@@ -26,7 +26,7 @@
     starts.collect()
 }
 
-fn answer(fleet: &mut Fleet, orders: &[StartOrder], end: OrderEnd) {
+fn answer_starts(fleet: &mut Fleet, orders: &[StartOrder], end: OrderEnd) {
     let now = fleet.now;
     for start in orders {
         fleet
@@ -36,15 +36,16 @@
     }
 }
 
-fn plan(fleet: &mut Fleet, lag: Duration) -> Vec<StartOrder> {
+/// Reports a timer lag, plans, and returns the start orders.
+fn plan_starts(fleet: &mut Fleet, lag: Duration) -> Vec<StartOrder> {
     let now = fleet.now;
     let dispatcher = &mut fleet.owner().dispatcher;
     dispatcher.note_lag(lag, now);
-    starts(dispatcher.plan(now).orders)
+    start_orders(dispatcher.plan(now).orders)
 }
 
-/// A fleet of 400 cores whose workers were heard, and a backlog of 400 tasks.
-fn pressed() -> Fleet {
+/// Returns a fleet of 400 cores whose workers have answered, with a backlog of 400 tasks.
+fn fleet_with_backlog() -> Fleet {
     let mut fleet = Fleet::new(100, 1);
     fleet.run_for(ms(100));
     for number in 0..20 {
@@ -54,50 +55,56 @@
 }
 
 #[test]
-fn a_backlog_goes_out_in_portions_and_the_next_when_answers_come() {
-    let mut fleet = pressed();
-    let first = plan(&mut fleet, Duration::ZERO);
+fn backlog_is_sent_in_batches_as_answers_arrive() {
+    let mut fleet = fleet_with_backlog();
+    let first = plan_starts(&mut fleet, Duration::ZERO);
     assert!(first.len() < 100, "{}", first.len());
-    assert_eq!(plan(&mut fleet, Duration::ZERO).len(), 1, "a larger window");
+    assert_eq!(
+        plan_starts(&mut fleet, Duration::ZERO).len(),
+        1,
+        "a larger window"
+    );
     assert!(!fleet.owner().dispatcher.holds_back());
-    answer(&mut fleet, &first, OrderEnd::Taken);
+    answer_starts(&mut fleet, &first, OrderEnd::Taken);
     assert!(fleet.owner().dispatcher.holds_back());
-    assert!(plan(&mut fleet, Duration::ZERO).len() >= first.len());
+    assert!(plan_starts(&mut fleet, Duration::ZERO).len() >= first.len());
 }
 
 #[test]
-fn late_timers_shrink_the_portions_and_timers_in_time_let_them_grow() {
-    let mut fleet = pressed();
+fn timer_lag_shrinks_the_order_window_and_punctual_timers_grow_it() {
+    let mut fleet = fleet_with_backlog();
     for _ in 0..10 {
         fleet.now += ms(200);
         let now = fleet.now;
         fleet.owner().dispatcher.note_lag(ms(300), now);
     }
-    let small = plan(&mut fleet, ms(300));
+    let small = plan_starts(&mut fleet, ms(300));
     assert_eq!(small.len(), 8);
-    answer(&mut fleet, &small, OrderEnd::Taken);
+    answer_starts(&mut fleet, &small, OrderEnd::Taken);
     for _ in 0..40 {
         let now = fleet.now;
         fleet.owner().dispatcher.note_lag(Duration::ZERO, now);
     }
-    assert!(plan(&mut fleet, Duration::ZERO).len() > 40);
+    assert!(plan_starts(&mut fleet, Duration::ZERO).len() > 40);
 }
 
-/// Half of all orders get no answer for seconds, but the owner's own timers are in time: it goes on at full pace.
+/// Guards against slowing down because answers are lost: the owner's own timers fire in time, so it
+/// is not overloaded.
 #[test]
-fn answers_that_workers_lose_do_not_shrink_the_portions() {
-    let mut fleet = pressed();
-    let first = plan(&mut fleet, Duration::ZERO);
-    answer(&mut fleet, &first, OrderEnd::Unknown);
-    // Stops settle the lost starts, and take as much of the window.
+fn lost_answers_do_not_shrink_the_order_window() {
+    let mut fleet = fleet_with_backlog();
+    let first = plan_starts(&mut fleet, Duration::ZERO);
+    answer_starts(&mut fleet, &first, OrderEnd::Unknown);
+    // Each unanswered start is followed by a stop, and the stops use the same window.
     let now = fleet.now;
     let orders = fleet.owner().dispatcher.plan(now).orders;
     assert_eq!(orders.len(), first.len());
 }
 
-/// A worker falls silent with hundreds of runs to be stopped. Each is ordered once, and again when it is heard.
+/// Guards against repeating stops to a worker that does not answer. Each stop is sent once, and
+/// again only when the worker answers.
 #[test]
-fn a_silent_worker_is_not_told_again_and_again() {
+fn stops_are_not_repeated_to_a_silent_worker() {
     let mut fleet = Fleet::new(1, 1).with_work(|_| jasminebend_standins::TaskWork {
         lasts: ms(60_000),
         fails: false,
@@ -105,7 +112,7 @@
     });
     let job = fleet.submit(1, graph(vec![step(4, &[])]));
     fleet.run_for(ms(300));
-    fleet.cut_until[0] = fleet.now + ms(3000);
+    fleet.unreachable_until[0] = fleet.now + ms(3000);
     fleet.run_for(ms(800));
     fleet.cancel(job);
     let mut sent = 0;
--- a/crates/dispatch/tests/placement.rs
+++ b/crates/dispatch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which task goes where, and when.
+//! Placement of tasks: which task starts on which worker, and when.
 
 #![expect(
     clippy::unwrap_used,
@@ -36,16 +36,22 @@
 
 const COMPLETED: Option<JobProgress> = Some(JobProgress::Ended(JobOutcome::Completed));
 
-fn began(fleet: &Fleet, worker: usize) -> Vec<TaskKey> {
+/// Returns the tasks that a worker has begun, in order.
+fn tasks_begun(fleet: &Fleet, worker: usize) -> Vec<TaskKey> {
     let deeds = fleet.workers[worker].deeds().iter();
-    let began = deeds.filter_map(|(_, deed)| match deed {
+    let tasks_begun = deeds.filter_map(|(_, deed)| match deed {
         WorkerDeed::Began(task, _) => Some(*task),
         _ => None,
     });
-    began.collect()
+    tasks_begun.collect()
 }
 
-fn when(fleet: &Fleet, task: &str, wanted: fn(&WorkerDeed) -> bool) -> Option<Duration> {
+/// Returns when a matching event of a task first occurred on any worker.
+fn first_event_time(
+    fleet: &Fleet,
+    task: &str,
+    wanted: fn(&WorkerDeed) -> bool,
+) -> Option<Duration> {
     let task: TaskKey = task.parse().unwrap();
     let deeds = fleet.workers.iter().flat_map(|worker| worker.deeds());
     let mut times = deeds.filter_map(|(at, deed)| {
@@ -58,7 +64,7 @@
     times.next()
 }
 
-fn is_begin(deed: &WorkerDeed) -> bool {
+fn is_begun(deed: &WorkerDeed) -> bool {
     matches!(deed, WorkerDeed::Began(..))
 }
 
@@ -66,8 +72,8 @@
     matches!(deed, WorkerDeed::Ended(..))
 }
 
-/// The tests' tasks take one core and run 300 ms; this one takes its time.
-fn slow_work(_task: TaskKey) -> TaskWork {
+/// Work of one core for a minute; the default is one core for 300 ms.
+fn one_minute_work(_task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(60_000),
         fails: false,
@@ -76,43 +82,44 @@
 }
 
 #[test]
-fn a_step_waits_for_those_before_it() {
+fn step_starts_after_its_dependencies() {
     let mut fleet = Fleet::new(1, 1);
     let job = fleet.submit(1, graph(vec![step(2, &[]), step(1, &[0])]));
     fleet.run_for(ms(2000));
     assert_eq!(fleet.progress(job), COMPLETED);
-    let first = when(&fleet, "0000000000000001.0.0.1", is_end).unwrap();
-    let second = when(&fleet, "0000000000000001.0.1.0", is_begin).unwrap();
+    let first = first_event_time(&fleet, "0000000000000001.0.0.1", is_end).unwrap();
+    let second = first_event_time(&fleet, "0000000000000001.0.1.0", is_begun).unwrap();
     assert!(second >= first);
 }
 
 #[test]
-fn no_worker_gets_more_than_it_holds() {
-    let mut fleet = Fleet::new(2, 1).with_work(slow_work);
+fn no_worker_exceeds_its_capacity() {
+    let mut fleet = Fleet::new(2, 1).with_work(one_minute_work);
     fleet.submit(1, graph(vec![step(20, &[])]));
     fleet.run_for(ms(1000));
     assert_eq!(
         fleet.workers[0].run_count() + fleet.workers[1].run_count(),
         8
     );
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// What is being stopped still takes its room until its worker says that it ended.
+/// Guards against reusing the capacity of a run that is being stopped before its worker reports the
+/// completion.
 #[test]
-fn the_room_of_a_stopped_task_is_free_when_its_end_is_told() {
-    let mut fleet = Fleet::new(1, 1).with_work(slow_work);
+fn capacity_of_a_stopped_task_is_reserved_until_its_completion_is_reported() {
+    let mut fleet = Fleet::new(1, 1).with_work(one_minute_work);
     let first = fleet.submit(1, graph(vec![step(4, &[])]));
     fleet.run_for(ms(500));
     fleet.submit(2, graph(vec![step(4, &[])]));
     fleet.cancel(first);
     fleet.run_for(ms(1000));
     assert_eq!(fleet.workers[0].run_count(), 4);
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
 #[test]
-fn nothing_starts_in_a_closed_domain_or_on_a_worker_that_leaves() {
+fn nothing_starts_in_a_closed_domain_or_on_a_draining_worker() {
     let mut fleet = Fleet::new(3, 1);
     fleet.run_for(ms(100));
     let mut moved = fleet.workers[0].record().clone();
@@ -126,12 +133,15 @@
     let job = fleet.submit(1, graph(vec![step(12, &[])]));
     fleet.run_for(ms(4000));
     assert_eq!(fleet.progress(job), COMPLETED);
-    assert_eq!((began(&fleet, 0).len(), began(&fleet, 1).len()), (0, 0));
+    assert_eq!(
+        (tasks_begun(&fleet, 0).len(), tasks_begun(&fleet, 1).len()),
+        (0, 0)
+    );
 }
 
 #[test]
-fn a_label_a_spread_and_the_datas_rack_are_heeded() {
-    let mut fleet = Fleet::new(3, 1).with_work(slow_work);
+fn label_spread_and_data_rack_constrain_placement() {
+    let mut fleet = Fleet::new(3, 1).with_work(one_minute_work);
     fleet.run_for(ms(100));
     let mut labelled = fleet.workers[2].record().clone();
     labelled.labels = vec!["b".into(), "rack-9".into()];
@@ -151,16 +161,20 @@
     fleet.submit(1, graph(vec![wanted]));
     fleet.submit(2, graph(vec![near]));
     fleet.run_for(ms(200));
-    assert_eq!(began(&fleet, 2).len(), 3);
+    assert_eq!(tasks_begun(&fleet, 2).len(), 3);
     fleet.submit(3, graph(vec![spread]));
     fleet.run_for(ms(200));
-    assert_eq!((began(&fleet, 0).len(), began(&fleet, 1).len()), (1, 1));
+    assert_eq!(
+        (tasks_begun(&fleet, 0).len(), tasks_begun(&fleet, 1).len()),
+        (1, 1)
+    );
 }
 
-/// A gang of which some members wait for room holds what others could use, and gets nowhere.
+/// Guards against starting a part of a gang: it would hold capacity that others could use and make
+/// no progress.
 #[test]
-fn a_gang_starts_whole_or_not_at_all() {
-    let mut fleet = Fleet::new(2, 1).with_work(slow_work);
+fn gang_starts_all_tasks_or_none() {
+    let mut fleet = Fleet::new(2, 1).with_work(one_minute_work);
     let filler = fleet.submit(1, graph(vec![step(3, &[])]));
     fleet.run_for(ms(300));
     let gang = StepSpec {
@@ -169,10 +183,10 @@
     };
     let job = fleet.submit(2, graph(vec![gang]));
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(job), 0);
+    assert_eq!(fleet.begin_count(job), 0);
     fleet.cancel(filler);
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(job), 6);
+    assert_eq!(fleet.begin_count(job), 6);
 }
 
 fn always_fails(_task: TaskKey) -> TaskWork {
@@ -183,9 +197,9 @@
     }
 }
 
-/// A job that can never be done must not take the workers that others need.
+/// Guards against retrying a task that always fails forever, at the cost of other jobs.
 #[test]
-fn a_task_fails_as_often_as_it_may_and_its_job_with_it() {
+fn job_fails_after_the_maximum_number_of_attempts() {
     let mut fleet = Fleet::new(6, 1).with_work(always_fails).with_attempts(3);
     let job = fleet.submit(1, graph(vec![step(1, &[])]));
     fleet.run_for(ms(20_000));
@@ -193,14 +207,15 @@
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Failed))
     );
-    assert_eq!(fleet.begins(job), 3);
+    assert_eq!(fleet.begin_count(job), 3);
 }
 
-/// An order is lost, late or unanswered as its job is cancelled: nothing of it may run on, or come later.
+/// Guards against runs of a cancelled job that continue or start later because an order was lost,
+/// delayed or unanswered.
 #[test]
-fn nothing_of_a_cancelled_job_runs_on() {
-    let mut fleet = Fleet::new(2, 7).with_work(slow_work);
-    fleet.faults.late = 30;
+fn cancelled_job_leaves_no_run() {
+    let mut fleet = Fleet::new(2, 7).with_work(one_minute_work);
+    fleet.faults.delayed = 30;
     fleet.faults.unanswered = 30;
     let job = fleet.submit(1, graph(vec![step(8, &[])]));
     fleet.run_for(ms(400));
@@ -213,9 +228,9 @@
     assert_eq!(running, 0);
 }
 
-/// A burst fills the pool. A job with an ended step must not wait behind all that came after it.
+/// Guards against a started job that waits behind a burst of jobs submitted after it.
 #[test]
-fn what_is_begun_is_finished_before_more_is_begun() {
+fn started_jobs_finish_before_new_ones_start() {
     let mut fleet = Fleet::new(1, 1);
     let first = fleet.submit(1, graph(vec![step(4, &[]), step(1, &[0])]));
     fleet.run_for(ms(100));
@@ -226,9 +241,10 @@
     assert_eq!(fleet.progress(first), COMPLETED);
 }
 
-/// The pool is full of services' tasks that wait for room; a quote that comes and goes is let in first.
+/// Guards against short jobs that wait behind a service's long-running tasks while both wait for a
+/// full pool.
 #[test]
-fn what_lasts_waits_behind_what_comes_and_goes() {
+fn long_running_tasks_yield_to_short_tasks() {
     let mut fleet = Fleet::new(1, 1);
     fleet.submit(1, graph(vec![step(4, &[])]));
     fleet.run_for(ms(50));
@@ -242,11 +258,11 @@
     let quote = fleet.submit(3, graph(vec![step(2, &[])]));
     fleet.run_for(ms(900));
     assert_eq!(fleet.progress(quote), COMPLETED);
-    assert!(fleet.begins(service) > 0);
+    assert!(fleet.begin_count(service) > 0);
 }
 
 #[test]
-fn occurrences_begin_when_they_are_due_and_not_before() {
+fn occurrences_start_when_due_and_not_before() {
     let mut fleet = Fleet::new(1, 1);
     let repeated = jasminebend_dispatch::JobGraph {
         schedule: Some(JobSchedule {
@@ -259,24 +275,24 @@
     let job = fleet.submit(1, repeated);
     fleet.owner().dispatcher.begin_due(ms(4999), ms(4999));
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(job), 0);
+    assert_eq!(fleet.begin_count(job), 0);
     assert_eq!(fleet.owner().dispatcher.next_due(), Some(ms(5000)));
     fleet.owner().dispatcher.begin_due(ms(5000), ms(5000));
     fleet.run_for(ms(900));
-    assert_eq!(fleet.begins(job), 1);
+    assert_eq!(fleet.begin_count(job), 1);
     assert_ne!(fleet.progress(job), COMPLETED);
     fleet.owner().dispatcher.begin_due(ms(7000), ms(7000));
     fleet.run_for(ms(900));
     assert_eq!(fleet.progress(job), COMPLETED);
 }
 
-/// A VM goes down for its upkeep. Its worker is emptied first, and of a service no more tasks are away at a time
-/// than it may miss.
+/// Guards against draining a worker for maintenance of its VM so fast that more of a service's
+/// tasks are unavailable at a time than the service tolerates.
 #[test]
-fn a_worker_is_emptied_for_upkeep_as_its_services_bear_it() {
+fn maintenance_drains_a_worker_within_the_tolerated_unavailability() {
     let mut fleet = Fleet::new(3, 1).with_work(|task| TaskWork {
         lasts: Duration::MAX,
-        ..slow_work(task)
+        ..one_minute_work(task)
     });
     let lasting = StepSpec {
         lasting: true,
@@ -294,15 +310,16 @@
     let now = fleet.now;
     assert!(!fleet.owner().dispatcher.prepare_upkeep(&id, now));
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(service), 4, "one of them has moved");
+    assert_eq!(fleet.begin_count(service), 4, "one of them has moved");
     assert_eq!(fleet.workers[busy].run_count(), 2);
 }
 
-/// A desk's service is not started again though half the pool is free. A wide gang that finds no room for its last
-/// member was taken for a sign that nobody has room for one of its tasks, nor for anything larger.
+/// Guards against a failed gang placement that blocks other tasks. A wide gang without capacity for
+/// its last member was taken as proof that no worker has capacity for one of its tasks or anything
+/// larger, and a service was not restarted although half of the pool was free.
 #[test]
-fn a_gang_that_does_not_fit_keeps_nothing_else_out() {
-    let mut fleet = Fleet::new(2, 1).with_work(slow_work);
+fn unplaceable_gang_does_not_block_other_tasks() {
+    let mut fleet = Fleet::new(2, 1).with_work(one_minute_work);
     fleet.run_for(ms(100));
     let gang = StepSpec {
         gang: true,
@@ -316,11 +333,11 @@
     };
     let service = fleet.submit(2, graph(vec![lasting]));
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(service), 2);
+    assert_eq!(fleet.begin_count(service), 2);
 }
 
-/// Small jobs of so many tasks come without end, ten a second.
-fn press(fleet: &mut Fleet, width: u32, time: Duration) {
+/// Submits a small job of `width` tasks every 100 ms for `time`.
+fn submit_small_jobs(fleet: &mut Fleet, width: u32, time: Duration) {
     let until = fleet.now + time;
     let mut number = 1000 + fleet.jobs.len() as u64;
     while fleet.now < until {
@@ -330,44 +347,46 @@
     }
 }
 
-/// A desk's service stands still for ten seconds: one of its tasks is larger than what small jobs leave free at a
-/// time, and these come without end.
+/// Guards against a large long-running task that never starts because an endless stream of small
+/// jobs takes each piece of capacity as it becomes free.
 #[test]
-fn a_task_that_lasts_finds_room_among_small_jobs_without_end() {
+fn long_running_task_starts_despite_endless_small_jobs() {
     let mut fleet = Fleet::new(2, 1);
-    press(&mut fleet, 6, ms(500));
+    submit_small_jobs(&mut fleet, 6, ms(500));
     let lasting = StepSpec {
         lasting: true,
         size: ResourceAmount::new(3000, 300),
         ..step(1, &[])
     };
     let service = fleet.submit(1, graph(vec![lasting]));
-    press(&mut fleet, 6, ms(7000));
-    assert!(fleet.begins(service) > 0);
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    submit_small_jobs(&mut fleet, 6, ms(7000));
+    assert!(fleet.begin_count(service) > 0);
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// A gang is late, and later every second: a quarter of the pool is free, in pieces that are too small for it.
+/// Guards against a gang that never starts because an endless stream of small jobs leaves only
+/// pieces of capacity that are too small for it.
 #[test]
-fn a_gang_finds_room_among_small_jobs_without_end() {
+fn gang_starts_despite_endless_small_jobs() {
     let mut fleet = Fleet::new(3, 1);
-    press(&mut fleet, 3, ms(500));
+    submit_small_jobs(&mut fleet, 3, ms(500));
     let gang = StepSpec {
         gang: true,
         size: ResourceAmount::new(3000, 300),
         ..step(2, &[])
     };
     let gang = fleet.submit(1, graph(vec![gang]));
-    press(&mut fleet, 3, ms(6000));
-    assert!(fleet.begins(gang) > 0);
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    submit_small_jobs(&mut fleet, 3, ms(6000));
+    assert!(fleet.begin_count(gang) > 0);
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// Half a pool stays empty while services wait. Of one service that must be spread each worker has its task already;
-/// it waits for one more worker, and kept the room of those that it may not use.
+/// Guards against reserving workers that a step may not use. Each worker already runs as many of a
+/// service's tasks as its spread allows; the service waits for another worker and reserved these,
+/// so that half of the pool stayed empty while other services waited.
 #[test]
-fn no_room_is_kept_where_a_spread_forbids_it() {
-    let mut fleet = Fleet::new(2, 1).with_work(slow_work);
+fn no_worker_is_reserved_that_the_spread_excludes() {
+    let mut fleet = Fleet::new(2, 1).with_work(one_minute_work);
     let spread = StepSpec {
         lasting: true,
         spread: Some(1),
@@ -375,8 +394,8 @@
     };
     let first = fleet.submit(1, graph(vec![spread]));
     fleet.run_for(ms(6000));
-    assert_eq!(fleet.begins(first), 2);
+    assert_eq!(fleet.begin_count(first), 2);
     let second = fleet.submit(2, graph(vec![step(4, &[])]));
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(second), 4);
+    assert_eq!(fleet.begin_count(second), 4);
 }
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner makes of what it finds.
+//! Takeover by a new owner from the stored records and the workers' reports.
 
 mod common;
 
@@ -16,7 +16,7 @@
 };
 use jasminebend_standins::TaskWork;
 
-fn fails_once_in_two(task: TaskKey) -> TaskWork {
+fn first_task_fails(task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(200),
         fails: task.index == 0,
@@ -32,32 +32,32 @@
     }
 }
 
-/// Has a new owner take over while the former one is frozen and a worker that runs nothing is cut off.
-fn replace_beside_a_silent_worker(fleet: &mut Fleet) {
-    let empty = (0..3)
+/// Replaces the owner while the former one is suspended and a worker without runs is unreachable.
+fn replace_owner_with_unreachable_worker(fleet: &mut Fleet) {
+    let idle_worker = (0..3)
         .find(|&worker| fleet.workers[worker].run_count() == 0)
         .expect("they fill one worker");
-    let long = fleet.now + ms(60_000);
-    fleet.owner().frozen_until = long;
-    fleet.cut_until[empty] = long;
+    let far_future = fleet.now + ms(60_000);
+    fleet.owner().suspended_until = far_future;
+    fleet.unreachable_until[idle_worker] = far_future;
     fleet.replace_owner();
 }
 
-/// A caller's job is shown as failed though no task failed often enough. An owner puts a failure on record
-/// and dies before the worker hears that the end is acknowledged. The successor reads the record and the
-/// worker's list, and counts the same failure twice.
+/// Guards against counting a failure twice. An owner records a failure and dies before the worker
+/// receives the acknowledgement; the successor reads the failure from the record and again from the
+/// worker's report, and the job fails too early.
 #[test]
-fn a_failure_on_record_is_not_counted_again_from_the_workers_list() {
+fn recorded_failure_is_not_counted_again_from_a_workers_report() {
     let mut fleet = Fleet::new(2, 1)
-        .with_work(fails_once_in_two)
+        .with_work(first_task_fails)
         .with_attempts(2);
     let job = fleet.submit(1, graph(vec![step(1, &[])]));
     while fleet.records.is_empty() {
         fleet.run_for(ms(10));
     }
-    // The record is there; the acknowledgement is not.
+    // The failure is on record but not acknowledged.
     let frozen = fleet.now + ms(60_000);
-    fleet.owner().frozen_until = frozen;
+    fleet.owner().suspended_until = frozen;
     fleet.replace_owner();
     fleet.run_for(ms(100));
     assert_eq!(fleet.progress(job), Some(JobProgress::Running));
@@ -66,31 +66,31 @@
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Failed))
     );
-    assert_eq!(fleet.begins(job), 2);
+    assert_eq!(fleet.begin_count(job), 2);
 }
 
-/// A task that was running when its owner died goes on, and is not started a second time.
+/// Guards against restarting tasks that were running when their owner died.
 #[test]
-fn what_runs_is_taken_over() {
+fn running_tasks_are_adopted_by_the_successor() {
     let mut fleet = Fleet::new(3, 2);
     let job = fleet.submit(1, graph(vec![step(6, &[]), step(2, &[0])]));
     fleet.run_for(ms(150));
     let frozen = fleet.now + ms(60_000);
-    fleet.owner().frozen_until = frozen;
+    fleet.owner().suspended_until = frozen;
     fleet.replace_owner();
     fleet.run_for(ms(2000));
     assert_eq!(
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Completed))
     );
-    assert_eq!(fleet.begins(job), 8);
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.begin_count(job), 8);
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// A worker that the new owner can't reach may still run what the former one started there: those tasks wait
-/// until its lease has surely lapsed, also by the slowest clock.
+/// Guards against a second run of tasks on a worker that the new owner cannot reach: they wait
+/// until its lease has certainly lapsed, even by the slowest allowed clock.
 #[test]
-fn tasks_wait_for_a_worker_that_the_new_owner_does_not_reach() {
+fn tasks_on_an_unreachable_worker_wait_for_its_lease_to_lapse() {
     let mut fleet = Fleet::new(2, 3).with_work(|_| TaskWork {
         lasts: ms(4000),
         fails: false,
@@ -98,14 +98,14 @@
     });
     let job = fleet.submit(1, graph(vec![step(8, &[])]));
     fleet.run_for(ms(300));
-    assert_eq!(fleet.begins(job), 8);
+    assert_eq!(fleet.begin_count(job), 8);
     let frozen = fleet.now + ms(60_000);
-    fleet.owner().frozen_until = frozen;
-    fleet.cut_until[0] = fleet.now + ms(60_000);
+    fleet.owner().suspended_until = frozen;
+    fleet.unreachable_until[0] = fleet.now + ms(60_000);
     fleet.replace_owner();
     fleet.run_for(ms(5500));
     assert_eq!(
-        fleet.begins(job),
+        fleet.begin_count(job),
         8,
         "nothing starts before the lease is over"
     );
@@ -114,30 +114,32 @@
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Completed))
     );
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// Jobs stand still for seven seconds after each change of the owner, since one worker of many does not answer. What
-/// comes after a task that the new owner itself saw at work can't have been started by the former one.
+/// Guards against jobs that stop for seven seconds after each takeover because one of many workers
+/// does not answer. A step that depends on a task which the new owner saw running cannot have been
+/// started by the former owner.
 #[test]
-fn a_step_whose_predecessor_was_seen_at_work_waits_for_no_silent_worker() {
+fn step_after_an_observed_task_does_not_wait_for_silent_workers() {
     let mut fleet = Fleet::new(3, 1).with_work(long_work);
     let job = fleet.submit(1, graph(vec![step(3, &[]), step(2, &[0])]));
     fleet.run_for(ms(300));
-    replace_beside_a_silent_worker(&mut fleet);
+    replace_owner_with_unreachable_worker(&mut fleet);
     fleet.run_for(ms(2500));
-    assert_eq!(fleet.begins(job), 5);
+    assert_eq!(fleet.begin_count(job), 5);
     fleet.run_for(ms(10_000));
     assert_eq!(
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Completed))
     );
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// A gang's end is told by each of its members: the former owner may have heard it from another worker.
+/// Guards against starting a step after a gang twice: each member reports the gang's completion, so
+/// the former owner may have received it from another worker and started the step.
 #[test]
-fn a_step_after_a_gang_waits_until_all_workers_are_known() {
+fn step_after_a_gang_waits_until_all_workers_have_answered() {
     let mut fleet = Fleet::new(3, 1).with_work(long_work);
     let gang = jasminebend_dispatch::StepSpec {
         gang: true,
@@ -145,7 +147,7 @@
     };
     let job = fleet.submit(1, graph(vec![gang, step(2, &[0])]));
     fleet.run_for(ms(300));
-    replace_beside_a_silent_worker(&mut fleet);
+    replace_owner_with_unreachable_worker(&mut fleet);
     fleet.run_for(ms(2500));
-    assert_eq!(fleet.begins(job), 3);
+    assert_eq!(fleet.begin_count(job), 3);
 }
--- a/crates/dispatch/tests/lost_workers.rs
+++ b/crates/dispatch/tests/unreachable_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that are out of reach.
+//! Workers that are unreachable, restarted, drained or quarantined.
 
 mod common;
 
@@ -27,54 +27,54 @@
     }
 }
 
-/// A service stays away for good. Its worker dies without a word; the owner goes on calling it, and with each
-/// call counts the lease as longer, though no call arrives. The lease never lapses in its books, and the task is
-/// started nowhere else.
+/// Guards against a lease that never lapses: an owner that keeps calling a dead worker counted each
+/// unanswered call as a renewal, and the worker's tasks were started nowhere else.
 #[test]
-fn calls_that_nobody_answers_do_not_prolong_a_lease() {
+fn unanswered_calls_do_not_extend_a_lease() {
     let mut fleet = Fleet::new(2, 1).with_work(long_work);
     let job = fleet.submit(1, graph(vec![step(6, &[])]));
     fleet.run_for(ms(500));
-    fleet.cut_until[0] = fleet.now + ms(60_000);
+    fleet.unreachable_until[0] = fleet.now + ms(60_000);
     fleet.run_for(ms(13_000));
     assert_eq!(
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Completed))
     );
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// A worker is back from a cut, and tells that a task was done there that has run elsewhere in the meantime.
+/// Guards against a second run of a task when a worker returns from a network partition and reports
+/// a completed task that was run elsewhere in the meantime.
 #[test]
-fn a_worker_that_is_back_adds_no_second_run() {
+fn reconnected_worker_causes_no_second_run() {
     let mut fleet = Fleet::new(2, 2).with_work(long_work);
     let job = fleet.submit(1, graph(vec![step(6, &[])]));
     fleet.run_for(ms(500));
-    fleet.cut_until[0] = fleet.now + ms(9000);
+    fleet.unreachable_until[0] = fleet.now + ms(9000);
     fleet.run_for(ms(20_000));
     assert_eq!(
         fleet.progress(job),
         Some(JobProgress::Ended(JobOutcome::Completed))
     );
-    assert_eq!(fleet.check(), Vec::<String>::new());
+    assert_eq!(fleet.check_invariants(), Vec::<String>::new());
 }
 
-/// A service's task is away for seconds after a planned leave. Its worker said that it leaves, and left; the owner
-/// waits until the lease would have lapsed, though nothing runs there any more.
+/// Guards against waiting for the lease of a worker that announced its leave and left, although
+/// nothing runs there any more.
 #[test]
-fn a_worker_that_said_so_and_left_is_not_waited_for() {
+fn tasks_of_a_drained_worker_restart_before_its_lease_lapses() {
     let mut fleet = Fleet::new(2, 3).with_work(long_work);
     let job = fleet.submit(1, graph(vec![step(6, &[])]));
     fleet.run_for(ms(500));
     let mut leaving = fleet.workers[0].record().clone();
     leaving.draining = true;
     fleet.owner().dispatcher.list_worker(leaving, None);
-    fleet.leave(0);
+    fleet.remove_worker(0);
     fleet.run_for(ms(500));
-    assert_eq!(fleet.begins(job), 6, "its silence alone may be a cut");
+    assert_eq!(fleet.begin_count(job), 6, "its silence alone may be a cut");
     fleet.owner().dispatcher.unlist_worker("worker-0");
     fleet.run_for(ms(500));
-    assert!(fleet.begins(job) > 6);
+    assert!(fleet.begin_count(job) > 6);
     fleet.run_for(ms(12_000));
     assert_eq!(
         fleet.progress(job),
@@ -82,10 +82,10 @@
     );
 }
 
-/// A service's task finds no place though there is room. Tasks had failed on the worker for a while; it was set
-/// aside, and never tried again, since services ran on there and counted as its probe.
+/// Guards against a worker that stays quarantined forever: runs had failed on it for a while, and
+/// the services that continued to run there counted as its probe.
 #[test]
-fn a_worker_that_was_set_aside_is_tried_again_beside_its_services() {
+fn quarantined_worker_is_probed_while_services_run_on_it() {
     let mut fleet = Fleet::new(1, 4).with_work(|task| TaskWork {
         lasts: if task.job() == JobKey::new(1) {
             Duration::MAX
