--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -38,6 +38,7 @@
 /// Grants of long-running jobs that are not known to be on record yet.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionGrants {
+    /// The granted CPU in millicores and the expiry of each grant.
     grants: IndexMap<JobKey, (u64, Duration)>,
 }
 
--- a/crates/dispatch/src/commit_tracker.rs
+++ b/crates/dispatch/src/commit_tracker.rs
@@ -12,8 +12,12 @@
 /// to be known.
 #[derive(Debug, Default)]
 pub(crate) struct CommitTracker {
+    /// The number of the last change.
     last_change: u64,
+    /// Jobs with changes that no commit contains yet, each with its first such change.
     uncommitted: IndexMap<JobKey, u64>,
+    /// Jobs in the commit in flight, each with its first uncommitted change and the outcome that
+    /// its record contains.
     in_flight: IndexMap<JobKey, (u64, Option<JobOutcome>)>,
 }
 
@@ -72,10 +76,12 @@
             .map_or(self.last_change, |first| first - 1)
     }
 
+    /// Returns whether every change is on record or in flight.
     pub(crate) fn is_empty(&self) -> bool {
         self.uncommitted.is_empty()
     }
 
+    /// Returns whether a commit is in flight.
     pub(crate) fn is_in_flight(&self) -> bool {
         !self.in_flight.is_empty()
     }
--- a/crates/dispatch/src/decaying_sum.rs
+++ b/crates/dispatch/src/decaying_sum.rs
@@ -5,6 +5,7 @@
 /// Exponentially decaying sum. Amounts may be added in any order of time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingSum {
+    /// The time in which an amount's weight halves.
     half_life: Duration,
     sum: f64,
     /// The time as of which `sum` is valid.
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -75,12 +75,16 @@
 pub struct Dispatcher {
     pub(crate) settings: DispatchSettings,
     pub(crate) fencing_token: u64,
+    /// The number of run numbers allocated so far.
     pub(crate) run_count: u64,
     pub(crate) configuration: Arc<FleetConfiguration>,
     /// The latest known rule of each queue, including removed queues, whose jobs continue.
     pub(crate) queue_rules: IndexMap<Arc<str>, QueueRule>,
+    /// The failure domains in which no run may start.
     pub(crate) closed_domains: BTreeSet<DomainName>,
+    /// All workers ever listed; a [`WorkerKey`] is an index into this list.
     pub(crate) workers: Vec<WorkerState>,
+    /// The workers' keys by identity.
     pub(crate) worker_keys: IndexMap<Arc<str>, WorkerKey>,
     pub(crate) jobs: IndexMap<JobKey, JobState>,
     /// Steps that may have tasks without a run.
@@ -89,9 +93,11 @@
     pub(crate) pending_stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
     /// Orders decided between two plans, to be returned by the next plan.
     pub(crate) pending_orders: Vec<WorkerOrder>,
+    /// Log entries to be returned by the next plan.
     pub(crate) pending_notes: Vec<DecisionNote>,
     pub(crate) commits: CommitTracker,
     pub(crate) interference: InterferenceModel,
+    /// Demands for which no worker had capacity in a recent plan.
     pub(crate) unplaceable: UnplaceableDemands,
     /// Workers whose free capacity the current plan reserves for steps that have waited too long.
     pub(crate) reserved_workers: IndexSet<WorkerKey>,
@@ -105,7 +111,9 @@
     pub(crate) plan_count: u64,
     /// Repeated jobs with occurrences still to come, each with the number of the next occurrence.
     pub(crate) next_occurrences: IndexMap<JobKey, u32>,
+    /// Demand statistics by pool.
     pub(crate) pool_demands: IndexMap<Arc<str>, PoolDemand>,
+    /// Admissions granted to jobs that are not on record yet.
     pub(crate) grants: AdmissionGrants,
     /// When the first plan was made; `None` before it.
     pub(crate) first_plan_at: Option<Duration>,
@@ -286,8 +294,8 @@
         if !job.occurrences.contains_key(&occurrence) {
             let state = OccurrenceState::new(&job.graph, job.inherited);
             job.occurrences.insert(occurrence, state);
-            // Occurrences that began before the process's clock did count as arrived at its origin,
-            // and their arrival rate is unknown.
+            // A start of 0 means that the occurrence began before this process, which says nothing
+            // about the arrival rate.
             let started_at = job.occurrence_start(occurrence, self.clock_origin);
             let (queue, graph) = (Arc::clone(&job.queue), Arc::clone(&job.graph));
             if !started_at.is_zero() {
@@ -362,6 +370,7 @@
         RunNumber::of_owner(self.fencing_token, self.run_count)
     }
 
+    /// Returns the definition of a step, or `None` if its job is unknown.
     pub(crate) fn step_spec(&self, step: StepKey) -> Option<&StepSpec> {
         let job = self.jobs.get(&step.job)?;
         job.graph.steps.get(usize::from(step.step))
--- a/crates/dispatch/src/dispatcher_plan.rs
+++ b/crates/dispatch/src/dispatcher_plan.rs
@@ -125,6 +125,7 @@
             && worker.has_owner_token
     }
 
+    /// Sends the pending stops that were not sent yet or are due again.
     fn plan_stops(&mut self, now: Duration, outcome: &mut PlanOutcome) {
         let stops: Vec<(WorkerKey, TaskKey, RunNumber)> =
             self.pending_stops.iter().copied().collect();
@@ -166,6 +167,7 @@
         }
     }
 
+    /// Starts pending tasks by the rank of their steps, then starved fillers.
     fn plan_starts(&mut self, now: Duration, outcome: &mut PlanOutcome) {
         let settled = self.is_settled();
         let mut ranked: Vec<(StepRank, StepKey)> = Vec::with_capacity(self.pending_steps.len());
@@ -478,6 +480,7 @@
     }
 }
 
+/// Returns the number of a step's tasks.
 fn step_task_count(jobs: &indexmap::IndexMap<crate::JobKey, JobState>, step: StepKey) -> usize {
     jobs.get(&step.job)
         .and_then(|job| job.step(step.occurrence, step.step))
--- a/crates/dispatch/src/dispatcher_throttling.rs
+++ b/crates/dispatch/src/dispatcher_throttling.rs
@@ -54,13 +54,17 @@
     image: Arc<str>,
     /// The tail latency divided by its target.
     ratio: f64,
+    /// The load estimate of the run before this sample.
     load: Option<LoadEstimate>,
 }
 
 /// Tracks for how long the services of a worker have been too slow.
 #[derive(Debug, Default)]
 pub(crate) struct TargetViolationTracker {
+    /// Since when a service has been too slow without interruption; `None` while all meet their
+    /// targets.
     violated_since: Option<Duration>,
+    /// When a service was last seen to be too slow.
     last_violation: Option<Duration>,
 }
 
@@ -264,7 +268,7 @@
         now: Duration,
     ) {
         let run = self.worker(key).runs.get(&service);
-        // CAST: It saturates.
+        // CAST: The conversion saturates.
         let tail = run
             .and_then(tail_to_target)
             .map_or(0, |ratio| (ratio * PERCENT_PER_UNIT) as u64);
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -194,7 +194,8 @@
         let worker = self.worker_mut(key);
         if is_restarted {
             // A start sent a moment ago may run in the new incarnation, so the runs are not given
-            // up here: `note_missing` below drops those that the new incarnation does not have.
+            // up here: `drop_missing_runs` below drops those that the new incarnation does not
+            // have.
             worker.reset_incarnation();
         }
         worker.incarnation = report.born.or(worker.incarnation);
--- a/crates/dispatch/src/interference_model.rs
+++ b/crates/dispatch/src/interference_model.rs
@@ -61,6 +61,7 @@
 /// strongly.
 #[derive(Debug, Default)]
 pub(crate) struct InterferenceModel {
+    /// The learned parameters by service image.
     services: IndexMap<Arc<str>, ServiceModel>,
 }
 
@@ -69,6 +70,7 @@
 struct ServiceModel {
     /// The lowest observed tail latency, as a share of the target.
     min_tail_ratio: f64,
+    /// The estimated effects by filler image.
     fillers: IndexMap<Arc<str>, EffectEstimate>,
     /// The variance of one observation of the service's load.
     noise: f64,
@@ -211,7 +213,7 @@
         let fillers = self.fillers.iter();
         LearnedService {
             image: image.to_string(),
-            // CAST: Figures around 1, rough already.
+            // CAST: Values around 1 that are approximate anyway.
             least: self.min_tail_ratio as f32,
             // CAST: As above.
             noise: self.noise as f32,
@@ -227,6 +229,8 @@
         1.0 - idle / ratio.max(idle)
     }
 
+    /// Returns the effect of a filler image on all of a worker's CPU; 0 while it is not
+    /// significant.
     fn effect(&self, filler: &Arc<str>) -> f64 {
         self.fillers
             .get(filler)
@@ -326,7 +330,7 @@
 
     fn record(&self) -> LearnedEffect {
         LearnedEffect {
-            // CAST: Figures around 1, rough already.
+            // CAST: Values around 1 that are approximate anyway.
             mean: self.mean as f32,
             // CAST: As above.
             variance: self.variance as f32,
--- a/crates/dispatch/src/job_key.rs
+++ b/crates/dispatch/src/job_key.rs
@@ -33,7 +33,7 @@
     /// Returns the partition of the job, from 0 to `count - 1`; jobs spread evenly over the
     /// partitions.
     pub fn spread(self, count: u8) -> u8 {
-        // // Fibonacci hashing: multiplying by an odd number near 2^64 over the golden ratio
+        // Fibonacci hashing: multiplying by an odd number near 2^64 over the golden ratio
         // carries every bit upwards.
         const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
         let mixed = self.0.wrapping_mul(MIX) >> 32;
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -30,12 +30,14 @@
     pub(crate) accepted: Duration,
     /// Whether a former owner may have started some of the job's tasks.
     pub(crate) inherited: bool,
+    /// Whether a run of the job was ever started.
     pub(crate) started: bool,
     pub(crate) cancelled: bool,
     /// How the job ended, whether or not that is on record.
     pub(crate) outcome: Option<JobOutcome>,
     /// How the job ended, once that is on record.
     pub(crate) recorded_outcome: Option<JobOutcome>,
+    /// The occurrences opened so far, by their numbers.
     pub(crate) occurrences: BTreeMap<u32, OccurrenceState>,
     /// The number of the job's current runs.
     pub(crate) run_count: u32,
@@ -55,6 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<TaskState>,
+    /// The number of done tasks.
     pub(crate) done_count: u32,
     /// Whether all steps on which it depends are done.
     pub(crate) open: bool,
@@ -81,7 +84,10 @@
     /// The runs that failed. Kept as numbers, not as a count: a successor receives a failure again
     /// that is already on record.
     pub(crate) failures: Vec<RunNumber>,
+    /// The task's last checkpoint, from which its next run resumes.
     pub(crate) checkpoint: Option<Arc<str>>,
+    /// The task's current runs: at most one unless the step allows copies, apart from surplus runs
+    /// that are being stopped.
     pub(crate) runs: Vec<(WorkerKey, RunNumber)>,
     /// The worker on which the task last failed.
     pub(crate) failed_on: Option<WorkerKey>,
@@ -118,10 +124,12 @@
         since.min().unwrap_or(self.accepted)
     }
 
+    /// Counts a new run of the job.
     pub(crate) fn add_run(&mut self) {
         self.run_count += 1;
     }
 
+    /// Counts a run less, and records when the last one ended.
     pub(crate) fn remove_run(&mut self, now: Duration) {
         self.run_count = self.run_count.saturating_sub(1);
         if self.run_count == 0 {
@@ -205,10 +213,12 @@
         spec.spread.is_some_and(|most| held >= most)
     }
 
+    /// Counts a task placed on a worker.
     pub(crate) fn add_placed_task(&mut self, worker: WorkerKey) {
         *self.tasks_per_worker.entry(worker).or_insert(0) += 1;
     }
 
+    /// Counts a task less on a worker.
     pub(crate) fn remove_placed_task(&mut self, worker: WorkerKey) {
         if let Some(count) = self.tasks_per_worker.get_mut(&worker) {
             *count = count.saturating_sub(1);
--- a/crates/dispatch/src/load_estimate.rs
+++ b/crates/dispatch/src/load_estimate.rs
@@ -22,10 +22,12 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LoadEstimate {
     load: f64,
+    /// The change of the load per second.
     slope: f64,
     /// The covariance matrix: variance of the load, covariance of load and slope, variance of the
     /// slope.
     variance: [f64; 3],
+    /// The time as of which the estimate holds.
     at: Duration,
 }
 
--- a/crates/dispatch/src/order_window.rs
+++ b/crates/dispatch/src/order_window.rs
@@ -25,6 +25,7 @@
 pub(crate) struct OrderWindow {
     limit: usize,
     in_flight: usize,
+    /// When the limit was last reduced.
     last_reduction: Option<Duration>,
 }
 
@@ -61,10 +62,12 @@
         self.limit.saturating_sub(self.in_flight)
     }
 
+    /// Counts an order as in flight.
     pub(crate) fn record_sent(&mut self) {
         self.in_flight += 1;
     }
 
+    /// Counts an order as answered or lost.
     pub(crate) fn record_answered(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/crates/dispatch/src/placement_score.rs
+++ b/crates/dispatch/src/placement_score.rs
@@ -211,6 +211,6 @@
 
 /// Rounds an effect to the comparison resolution, so that negligible differences do not decide.
 fn quantized(effect: f64) -> i64 {
-    // CAST: It saturates.
+    // CAST: The conversion saturates.
     (effect / EFFECT_RESOLUTION) as i64
 }
--- a/crates/dispatch/src/policy_part.rs
+++ b/crates/dispatch/src/policy_part.rs
@@ -75,6 +75,7 @@
 /// Set of policy parts that are switched off.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PolicySwitches {
+    /// The parts that are switched off, one bit for each by its discriminant.
     off: u32,
 }
 
--- a/crates/dispatch/src/run_state.rs
+++ b/crates/dispatch/src/run_state.rs
@@ -41,12 +41,16 @@
     pub(crate) filler_cpu: u64,
     /// The run's image; tasks of one image are assumed to behave alike.
     pub(crate) image: Option<Arc<str>>,
+    /// The target of the tail latency, if the run serves requests.
     pub(crate) target: Option<Duration>,
     /// When the run was placed on its worker.
     pub(crate) placed_at: Duration,
+    /// The progress last reported, in percent.
     pub(crate) percent: u32,
     /// When `percent` last changed.
     pub(crate) last_progress_at: Duration,
+    /// The metric last reported: for services the tail latency in milliseconds, for others the CPU
+    /// used in millicores.
     pub(crate) figure: Option<u64>,
     /// The estimated load without fillers, if the run serves requests.
     pub(crate) load: Option<LoadEstimate>,
@@ -93,10 +97,12 @@
         }
     }
 
+    /// Returns whether the run was ordered to stop.
     pub(crate) fn is_stopping(&self) -> bool {
         matches!(self.phase, RunPhase::Stopping(_))
     }
 
+    /// Returns whether the worker has confirmed that the run is executing.
     pub(crate) fn is_confirmed(&self) -> bool {
         matches!(self.phase, RunPhase::Running(_))
     }
--- a/crates/dispatch/src/service_snapshot.rs
+++ b/crates/dispatch/src/service_snapshot.rs
@@ -32,6 +32,7 @@
 /// each change of the worker, because every filler that looks for a place scores every worker.
 #[derive(Debug, Default)]
 pub(crate) struct ServiceSnapshot {
+    /// When the snapshot was taken, and of which version of the worker; `None` before the first.
     taken_at: Option<(Duration, u64)>,
     services: Vec<ServiceForecast>,
     /// When the newest filler was placed on the worker.
@@ -40,6 +41,7 @@
     pub(crate) harmless_share: f64,
 }
 
+/// The forecast of one service's task.
 #[derive(Debug)]
 struct ServiceForecast {
     /// The index of the service's image in the interference model, if the image is known there.
--- a/crates/dispatch/src/short_demand.rs
+++ b/crates/dispatch/src/short_demand.rs
@@ -23,7 +23,9 @@
 /// Upper bounds of the CPU that a pool offers to short tasks, in millicores.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolSize {
+    /// The CPU of the largest worker.
     pub(crate) largest_worker: u64,
+    /// The CPU of all workers together.
     pub(crate) all: u64,
 }
 
@@ -91,7 +93,7 @@
         let correction = self.correction(now);
         let mean = self.work.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
         let variance = self.step_squares.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
-        // CAST: It saturates.
+        // CAST: The conversion saturates.
         (mean + NEED_DEVIATIONS * variance.sqrt()) as u64
     }
 
@@ -103,7 +105,7 @@
         } else {
             0.0
         };
-        // CAST: It saturates.
+        // CAST: The conversion saturates.
         (size as u64).max(1)
     }
 
--- a/crates/dispatch/src/unplaceable_demands.rs
+++ b/crates/dispatch/src/unplaceable_demands.rs
@@ -22,6 +22,7 @@
     /// For fillers, their image, if any: another image may harm other services. `None` for other
     /// tasks.
     filler: Option<Option<Arc<str>>>,
+    /// The declared CPU in millicores, also of fillers.
     cpu: u64,
     /// Whether only size and image decide which workers qualify; only such demands are cached.
     is_cacheable: bool,
@@ -54,6 +55,7 @@
 /// this and the time of the last scan of all workers.
 #[derive(Debug, Default)]
 pub(crate) struct UnplaceableDemands {
+    /// The demands, each with the plan that found no capacity and the time of the last full scan.
     entries: Vec<(TaskDemand, u64, Duration)>,
 }
 
@@ -88,6 +90,8 @@
         self.entries.clear();
     }
 
+    /// Returns the latest plan, and its last full scan, whose unexpired result also applies to this
+    /// demand.
     fn find_valid(&self, demand: &TaskDemand, now: Duration) -> Option<(u64, Duration)> {
         let valid_entries = self.entries.iter().filter(|(entry, _, scanned_at)| {
             entry.covers(demand) && now < *scanned_at + NO_CAPACITY_CACHE_TTL
--- a/crates/dispatch/src/worker_clock.rs
+++ b/crates/dispatch/src/worker_clock.rs
@@ -12,6 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkerClock {
     reading: Option<ClockReading>,
+    /// The latest deadline granted, on the worker's clock.
     deadline: Option<Duration>,
 }
 
--- a/crates/dispatch/src/worker_health.rs
+++ b/crates/dispatch/src/worker_health.rs
@@ -17,9 +17,12 @@
 /// Health of a worker, judged by the results of its runs.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerHealth {
+    /// The tasks that failed since the last success, each once.
     failed_tasks: Vec<TaskKey>,
     last_failure: Option<Duration>,
+    /// The duration of the last quarantine, if no run has succeeded since.
     last_quarantine: Option<Duration>,
+    /// The end of the last quarantine, if no run has succeeded since.
     quarantined_until: Option<Duration>,
 }
 
--- a/crates/dispatch/src/worker_key.rs
+++ b/crates/dispatch/src/worker_key.rs
@@ -9,7 +9,7 @@
 impl WorkerKey {
     /// Creates a key from an index.
     pub fn new(place: usize) -> Self {
-        // // CAST: A list holds some thousand workers.
+        // CAST: A list holds some thousand workers.
         Self(place as u32)
     }
 
--- a/crates/dispatch/src/worker_state.rs
+++ b/crates/dispatch/src/worker_state.rs
@@ -53,9 +53,12 @@
     pub(crate) unanswered: u32,
     /// Whether the last call found nothing listening at the worker's address.
     pub(crate) connection_refused: bool,
+    /// When the worker's incarnation began, since 1970, if it has reported that.
     pub(crate) incarnation: Option<Duration>,
     pub(crate) runs: IndexMap<(TaskKey, RunNumber), RunState>,
+    /// The capacity that the runs reserve.
     pub(crate) reserved: ResourceAmount,
+    /// The CPU that the fillers declare, in millicores.
     pub(crate) filler_cpu: u64,
     /// The CPU that services' tasks reserve, in millicores.
     pub(crate) service_cpu: u64,
@@ -72,6 +75,7 @@
     /// Whether the worker is being drained for maintenance of its VM.
     pub(crate) in_maintenance: bool,
     pub(crate) health: WorkerHealth,
+    /// For how long a service on the worker has been too slow.
     pub(crate) violations: TargetViolationTracker,
     /// When the model last learned from the worker's metrics.
     pub(crate) last_learned_at: Option<Duration>,
@@ -190,7 +194,7 @@
             });
             run.service_cpu() as f64 * share.clamp(MIN_SERVICE_CPU_SHARE, MAX_SERVICE_CPU_SHARE)
         });
-        // CAST: Less than its processors.
+        // CAST: Less than the worker's CPU capacity.
         self.service_use = used.sum::<f64>() as u64;
     }
 
--- a/crates/dispatch/tests/common/fleet.rs
+++ b/crates/dispatch/tests/common/fleet.rs
@@ -57,11 +57,13 @@
     pub(crate) dispatcher: Dispatcher,
     /// Whether a worker rejected the owner for a newer one.
     pub(crate) deposed: bool,
+    /// Until when the owner's process does not run.
     pub(crate) suspended_until: Duration,
     /// When the owner's ownership was last confirmed.
     pub(super) last_confirmed_at: Duration,
     /// When the owner last ran.
     pub(super) last_acted_at: Duration,
+    /// Whether a commit of the owner is in flight.
     pub(super) committing: bool,
 }
 
@@ -81,6 +83,7 @@
     pub(crate) jobs: IndexMap<JobKey, (JobGraph, bool)>,
     pub(crate) work: fn(TaskKey) -> TaskWork,
     pub(crate) attempts: u32,
+    /// Violations found while messages were delivered.
     pub(crate) violations: Vec<String>,
     /// Messages in flight by their time of delivery and a sequence number.
     pub(super) events: BTreeMap<(Duration, u64), Event>,
@@ -88,6 +91,7 @@
     pub(super) random: StdRng,
 }
 
+/// Returns work of one core for 300 ms.
 fn default_work(_task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(300),
--- a/crates/dispatch/tests/fillers.rs
+++ b/crates/dispatch/tests/fillers.rs
@@ -48,6 +48,7 @@
     dispatcher: Dispatcher,
     now: Duration,
     workers: Vec<WorkerKey>,
+    /// The throttle factor, in percent, of each run.
     running: IndexMap<(WorkerKey, TaskKey, RunNumber), u32>,
     stop_count: usize,
     /// Returns the tail latency in milliseconds of a service's task beside harmful fillers on this
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Plans, and carries out all orders at once.
     fn plan(&mut self) {
         for order in self.dispatcher.plan(self.now).orders {
             match order {
@@ -157,6 +159,7 @@
         );
     }
 
+    /// Answers a lease renewal of each worker with the metrics of its runs.
     fn report_metrics(&mut self) {
         for &worker in &self.workers {
             let here: Vec<(TaskKey, RunNumber, u32)> = self
--- a/crates/dispatch/tests/long_running_admission.rs
+++ b/crates/dispatch/tests/long_running_admission.rs
@@ -39,6 +39,7 @@
     graph(vec![step(4, &[])])
 }
 
+/// Returns work of 90 s for long-running jobs and of 0.5 s for short ones.
 fn job_work(task: TaskKey) -> TaskWork {
     let lasts = task.job() >= JobKey::new(FIRST_LONG_RUNNING_KEY);
     TaskWork {
@@ -48,6 +49,7 @@
     }
 }
 
+/// Requests admission of a job from the current owner.
 fn request_admission(fleet: &mut Fleet, number: u64, graph: &JobGraph) -> Admission {
     let now = fleet.now;
     let dispatcher = &mut fleet.owner().dispatcher;
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -26,6 +26,7 @@
     starts.collect()
 }
 
+/// Reports the same outcome for all starts.
 fn answer_starts(fleet: &mut Fleet, orders: &[StartOrder], end: OrderEnd) {
     let now = fleet.now;
     for start in orders {
--- a/crates/dispatch/tests/random_faults.rs
+++ b/crates/dispatch/tests/random_faults.rs
@@ -44,6 +44,7 @@
 /// The time that a worker takes to boot; a call in progress fails.
 const BOOT_TIME: std::time::Duration = std::time::Duration::from_millis(800);
 
+/// Returns work of one core that lasts between 0.1 s and 2 s, by the task's index.
 fn mixed_work(task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(100 + u64::from(task.index) * 170 % 1900),
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -16,6 +16,7 @@
 };
 use jasminebend_standins::TaskWork;
 
+/// Returns work of one core that fails for the first task of a step.
 fn first_task_fails(task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(200),
@@ -24,6 +25,7 @@
     }
 }
 
+/// Returns work of one core for 1.5 s.
 fn long_work(_task: TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(1500),
--- a/crates/dispatch/tests/unreachable_workers.rs
+++ b/crates/dispatch/tests/unreachable_workers.rs
@@ -19,6 +19,7 @@
 };
 use jasminebend_standins::TaskWork;
 
+/// Returns work of one core for 3 s.
 fn long_work(_task: jasminebend_dispatch::TaskKey) -> TaskWork {
     TaskWork {
         lasts: ms(3000),
