--- a/crates/dispatch/tests/fillers.rs
+++ b/crates/dispatch/tests/fillers.rs
@@ -166,18 +166,18 @@
                 .running
                 .iter()
                 .filter(|((at, ..), _)| *at == worker)
-                .map(|(&(_, task, run), &pace)| (task, run, pace))
+                .map(|(&(_, task, run), &percent)| (task, run, percent))
                 .collect();
             let harmful: u32 = here
                 .iter()
                 .filter(|(task, ..)| is_harmful(*task))
-                .map(|(.., pace)| pace)
+                .map(|(.., percent)| percent)
                 .sum();
             // Each filler takes 4 of the 32 cores.
             let share = f64::from(harmful) / 100.0 * 4.0 / 32.0;
             // CAST: Less than 100.
             let progress = (self.now.as_millis() / 500 % 90) as u32;
-            let running = here.iter().map(|&(task, run, pace)| RunningTask {
+            let running = here.iter().map(|&(task, run, percent)| RunningTask {
                 task,
                 run,
                 checkpoint: None,
@@ -186,7 +186,7 @@
                 figure: Some(if is_service(task) {
                     self.tail(task, share)
                 } else {
-                    self.filler_cpu_millis / 100 * u64::from(pace)
+                    self.filler_cpu_millis / 100 * u64::from(percent)
                 }),
             });
             let report = HoldReport {
@@ -285,13 +285,13 @@
     pool.submit(10, filler("harmful", 4));
     pool.run_for(ms(20_000));
     let worker = pool.workers[0];
-    let paces: u32 = pool
+    let throttle_percents: u32 = pool
         .running
         .iter()
         .filter(|((_, task, _), _)| is_harmful(*task))
-        .map(|(_, pace)| pace)
+        .map(|(_, percent)| percent)
         .sum();
-    let share = f64::from(paces) / 100.0 * 4.0 / 32.0;
+    let share = f64::from(throttle_percents) / 100.0 * 4.0 / 32.0;
     assert!(
         queue_tail_ms(share) < 18,
         "{} fillers, {share}",
@@ -313,8 +313,8 @@
         .running
         .iter()
         .filter(|((_, task, _), _)| job_number(*task) == 100);
-    let paces: Vec<u32> = harmless.map(|(_, pace)| *pace).collect();
-    assert_eq!(paces, vec![100; 6]);
+    let throttle_percents: Vec<u32> = harmless.map(|(_, percent)| *percent).collect();
+    assert_eq!(throttle_percents, vec![100; 6]);
 }
 
 /// Guards against spreading every service over all workers: a filler that interferes with one of
--- a/crates/dispatch/tests/random_faults.rs
+++ b/crates/dispatch/tests/simulation.rs
@@ -1,6 +1,7 @@
-//! Randomized fault injection: owners are replaced and suspended, workers partitioned and rebooted,
-//! orders lost, delayed or unanswered, commits fail. The invariants: no task runs twice at a time,
-//! none begins after its completion was recorded, no worker exceeds its capacity, and all jobs end.
+//! Randomized simulation with injected faults, one run for each seed: owners are replaced and
+//! suspended, workers partitioned and rebooted, orders lost, delayed or unanswered, commits fail.
+//! The invariants: no task runs twice at a time, none begins after its completion was recorded, no
+//! worker exceeds its capacity, and all jobs end.
 
 mod common;
 
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn invariants_hold_under_random_faults() {
+fn randomized_simulation_violates_no_invariant() {
     let seed_count = std::env::var("JASMINEBEND_DAYS").ok();
     let seed_count = seed_count
         .and_then(|text| text.parse().ok())
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn invariants_hold_for_repeated_jobs_under_random_faults() {
+fn randomized_simulation_of_repeated_jobs_violates_no_invariant() {
     let violations: Vec<(u64, Vec<String>)> = (0..SEED_COUNT)
         .map(|seed| (seed, run_repeated_jobs_seed(seed)))
         .filter(|(_, violations)| !violations.is_empty())
