--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -19,12 +19,12 @@
     /// The job may be accepted.
     Granted,
     /// The job is rejected: it would take CPU that short tasks need.
-    Refused(RoomShortage),
+    Refused(CpuShortage),
 }
 
 /// Reason for the rejection of a long-running job: the CPU that is missing.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct RoomShortage {
+pub struct CpuShortage {
     /// The CPU that the job requests, in millicores.
     pub demand: u64,
     /// The CPU that is not promised to long-running tasks, in millicores.
--- a/crates/dispatch/src/dispatch_settings.rs
+++ b/crates/dispatch/src/dispatch_settings.rs
@@ -11,7 +11,7 @@
     /// for its expiry. A renewal is sent every 2 s, and an owner that died is replaced within 2 s.
     pub lease: Duration,
     /// The longest time that a worker waits for a run to end before it answers a renewal.
-    pub longest_wait: Duration,
+    pub max_renewal_wait: Duration,
     /// The time for which an owner continues to send orders after its ownership was last confirmed.
     pub unconfirmed: Duration,
     /// The longest time that stopping a run takes.
@@ -32,7 +32,7 @@
     fn default() -> Self {
         Self {
             lease: Duration::from_secs(5),
-            longest_wait: Duration::from_secs(2),
+            max_renewal_wait: Duration::from_secs(2),
             unconfirmed: Duration::from_millis(2000),
             stop: Duration::from_millis(900),
             remote_factor: 2.0,
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -243,7 +243,7 @@
     }
 
     /// Returns when the next occurrence is due, since 1970; `None` if none is to come.
-    pub fn next_due(&self) -> Option<Duration> {
+    pub fn next_occurrence_due(&self) -> Option<Duration> {
         let due = self.next_occurrences.iter().filter_map(|(key, &next)| {
             let schedule = self.jobs.get(key)?.graph.schedule?;
             Some(schedule.due(next))
@@ -270,13 +270,13 @@
     }
 
     /// Returns the number of known runs on all workers.
-    pub fn run_total(&self) -> usize {
+    pub fn total_run_count(&self) -> usize {
         self.workers.iter().map(|worker| worker.runs.len()).sum()
     }
 
     /// Returns whether every worker that a former owner may have sent orders to has answered this
     /// owner, or certainly no longer runs anything for the former owner.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_takeover_complete(&self) -> bool {
         self.workers
             .iter()
             .all(|worker| worker.inherited_until.is_none())
@@ -377,12 +377,12 @@
     }
 
     pub(crate) fn worker(&self, key: WorkerKey) -> &WorkerState {
-        &self.workers[key.place()]
+        &self.workers[key.index()]
     }
 
     /// Returns a worker for modification and marks it as changed.
     pub(crate) fn worker_mut(&mut self, key: WorkerKey) -> &mut WorkerState {
-        let worker = &mut self.workers[key.place()];
+        let worker = &mut self.workers[key.index()];
         worker.changed_in_plan = self.plan_count;
         worker.version += 1;
         worker
--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -7,11 +7,11 @@
 
 use crate::{
     Admission,
+    CpuShortage,
     Dispatcher,
     JobGraph,
     JobKey,
     PolicyPart,
-    RoomShortage,
     WorkKind,
     pool_demand::PoolDemand,
     short_demand::PoolSize, //
@@ -60,7 +60,7 @@
             self.grants.grant(key, demand, now);
             return Admission::Granted;
         }
-        Admission::Refused(RoomShortage {
+        Admission::Refused(CpuShortage {
             demand,
             room,
             short_need,
--- a/crates/dispatch/src/dispatcher_maintenance.rs
+++ b/crates/dispatch/src/dispatcher_maintenance.rs
@@ -30,7 +30,7 @@
     }
 
     /// Lets tasks start again on a worker whose maintenance was cancelled.
-    pub fn end_upkeep(&mut self, id: &str) {
+    pub fn cancel_maintenance(&mut self, id: &str) {
         if let Some(key) = self.worker_key(id) {
             self.worker_mut(key).in_maintenance = false;
         }
--- a/crates/dispatch/src/dispatcher_plan.rs
+++ b/crates/dispatch/src/dispatcher_plan.rs
@@ -131,7 +131,7 @@
             self.pending_stops.iter().copied().collect();
         let stop = self.settings.stop;
         for (worker, task, run) in stops {
-            let state = &mut self.workers[worker.place()];
+            let state = &mut self.workers[worker.index()];
             let silent = state.unanswered > 0;
             let Some(state) = state.runs.get_mut(&(task, run)) else {
                 self.pending_stops.swap_remove(&(worker, task, run));
@@ -169,7 +169,7 @@
 
     /// Starts pending tasks by the rank of their steps, then starved fillers.
     fn plan_starts(&mut self, now: Duration, outcome: &mut PlanOutcome) {
-        let settled = self.is_settled();
+        let settled = self.is_takeover_complete();
         let mut ranked: Vec<(StepRank, StepKey)> = Vec::with_capacity(self.pending_steps.len());
         let mut closed = Vec::new();
         for &step in &self.pending_steps {
@@ -243,7 +243,10 @@
             return 0;
         }
         let demand = TaskDemand::new(spec, &pool, advice.is_some());
-        let uses_cache = self.settings.switches.has(PolicyPart::HopelessDemands);
+        let uses_cache = self
+            .settings
+            .switches
+            .has(PolicyPart::UnplaceableDemandCache);
         let last_failed_plan = self
             .unplaceable
             .last_plan(&demand, now)
@@ -351,7 +354,7 @@
         let state = RunState::new(task, spec, RunPhase::Sent, now);
         let held = self.worker_mut(worker);
         held.add_run(run, state);
-        self.workers[worker.place()].service_snapshot =
+        self.workers[worker.index()].service_snapshot =
             ServiceSnapshot::new(self.worker(worker), &self.interference, now);
         let step = task.step;
         if let Some(job) = self.jobs.get_mut(&step.job)
@@ -475,7 +478,7 @@
             && !worker.in_maintenance
             && worker.record.pool == *pool
             && !self.closed_domains.contains(&worker.record.domain)
-            && !(self.settings.switches.has(PolicyPart::WorkerRests)
+            && !(self.settings.switches.has(PolicyPart::WorkerQuarantine)
                 && (worker.health.is_quarantined(now) || is_probed))
     }
 }
--- a/crates/dispatch/src/dispatcher_records.rs
+++ b/crates/dispatch/src/dispatcher_records.rs
@@ -100,7 +100,7 @@
 
     /// Restores the interference that a former owner has learned.
     pub fn restore_learned(&mut self, record: &LearnedRecord) {
-        if !self.settings.switches.has(PolicyPart::KeptLearning) {
+        if !self.settings.switches.has(PolicyPart::LearnedStateRestore) {
             return;
         }
         self.interference.restore(record);
--- a/crates/dispatch/src/dispatcher_reservations.rs
+++ b/crates/dispatch/src/dispatcher_reservations.rs
@@ -9,10 +9,10 @@
 use crate::{
     Dispatcher,
     PolicyPart,
+    RejectionCounts,
     StepKey,
     StepSpec,
     WaitNote,
-    WaitReasons,
     WorkerKey,
     dispatcher_plan::fits_labels,
     placement_score::{
@@ -96,7 +96,7 @@
         {
             return None;
         }
-        let mut reasons = WaitReasons::default();
+        let mut reasons = RejectionCounts::default();
         let profile = FillerProfile::new(&self.interference, spec.image.as_ref());
         let context = self.placement_context(spec, &profile, now);
         for (place, worker) in self.workers.iter().enumerate() {
--- a/crates/dispatch/src/dispatcher_runs.rs
+++ b/crates/dispatch/src/dispatcher_runs.rs
@@ -74,7 +74,7 @@
             state.percent = running.percent;
             state.last_progress_at = now;
         }
-        state.figure = running.figure;
+        state.metric = running.figure;
         let filler = state.is_filler();
         let is_stuck = state.is_confirmed()
             && state.throttle_percent >= 100
@@ -116,7 +116,7 @@
         self.open_occurrence(step.job, step.occurrence);
         let mut state = RunState::new(running.task, &spec, RunPhase::Running(now), now);
         state.percent = running.percent;
-        state.figure = running.figure;
+        state.metric = running.figure;
         self.worker_mut(key).add_run(running.run, state);
         let mut is_surplus = over;
         if let Some(job) = self.jobs.get_mut(&step.job)
--- a/crates/dispatch/src/dispatcher_throttling.rs
+++ b/crates/dispatch/src/dispatcher_throttling.rs
@@ -121,7 +121,7 @@
     /// Updates the load estimates and the interference model from the tail latencies of a worker's
     /// services.
     fn learn_interference(&mut self, key: WorkerKey, now: Duration) {
-        let fading = self.settings.switches.has(PolicyPart::FadingFigures);
+        let fading = self.settings.switches.has(PolicyPart::FadingMetrics);
         let fillers_present = self.worker_mut(key).visible_fillers(now, fading);
         let worker = self.worker(key);
         // An impossible CPU usage is discarded: what it teaches would stay for long.
@@ -132,7 +132,7 @@
         let seen: Vec<TailSample> = worker
             .runs
             .iter()
-            .filter(|(_, run)| run.percent >= 100 && run.figure != Some(0))
+            .filter(|(_, run)| run.percent >= 100 && run.metric != Some(0))
             .filter_map(|(&(task, run), state)| {
                 Some(TailSample {
                     task,
@@ -160,20 +160,20 @@
             else {
                 continue;
             };
-            let shared = switches.has(PolicyPart::StepLoads);
+            let shared = switches.has(PolicyPart::SharedStepLoad);
             let previous = if shared { state.load } else { own };
             let mut estimate = previous.unwrap_or_else(|| LoadEstimate::new(now));
             estimate.advance(now);
-            if switches.has(PolicyPart::LearnedPairs) {
+            if switches.has(PolicyPart::LearnedInterference) {
                 self.interference
                     .observe_load(&image, &fillers_present, &mut estimate, load);
             }
             state.load = Some(estimate);
-            if let Some(held) = self.workers[key.place()].runs.get_mut(&(task, run)) {
+            if let Some(held) = self.workers[key.index()].runs.get_mut(&(task, run)) {
                 held.load = Some(estimate);
             }
         }
-        self.workers[key.place()].update_service_use(now);
+        self.workers[key.index()].update_service_use(now);
     }
 
     /// Throttles the fillers that are known to raise a service's load above its limit, no further
@@ -237,7 +237,7 @@
         {
             return;
         }
-        let keeps_harmless = self.settings.switches.has(PolicyPart::HarmlessStay);
+        let keeps_harmless = self.settings.switches.has(PolicyPart::KeepHarmlessFillers);
         let unknown = |run: &RunState| match (&image, &run.image) {
             (Some(service), Some(filler)) => {
                 !keeps_harmless || !self.interference.is_known(service, filler)
@@ -360,7 +360,7 @@
 /// Returns a run's tail latency divided by its target.
 pub(crate) fn tail_to_target(run: &RunState) -> Option<f64> {
     let target = run.target?.as_millis().max(1) as f64;
-    Some(run.figure? as f64 / target)
+    Some(run.metric? as f64 / target)
 }
 
 /// Returns the service run with the highest ratio of tail latency to target.
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -338,7 +338,7 @@
     /// Returns how long the worker may delay its answer to the next renewal.
     fn renewal_wait(&self, key: WorkerKey) -> Duration {
         let worker = self.worker(key);
-        let longest = self.settings.longest_wait;
+        let longest = self.settings.max_renewal_wait;
         if !worker.has_owner_token || worker.unanswered > 0 || !worker.pending_acks.is_empty() {
             return Duration::ZERO;
         }
--- a/crates/dispatch/src/interference_model.rs
+++ b/crates/dispatch/src/interference_model.rs
@@ -196,7 +196,7 @@
 
     fn restored(record: &LearnedService) -> Self {
         let mut model = Self::new();
-        model.min_tail_ratio = f64::from(record.least);
+        model.min_tail_ratio = f64::from(record.min_tail_ratio);
         model.noise = f64::from(record.noise).clamp(MIN_NOISE_VARIANCE, MAX_NOISE_VARIANCE);
         for (image, effect) in &record.fillers {
             let pair = EffectEstimate {
@@ -214,7 +214,7 @@
         LearnedService {
             image: image.to_string(),
             // CAST: Values around 1 that are approximate anyway.
-            least: self.min_tail_ratio as f32,
+            min_tail_ratio: self.min_tail_ratio as f32,
             // CAST: As above.
             noise: self.noise as f32,
             fillers: fillers
--- a/crates/dispatch/src/learned_record.rs
+++ b/crates/dispatch/src/learned_record.rs
@@ -20,8 +20,9 @@
     /// The image's name.
     pub image: String,
     /// The lowest observed tail latency, as a share of the target.
-    pub least: f32,
-    /// The variance of one observation of the service's load; 0 in records that lack it.
+    #[serde(rename = "least")]
+    pub min_tail_ratio: f32,
+    /// The variance of one observation of the service's load.
     #[serde(default)]
     pub noise: f32,
     /// The effect of each filler image observed beside the service.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -62,7 +62,7 @@
 pub use self::{
     admission::{
         Admission,
-        RoomShortage, //
+        CpuShortage, //
     },
     advice_wish::AdviceWish,
     decision_note::DecisionNote,
@@ -125,8 +125,8 @@
         TaskKeyError, //
     },
     wait_note::{
-        WaitNote,
-        WaitReasons, //
+        RejectionCounts,
+        WaitNote, //
     },
     worker_clock::WorkerClock,
     worker_key::WorkerKey,
--- a/crates/dispatch/src/placement_score.rs
+++ b/crates/dispatch/src/placement_score.rs
@@ -104,7 +104,7 @@
             (false, false) => (0, -leftover(worker, spec)),
         };
         let switches = context.switches;
-        let spared_openness = match spec.filler && switches.has(PolicyPart::OpenPlacesLast) {
+        let spared_openness = match spec.filler && switches.has(PolicyPart::OpenWorkersLast) {
             true => -openness(worker, spec),
             false => 0,
         };
@@ -140,7 +140,8 @@
         return Err(PlacementRejection::Shielded);
     }
     // Fillers of unknown effect are placed one at a time; the effect is visible within a second.
-    let singly = context.switches.has(PolicyPart::UnknownSingly) && context.spec.image.is_some();
+    let singly =
+        context.switches.has(PolicyPart::UnknownFillersSingly) && context.spec.image.is_some();
     if singly
         && worker
             .service_snapshot
@@ -160,7 +161,7 @@
     {
         return Err(PlacementRejection::Learning);
     }
-    let low_interference = match context.switches.has(PolicyPart::RiskOrder) {
+    let low_interference = match context.switches.has(PolicyPart::PlacementByRisk) {
         true => -quantized(risk),
         false => 0,
     };
--- a/crates/dispatch/src/policy_part.rs
+++ b/crates/dispatch/src/policy_part.rs
@@ -15,23 +15,23 @@
 pub enum PolicyPart {
     /// The interference of each filler image with each service image is learned.
     #[display("learned-pairs")]
-    LearnedPairs,
+    LearnedInterference,
     /// The tasks of a service's step share one load estimate.
     #[display("step-loads")]
-    StepLoads,
+    SharedStepLoad,
     /// Fillers that started or ended recently count in proportion to the time that the metrics
     /// cover.
     #[display("fading-figures")]
-    FadingFigures,
+    FadingMetrics,
     /// A filler is placed where it adds least to the risk that services exceed their targets.
     #[display("risk-order")]
-    RiskOrder,
+    PlacementByRisk,
     /// Fillers of unknown effect are placed one at a time.
     #[display("unknown-singly")]
-    UnknownSingly,
+    UnknownFillersSingly,
     /// Recently placed fillers that are known to be harmless are not evicted.
     #[display("harmless-stay")]
-    HarmlessStay,
+    KeepHarmlessFillers,
     /// Fillers are throttled before they are evicted.
     #[display("pacing")]
     Pacing,
@@ -40,10 +40,10 @@
     ServicesTogether,
     /// Fillers leave workers that are open to all images to fillers that find few places.
     #[display("open-places-last")]
-    OpenPlacesLast,
+    OpenWorkersLast,
     /// Started jobs are planned before others.
     #[display("begun-first")]
-    BegunFirst,
+    StartedJobsFirst,
     /// Long-running tasks are planned after others at first.
     #[display("long-running-last")]
     LongRunningLast,
@@ -52,13 +52,13 @@
     RoomKept,
     /// Demands for which no worker had capacity are cached.
     #[display("hopeless-demands")]
-    HopelessDemands,
+    UnplaceableDemandCache,
     /// Workers on which tasks fail or get stuck are quarantined.
     #[display("worker-rests")]
-    WorkerRests,
+    WorkerQuarantine,
     /// The learned interference is restored by successors.
     #[display("kept-learning")]
-    KeptLearning,
+    LearnedStateRestore,
     /// Long-running jobs are accepted only while short tasks find capacity.
     #[display("admission")]
     Admission,
@@ -82,21 +82,21 @@
 impl PolicyPart {
     /// All parts, in the order of their bits in [`PolicySwitches`].
     pub const ALL: [Self; 16] = [
-        Self::LearnedPairs,
-        Self::StepLoads,
-        Self::FadingFigures,
-        Self::RiskOrder,
-        Self::UnknownSingly,
-        Self::HarmlessStay,
+        Self::LearnedInterference,
+        Self::SharedStepLoad,
+        Self::FadingMetrics,
+        Self::PlacementByRisk,
+        Self::UnknownFillersSingly,
+        Self::KeepHarmlessFillers,
         Self::Pacing,
         Self::ServicesTogether,
-        Self::OpenPlacesLast,
-        Self::BegunFirst,
+        Self::OpenWorkersLast,
+        Self::StartedJobsFirst,
         Self::LongRunningLast,
         Self::RoomKept,
-        Self::HopelessDemands,
-        Self::WorkerRests,
-        Self::KeptLearning,
+        Self::UnplaceableDemandCache,
+        Self::WorkerQuarantine,
+        Self::LearnedStateRestore,
         Self::Admission,
     ];
 
--- a/crates/dispatch/src/run_state.rs
+++ b/crates/dispatch/src/run_state.rs
@@ -51,7 +51,7 @@
     pub(crate) last_progress_at: Duration,
     /// The metric last reported: for services the tail latency in milliseconds, for others the CPU
     /// used in millicores.
-    pub(crate) figure: Option<u64>,
+    pub(crate) metric: Option<u64>,
     /// The estimated load without fillers, if the run serves requests.
     pub(crate) load: Option<LoadEstimate>,
     /// The throttle factor last ordered, in percent; 100 is unthrottled, `u32::MAX` unknown.
@@ -76,7 +76,7 @@
             placed_at: now,
             percent: 0,
             last_progress_at: now,
-            figure: None,
+            metric: None,
             load: None,
             throttle_percent: 100,
             stop_sent_at: None,
--- a/crates/dispatch/src/step_rank.rs
+++ b/crates/dispatch/src/step_rank.rs
@@ -95,7 +95,7 @@
         StepRank {
             priority,
             lateness,
-            is_unstarted: !job.started && switches.has(PolicyPart::BegunFirst),
+            is_unstarted: !job.started && switches.has(PolicyPart::StartedJobsFirst),
             latest_start: (start + objective).saturating_sub(remaining),
         }
     }
--- a/crates/dispatch/src/wait_note.rs
+++ b/crates/dispatch/src/wait_note.rs
@@ -4,7 +4,7 @@
 
 /// Number of workers that were rejected for a step that should have started, by reason.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct WaitReasons {
+pub struct RejectionCounts {
     /// Workers without enough free CPU.
     pub processors: usize,
     /// Workers without enough free memory.
@@ -41,5 +41,5 @@
     /// The number of its tasks for which no worker was found.
     pub missing: usize,
     /// The number of workers rejected for each reason.
-    pub reasons: WaitReasons,
+    pub reasons: RejectionCounts,
 }
--- a/crates/dispatch/src/worker_key.rs
+++ b/crates/dispatch/src/worker_key.rs
@@ -8,13 +8,13 @@
 
 impl WorkerKey {
     /// Creates a key from an index.
-    pub fn new(place: usize) -> Self {
+    pub fn new(index: usize) -> Self {
         // CAST: A list holds some thousand workers.
-        Self(place as u32)
+        Self(index as u32)
     }
 
     /// Returns the index.
-    pub fn place(self) -> usize {
+    pub fn index(self) -> usize {
         // CAST: From 32 bits to at least as many.
         self.0 as usize
     }
--- a/crates/dispatch/src/worker_state.rs
+++ b/crates/dispatch/src/worker_state.rs
@@ -156,7 +156,7 @@
         let present = fillers.filter_map(|run| {
             Some(FillerPresence {
                 image: run.image.clone()?,
-                share: run.figure? as f64 / self.cpu_capacity_millis(),
+                share: run.metric? as f64 / self.cpu_capacity_millis(),
                 seen_share: visible_share(run.placed_at),
             })
         });
@@ -214,7 +214,7 @@
         let Some(state) = self.runs.swap_remove(&(task, run)) else {
             return;
         };
-        if let (Some(image), Some(used)) = (&state.image, state.figure)
+        if let (Some(image), Some(used)) = (&state.image, state.metric)
             && state.is_filler()
         {
             let presence = FillerPresence {
--- a/crates/dispatch/tests/common/fleet_messages.rs
+++ b/crates/dispatch/tests/common/fleet_messages.rs
@@ -104,7 +104,7 @@
         let worker = worker_of(&order);
         let dispatcher = &mut self.owners[owner].dispatcher;
         let deadline = dispatcher.order_deadline(worker, now).unwrap_or_default();
-        if now < self.unreachable_until[worker.place()] || self.chance(self.faults.lost) {
+        if now < self.unreachable_until[worker.index()] || self.chance(self.faults.lost) {
             self.push(
                 CALL_TIMEOUT,
                 Event::OrderAnswer(owner, order, OrderEnd::Unknown),
@@ -151,13 +151,13 @@
             Event::OrderAnswer(owner, order, end) => self.handle_order_answer(owner, order, end),
             Event::RenewalDue(owner, key) => self.send_renewal(owner, key),
             Event::Renewal(owner, key, order, sent) => {
-                let is_unreachable = now < self.unreachable_until[key.place()];
+                let is_unreachable = now < self.unreachable_until[key.index()];
                 let answer = match is_unreachable {
-                    true if self.has_left[key.place()] => {
+                    true if self.has_left[key.index()] => {
                         Err(OrderEnd::Refused(OrderRefusal::Closed))
                     }
                     true => Err(OrderEnd::Unknown),
-                    false => self.workers[key.place()].hold(now, owner as u64 + 1, order),
+                    false => self.workers[key.index()].hold(now, owner as u64 + 1, order),
                 };
                 let wait = if is_unreachable {
                     CALL_TIMEOUT
@@ -188,7 +188,7 @@
             usize::MAX => read_delayed_order_tag(&order),
             owner => (owner as u64 + 1, now),
         };
-        let place = worker_of(&order).place();
+        let place = worker_of(&order).index();
         // A delayed order is lost if its worker has restarted since it was sent.
         if self.workers[place].record().born > Some(sent) {
             return;
--- a/crates/dispatch/tests/placement.rs
+++ b/crates/dispatch/tests/placement.rs
@@ -276,7 +276,10 @@
     fleet.owner().dispatcher.begin_due(ms(4999), ms(4999));
     fleet.run_for(ms(500));
     assert_eq!(fleet.begin_count(job), 0);
-    assert_eq!(fleet.owner().dispatcher.next_due(), Some(ms(5000)));
+    assert_eq!(
+        fleet.owner().dispatcher.next_occurrence_due(),
+        Some(ms(5000))
+    );
     fleet.owner().dispatcher.begin_due(ms(5000), ms(5000));
     fleet.run_for(ms(900));
     assert_eq!(fleet.begin_count(job), 1);
