--- /dev/null
+++ b/crates/dispatch/src/commit_tracker.rs
@@ -0,0 +1,88 @@
+//! Tracking of which changes are on record.
+
+use indexmap::IndexMap;
+
+use crate::{
+    JobKey,
+    JobOutcome, //
+};
+
+/// Tracks which changes are on record. Changes are numbered. A job's record contains all its
+/// changes up to the moment at which it was taken, so only each job's first uncommitted change has
+/// to be known.
+#[derive(Debug, Default)]
+pub(crate) struct CommitTracker {
+    /// The number of the last change.
+    last_change: u64,
+    /// Jobs with changes that no commit contains yet, each with its first such change.
+    uncommitted: IndexMap<JobKey, u64>,
+    /// Jobs in the commit in flight, each with its first uncommitted change and the outcome that
+    /// its record contains.
+    in_flight: IndexMap<JobKey, (u64, Option<JobOutcome>)>,
+}
+
+impl CommitTracker {
+    /// Records a change of a job and returns its number.
+    pub(crate) fn record_change(&mut self, job: JobKey) -> u64 {
+        self.last_change += 1;
+        self.uncommitted.entry(job).or_insert(self.last_change);
+        self.last_change
+    }
+
+    /// Moves up to `limit` jobs into the commit in flight and returns them.
+    pub(crate) fn take_jobs(&mut self, limit: usize) -> Vec<JobKey> {
+        let count = limit.min(self.uncommitted.len());
+        let taken: Vec<(JobKey, u64)> = self.uncommitted.drain(..count).collect();
+        let keys = taken.iter().map(|&(key, _)| key).collect();
+        for (key, change) in taken {
+            self.in_flight.insert(key, (change, None));
+        }
+        keys
+    }
+
+    /// Stores the outcome that a job's record in flight contains.
+    pub(crate) fn set_outcome(&mut self, job: JobKey, outcome: Option<JobOutcome>) {
+        if let Some((_, carried)) = self.in_flight.get_mut(&job) {
+            *carried = outcome;
+        }
+    }
+
+    /// Marks the commit in flight as on record and returns the job outcomes that it contained.
+    pub(crate) fn confirm(&mut self) -> Vec<(JobKey, JobOutcome)> {
+        let done = std::mem::take(&mut self.in_flight);
+        done.into_iter()
+            .filter_map(|(key, (_, outcome))| Some((key, outcome?)))
+            .collect()
+    }
+
+    /// Marks the commit in flight as failed: its jobs are taken again, before the others.
+    pub(crate) fn abort(&mut self) {
+        let newer = std::mem::take(&mut self.uncommitted);
+        for (key, (change, _)) in std::mem::take(&mut self.in_flight) {
+            self.uncommitted.insert(key, change);
+        }
+        for (key, change) in newer {
+            self.uncommitted.entry(key).or_insert(change);
+        }
+    }
+
+    /// Returns the highest change number up to which all changes are on record.
+    pub(crate) fn committed_through(&self) -> u64 {
+        let uncommitted = self.uncommitted.values().copied();
+        let in_flight = self.in_flight.values().map(|&(change, _)| change);
+        uncommitted
+            .chain(in_flight)
+            .min()
+            .map_or(self.last_change, |first| first - 1)
+    }
+
+    /// Returns whether every change is on record or in flight.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.uncommitted.is_empty()
+    }
+
+    /// Returns whether a commit is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        !self.in_flight.is_empty()
+    }
+}
--- a/crates/dispatch/src/dispatcher_pools.rs
+++ b/crates/dispatch/src/dispatcher_pools.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher's pools are used.
+//! CPU usage of the dispatcher's pools.
 
 use std::{
     sync::Arc,
@@ -13,7 +13,7 @@
 };
 
 impl Dispatcher {
-    /// Tells who holds each pool's processors, and who waits for them.
+    /// Returns, for each pool, the CPU that each kind of work holds and the CPU that it waits for.
     pub fn pool_use(&self, now: Duration) -> Vec<PoolUse> {
         let mut pools: IndexMap<Arc<str>, PoolUse> = IndexMap::new();
         for worker in &self.workers {
@@ -28,13 +28,13 @@
             used.short.held += worker.short_cpu();
             used.filler.held += worker.filler_cpu;
         }
-        for step in &self.open {
+        for step in &self.pending_steps {
             let Some(job) = self.jobs.get(&step.job) else {
                 continue;
             };
             let spec = job.graph.steps.get(usize::from(step.step));
             let state = job.step(step.occurrence, step.step);
-            let rule = self.rules.get(&job.queue);
+            let rule = self.queue_rules.get(&job.queue);
             if let (Some(spec), Some(state), Some(rule)) = (spec, state, rule) {
                 let pending = state.tasks.iter().filter(|task| task.is_pending());
                 // CAST: A step has at most 20,000 tasks.
--- /dev/null
+++ b/crates/dispatch/src/dispatcher_starvation.rs
@@ -0,0 +1,101 @@
+//! Placement of filler jobs that would starve because they interfere with services on every worker.
+
+use std::{
+    sync::Arc,
+    time::Duration, //
+};
+
+use crate::{
+    Dispatcher,
+    PlanOutcome,
+    StepKey,
+    WorkKind,
+    WorkerOrder,
+    dispatcher_plan::PlacementSearch,
+    unplaceable_demands::TaskDemand, //
+};
+
+/// The time that a filler job may be without a run while half of its pool's CPU is free.
+const STARVATION_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The minimum interval between two forced searches for such a job: each scans all workers.
+const FORCED_SEARCH_INTERVAL: Duration = Duration::from_millis(300);
+
+impl Dispatcher {
+    /// Returns since when a step's job has had no run, if the step is a filler and that time
+    /// exceeds the starvation timeout; `None` otherwise or right after a forced search.
+    pub(crate) fn starved_since(&self, step: StepKey, now: Duration) -> Option<Duration> {
+        let job = self.jobs.get(&step.job)?;
+        let spec = job.graph.steps.get(usize::from(step.step))?;
+        let is_filler = spec.kind() == WorkKind::Filler && !spec.gang;
+        let searched_recently = job
+            .last_forced_search
+            .is_some_and(|at| now < at + FORCED_SEARCH_INTERVAL);
+        let idle = job
+            .idle_since
+            .max(job.occurrence_start(step.occurrence, self.clock_origin));
+        let is_starving = job.run_count == 0 && now >= idle + STARVATION_TIMEOUT;
+        (is_filler && is_starving && !searched_recently).then_some(idle)
+    }
+
+    /// Starts one task of each starved job while half of its pool is free, on the worker where it
+    /// interferes least; the job that has waited longest comes first. Services stay protected as
+    /// from any filler: it is throttled, and evicted within seconds.
+    pub(crate) fn start_starved_fillers(
+        &mut self,
+        starved: Vec<(Duration, StepKey)>,
+        now: Duration,
+        outcome: &mut PlanOutcome,
+    ) {
+        let mut starved = starved;
+        starved.sort_unstable();
+        for (_, step) in starved {
+            if self.order_window.remaining() == 0 {
+                return;
+            }
+            if self.starved_since(step, now).is_some() {
+                outcome.orders.extend(self.start_starved_filler(step, now));
+            }
+        }
+    }
+
+    /// Starts one pending task of a starved step, if half of the pool is free and a worker
+    /// qualifies.
+    fn start_starved_filler(&mut self, step: StepKey, now: Duration) -> Option<WorkerOrder> {
+        let job = self.jobs.get_mut(&step.job)?;
+        job.last_forced_search = Some(now);
+        let graph = Arc::clone(&job.graph);
+        let spec = graph.steps.get(usize::from(step.step))?;
+        let state = job.step(step.occurrence, step.step)?;
+        let index = state.tasks.iter().position(|task| task.is_pending())?;
+        let rule = self.queue_rules.get(&job.queue)?;
+        let pool = Arc::clone(&rule.pool);
+        let search = PlacementSearch {
+            demand: TaskDemand::new(spec, &pool, rule.advice.is_some()),
+            profile: self.filler_profile(spec),
+            is_starving: true,
+            last_failed_plan: None,
+        };
+        if !self.is_half_free(&pool, now) {
+            return None;
+        }
+        // CAST: A step has at most 20,000 tasks.
+        let task = step.task(index as u32);
+        let worker = self.find_worker(task, spec, &search, now)?;
+        let run = self.next_run();
+        self.place_run(task, worker, run, spec, now);
+        self.order_window.record_sent();
+        let order = self.start_order(task, worker, run, &graph.payload, false);
+        Some(WorkerOrder::Start(order))
+    }
+
+    /// Returns whether more than half of a pool's CPU is unreserved.
+    fn is_half_free(&self, pool: &Arc<str>, now: Duration) -> bool {
+        let usable = self.workers.iter();
+        let usable = usable.filter(|worker| self.is_usable(worker, pool, now));
+        let (free, all) = usable.fold((0u64, 0u64), |(free, all), worker| {
+            let capacity = worker.record.capacity.cpu_millis;
+            (free + worker.free_capacity().cpu_millis, all + capacity)
+        });
+        free * 2 > all
+    }
+}
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -1,4 +1,4 @@
-//! A job as its owner knows it.
+//! The owner's view of a job.
 
 use std::{
     collections::BTreeMap,
@@ -16,76 +16,83 @@
     StepSpec,
     WorkerKey,
     dispatcher::StepOrigin,
-    load_track::LoadTrack, //
+    load_estimate::LoadEstimate, //
 };
 
-/// A job as its owner knows it.
+/// The owner's view of a job.
 #[derive(Debug)]
 pub(crate) struct JobState {
     pub(crate) queue: Arc<str>,
     pub(crate) graph: Arc<JobGraph>,
-    /// Declared time of the longest chain from each step on.
-    pub(crate) chains: Vec<Duration>,
-    /// When it was accepted, on this process's clock; before its origin counts as 0.
+    /// For each step, the declared run time of the longest dependency chain that begins with it.
+    pub(crate) remaining_chains: Vec<Duration>,
+    /// When the job was accepted, on this process's clock; 0 if that was before the clock's origin.
     pub(crate) accepted: Duration,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the job's tasks.
     pub(crate) inherited: bool,
+    /// Whether a run of the job was ever started.
     pub(crate) started: bool,
     pub(crate) cancelled: bool,
-    /// How it ended, whether or not that is on record.
+    /// How the job ended, whether or not that is on record.
     pub(crate) outcome: Option<JobOutcome>,
-    /// How it ended by the record.
-    pub(crate) recorded: Option<JobOutcome>,
+    /// How the job ended, once that is on record.
+    pub(crate) recorded_outcome: Option<JobOutcome>,
+    /// The occurrences opened so far, by their numbers.
     pub(crate) occurrences: BTreeMap<u32, OccurrenceState>,
-    /// How many runs it has.
-    pub(crate) running: u32,
-    /// When its last run ended; when it was accepted, if it had none.
+    /// The number of the job's current runs.
+    pub(crate) run_count: u32,
+    /// When the job's last run ended, or when the job was accepted if it had none.
     pub(crate) idle_since: Duration,
-    /// When a place was last sought for it that harms services.
-    pub(crate) forced: Option<Duration>,
+    /// When a worker was last searched for the job regardless of the interference with services.
+    pub(crate) last_forced_search: Option<Duration>,
 }
 
-/// One occurrence of a job.
+/// The state of one occurrence of a job.
 #[derive(Debug)]
 pub(crate) struct OccurrenceState {
     pub(crate) steps: Vec<StepState>,
 }
 
-/// One step of an occurrence.
+/// The state of one step of an occurrence.
 #[derive(Debug)]
 pub(crate) struct StepState {
     pub(crate) tasks: Vec<TaskState>,
-    pub(crate) done: u32,
-    /// Whether all that it waits for is done.
+    /// The number of done tasks.
+    pub(crate) done_count: u32,
+    /// Whether all steps on which it depends are done.
     pub(crate) open: bool,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the step's tasks.
     pub(crate) inherited: bool,
-    /// The rack on which its tasks were first placed.
-    pub(crate) rack: Option<Arc<str>>,
-    /// How many of its tasks run on each worker.
-    pub(crate) placed: IndexMap<WorkerKey, u32>,
-    /// The tickets for its tasks, with the time until which each holds.
+    /// The rack of the step's first placed task.
+    pub(crate) first_rack: Option<Arc<str>>,
+    /// The number of the step's tasks that run on each worker.
+    pub(crate) tasks_per_worker: IndexMap<WorkerKey, u32>,
+    /// The tickets for the step's tasks by worker, each with the time until which it is valid.
     pub(crate) tickets: IndexMap<WorkerKey, (Arc<str>, Duration)>,
-    /// When tickets were last asked for.
-    pub(crate) advice_asked: Option<Duration>,
-    /// When it was last noted why its tasks wait.
-    pub(crate) wait_noted: Option<Duration>,
-    /// The own load of its tasks, if they serve requests.
-    pub(crate) load: Option<LoadTrack>,
+    /// When tickets were last requested.
+    pub(crate) advice_requested_at: Option<Duration>,
+    /// When it was last logged why the step waits.
+    pub(crate) wait_noted_at: Option<Duration>,
+    /// The estimated load of the step's tasks without fillers, if they serve requests.
+    pub(crate) load: Option<LoadEstimate>,
 }
 
-/// One task.
+/// The state of one task.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TaskState {
     pub(crate) done: bool,
-    /// The runs that failed: a successor hears again of a failure that is on record.
+    /// The runs that failed. Kept as numbers, not as a count: a successor receives a failure again
+    /// that is already on record.
     pub(crate) failures: Vec<RunNumber>,
+    /// The task's last checkpoint, from which its next run resumes.
     pub(crate) checkpoint: Option<Arc<str>>,
+    /// The task's current runs: at most one unless the step allows copies, apart from surplus runs
+    /// that are being stopped.
     pub(crate) runs: Vec<(WorkerKey, RunNumber)>,
-    /// The worker on which it last failed.
+    /// The worker on which the task last failed.
     pub(crate) failed_on: Option<WorkerKey>,
-    /// When its last run ended, if it lasts.
-    pub(crate) away_since: Option<Duration>,
+    /// When the task's last run was lost, or ended if the task is long-running.
+    pub(crate) unavailable_since: Option<Duration>,
 }
 
 impl JobState {
@@ -103,45 +110,48 @@
             .get_mut(usize::from(step))
     }
 
-    /// Tells whether a former owner may have started some of a step.
-    pub(crate) fn inherits(&self, occurrence: u32, step: u16) -> bool {
+    /// Returns whether a former owner may have started some of a step's tasks.
+    pub(crate) fn may_be_inherited(&self, occurrence: u32, step: u16) -> bool {
         self.step(occurrence, step)
             .is_none_or(|state| state.inherited)
     }
 
     /// Returns since when the longest-waiting task of a step has been without a run.
-    pub(crate) fn waits_since(&self, occurrence: u32, step: u16) -> Duration {
+    pub(crate) fn waiting_since(&self, occurrence: u32, step: u16) -> Duration {
         let tasks = self.step(occurrence, step).map(|state| &state.tasks);
         let pending = tasks.into_iter().flatten().filter(|task| task.is_pending());
-        let since = pending.map(|task| task.away_since.unwrap_or(self.accepted));
+        let since = pending.map(|task| task.unavailable_since.unwrap_or(self.accepted));
         since.min().unwrap_or(self.accepted)
     }
 
-    pub(crate) fn note_run(&mut self) {
-        self.running += 1;
+    /// Counts a new run of the job.
+    pub(crate) fn add_run(&mut self) {
+        self.run_count += 1;
     }
 
-    pub(crate) fn note_run_over(&mut self, now: Duration) {
-        self.running = self.running.saturating_sub(1);
-        if self.running == 0 {
+    /// Counts a run less, and records when the last one ended.
+    pub(crate) fn remove_run(&mut self, now: Duration) {
+        self.run_count = self.run_count.saturating_sub(1);
+        if self.run_count == 0 {
             self.idle_since = now;
         }
     }
 
-    /// Returns when an occurrence began to wait, on the process's clock.
-    pub(crate) fn begun(&self, occurrence: u32, clock_origin: Duration) -> Duration {
+    /// Returns when an occurrence was accepted or due, on the process's clock.
+    pub(crate) fn occurrence_start(&self, occurrence: u32, clock_origin: Duration) -> Duration {
         self.graph.schedule.map_or(self.accepted, |schedule| {
             schedule.due(occurrence).saturating_sub(clock_origin)
         })
     }
 
+    /// Returns whether the job has ended or was cancelled.
     pub(crate) fn is_over(&self) -> bool {
         self.outcome.is_some() || self.cancelled
     }
 
-    /// Returns how far it is; an end only once it is on record.
+    /// Returns the job's progress; an outcome is reported only once it is on record.
     pub(crate) fn progress(&self) -> JobProgress {
-        match self.recorded {
+        match self.recorded_outcome {
             Some(outcome) => JobProgress::Ended(outcome),
             None if self.cancelled && self.outcome.is_none() => {
                 JobProgress::Ended(JobOutcome::Cancelled)
@@ -156,14 +166,14 @@
     pub(crate) fn new(graph: &JobGraph, inherited: bool) -> Self {
         let steps = graph.steps.iter().map(|spec| StepState {
             tasks: vec![TaskState::default(); spec.count as usize],
-            done: 0,
+            done_count: 0,
             open: spec.after.is_empty(),
             inherited,
-            rack: None,
-            placed: IndexMap::new(),
+            first_rack: None,
+            tasks_per_worker: IndexMap::new(),
             tickets: IndexMap::new(),
-            advice_asked: None,
-            wait_noted: None,
+            advice_requested_at: None,
+            wait_noted_at: None,
             load: None,
         });
         Self {
@@ -171,14 +181,14 @@
         }
     }
 
-    pub(crate) fn is_whole(&self) -> bool {
-        self.steps.iter().all(StepState::is_whole)
+    pub(crate) fn is_done(&self) -> bool {
+        self.steps.iter().all(StepState::is_done)
     }
 
-    /// Opens the steps that wait for nothing any more.
+    /// Opens the steps whose dependencies are all done.
     pub(crate) fn open_steps(&mut self, graph: &JobGraph, origin: StepOrigin) {
         for (number, spec) in graph.steps.iter().enumerate() {
-            let ready = |&before: &u16| self.steps[usize::from(before)].is_whole();
+            let ready = |&before: &u16| self.steps[usize::from(before)].is_done();
             if !self.steps[number].open && spec.after.iter().all(ready) {
                 self.steps[number].open = true;
                 self.steps[number].inherited &= origin == StepOrigin::Unknown;
@@ -188,33 +198,36 @@
 }
 
 impl StepState {
-    pub(crate) fn is_whole(&self) -> bool {
-        self.done as usize == self.tasks.len()
+    pub(crate) fn is_done(&self) -> bool {
+        self.done_count as usize == self.tasks.len()
     }
 
-    /// Tells whether some task of it has neither ended nor a run.
+    /// Returns whether the step is open and has a task that neither is done nor has a run.
     pub(crate) fn has_pending(&self) -> bool {
         self.open && self.tasks.iter().any(TaskState::is_pending)
     }
 
-    /// Tells whether as many of its tasks run on a worker as may.
-    pub(crate) fn is_crowded(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
-        let held = self.placed.get(&worker).copied().unwrap_or(0);
+    /// Returns whether a worker already runs as many of the step's tasks as its spread allows.
+    pub(crate) fn is_at_spread_limit(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
+        let held = self.tasks_per_worker.get(&worker).copied().unwrap_or(0);
         spec.spread.is_some_and(|most| held >= most)
     }
 
-    pub(crate) fn note_placed(&mut self, worker: WorkerKey) {
-        *self.placed.entry(worker).or_insert(0) += 1;
+    /// Counts a task placed on a worker.
+    pub(crate) fn add_placed_task(&mut self, worker: WorkerKey) {
+        *self.tasks_per_worker.entry(worker).or_insert(0) += 1;
     }
 
-    pub(crate) fn note_left(&mut self, worker: WorkerKey) {
-        if let Some(count) = self.placed.get_mut(&worker) {
+    /// Counts a task less on a worker.
+    pub(crate) fn remove_placed_task(&mut self, worker: WorkerKey) {
+        if let Some(count) = self.tasks_per_worker.get_mut(&worker) {
             *count = count.saturating_sub(1);
         }
     }
 }
 
 impl TaskState {
+    /// Returns whether the task is not done and has no run.
     pub(crate) fn is_pending(&self) -> bool {
         !self.done && self.runs.is_empty()
     }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,41 +1,42 @@
-//! The dispatcher of jobs with steps: which task runs where, and when; who is told what; what has to
-//! be on record before it is said.
+//! Scheduler for jobs made of steps: decides which task runs on which worker and when, which orders
+//! each worker receives, and what must be on record before it is acknowledged.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number. The same calls give the same
-//! orders.
+//! Nothing here does I/O, reads a clock or draws a random number: the same sequence of calls yields
+//! the same orders.
 
 mod admission;
 mod advice_wish;
-mod commit_ledger;
+mod commit_tracker;
 mod decaying_sum;
 mod decision_note;
 mod dispatch_settings;
 mod dispatcher;
 mod dispatcher_admission;
 mod dispatcher_advice;
-mod dispatcher_ends;
+mod dispatcher_completions;
+mod dispatcher_maintenance;
 mod dispatcher_plan;
 mod dispatcher_pools;
 mod dispatcher_records;
-mod dispatcher_room;
+mod dispatcher_reservations;
 mod dispatcher_runs;
-mod dispatcher_starving;
-mod dispatcher_upkeep;
+mod dispatcher_starvation;
+mod dispatcher_throttling;
 mod dispatcher_workers;
 mod fleet_configuration;
 mod fleet_worker;
 mod graph_error;
-mod harm_model;
 mod hold_report;
-mod hopeless_demand;
+mod interference_model;
 mod job_graph;
 mod job_key;
 mod job_outcome;
 mod job_schedule;
 mod job_state;
 mod learned_record;
-mod load_track;
-mod place_score;
+mod load_estimate;
+mod order_window;
+mod placement_score;
 mod policy_part;
 mod pool_demand;
 mod pool_rule;
@@ -45,13 +46,12 @@
 mod run_end;
 mod run_number;
 mod run_state;
-mod service_view;
-mod service_watch;
+mod service_snapshot;
 mod short_demand;
-mod start_window;
 mod step_rank;
 mod step_spec;
 mod task_key;
+mod unplaceable_demands;
 mod wait_note;
 mod worker_clock;
 mod worker_health;
@@ -62,7 +62,7 @@
 pub use self::{
     admission::{
         Admission,
-        RoomShortage, //
+        CpuShortage, //
     },
     advice_wish::AdviceWish,
     decision_note::DecisionNote,
@@ -125,8 +125,8 @@
         TaskKeyError, //
     },
     wait_note::{
-        WaitNote,
-        WaitReasons, //
+        RejectionCounts,
+        WaitNote, //
     },
     worker_clock::WorkerClock,
     worker_key::WorkerKey,
