--- a/crates/gateway/src/delivery.rs
+++ b/crates/gateway/src/delivery.rs
@@ -180,7 +180,7 @@
             return None;
         }
         let latency = self.class.latency();
-        let target = self.class.entry.target;
+        let target = self.class.entry.latency_target;
         let usual = match latency.samples() >= LEAST_SAMPLES {
             true => latency.quantile(),
             false => target / UNLEARNED_DIVISOR,
@@ -225,7 +225,7 @@
         }
         let pool = &self.class.pool;
         let lease = pool.try_acquire(self.demand.avoid)?;
-        if !pool.lock().budget.spend() {
+        if !pool.lock().budget.try_withdraw() {
             return None;
         }
         self.sent += 1;
--- a/crates/gateway/src/endpoint_entry.rs
+++ b/crates/gateway/src/endpoint_entry.rs
@@ -10,8 +10,8 @@
     ResourceId, //
 };
 use jasminebend_routing::{
+    EndpointBackoff,
     EndpointScore,
-    HoldBackoff,
     slot_share, //
 };
 
@@ -64,9 +64,9 @@
     /// Whether it ever kept a connection open after an answer.
     pub(crate) keeps_open: bool,
     /// Left alone since it refused.
-    pub(crate) refusing: HoldBackoff,
+    pub(crate) refusing: EndpointBackoff,
     /// Left alone since it announced its end.
-    pub(crate) leaving: HoldBackoff,
+    pub(crate) leaving: EndpointBackoff,
     declared_slots: u16,
     /// The connections that each slot may have at the endpoint, those given up included.
     pub(crate) connections_per_slot: usize,
@@ -85,8 +85,8 @@
             slots,
             open: false,
             keeps_open: false,
-            refusing: HoldBackoff::new(),
-            leaving: HoldBackoff::new(),
+            refusing: EndpointBackoff::new(),
+            leaving: EndpointBackoff::new(),
             declared_slots,
             connections_per_slot: 1,
         };
@@ -129,8 +129,8 @@
 
     /// Tells whether the endpoint may take requests now.
     pub(crate) fn is_usable(&self, now: Duration, heed_leaving: bool) -> bool {
-        let leaves = heed_leaving && self.leaving.holds(now);
-        self.open && !leaves && !self.refusing.holds(now)
+        let leaves = heed_leaving && self.leaving.is_active(now);
+        self.open && !leaves && !self.refusing.is_active(now)
     }
 
     /// Tells whether none of its slots is in use.
--- a/crates/gateway/src/pool_keeper.rs
+++ b/crates/gateway/src/pool_keeper.rs
@@ -184,7 +184,7 @@
         let entry = state.entry(key);
         let domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
         entry.open = vm.state == VmState::Live && domain_in;
-        entry.score = entry.score.with_distance(distance);
+        entry.score = entry.score.with_round_trip_time(distance);
         entry.set_connections(executor.connections);
     }
 
--- a/crates/gateway/src/pool_settlement.rs
+++ b/crates/gateway/src/pool_settlement.rs
@@ -29,12 +29,12 @@
             ExchangeEnd::Unconnected => {
                 let hold = settings.refusal_hold;
                 let entry = self.entry(key.endpoint);
-                entry.score.failed();
-                entry.refusing.hold(now, hold, Duration::ZERO);
+                entry.score.record_error();
+                entry.refusing.back_off(now, hold, Duration::ZERO);
             }
             ExchangeEnd::Unknown => {
                 let until = now + settings.longest_request;
-                self.entry(key.endpoint).score.failed();
+                self.entry(key.endpoint).score.record_error();
                 let slot = self.slot(key);
                 slot.phase = SlotPhase::Unknown { until };
                 slot.linger(until);
@@ -65,17 +65,17 @@
         let entry = self.entry(key.endpoint);
         match verdict {
             AnswerVerdict::Good | AnswerVerdict::Closing => {
-                entry.score.succeeded(latency);
-                entry.refusing.succeeded();
+                entry.score.record_success(latency);
+                entry.refusing.record_success();
             }
-            AnswerVerdict::Failed => entry.score.failed(),
+            AnswerVerdict::Failed => entry.score.record_error(),
             AnswerVerdict::Refusing { asked } => {
-                entry.score.failed();
-                entry.refusing.hold(now, refusal_hold, asked);
+                entry.score.record_error();
+                entry.refusing.back_off(now, refusal_hold, asked);
             }
         }
         if verdict == AnswerVerdict::Closing && entry.keeps_open {
-            entry.leaving.hold(now, leaving_hold, Duration::ZERO);
+            entry.leaving.back_off(now, leaving_hold, Duration::ZERO);
             self.weigh_leaving(now);
         }
         if verdict == AnswerVerdict::Good {
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -8,10 +8,10 @@
 use indexmap::IndexMap;
 use jasminebend_base::ResourceId;
 use jasminebend_routing::{
+    CandidateScores,
     EndpointScore,
     LatencyEstimate,
-    PickCandidate,
-    PickRule,
+    LoadBalancingPolicy,
     QueueOrder,
     RequestQueue,
     RetryBudget, //
@@ -41,7 +41,7 @@
 const RETRY_BURST: f64 = 10.0;
 /// See the measurement `endpoint_pick`: p99 falls to 0.66 of random's where two give 0.80, and more
 /// than eight bring little.
-const PICK: PickRule = PickRule::LeastCost { samples: 8 };
+const PICK: LoadBalancingPolicy = LoadBalancingPolicy::LeastCost { samples: 8 };
 
 /// A request that waits for a slot.
 pub(crate) struct SlotWaiter {
@@ -87,7 +87,7 @@
     free: &'a [SlotKey],
 }
 
-impl PickCandidate for FreeSlots<'_> {
+impl CandidateScores for FreeSlots<'_> {
     fn score(&self, index: usize) -> &EndpointScore {
         &self.endpoints[self.free[index].endpoint.0].score
     }
@@ -100,7 +100,7 @@
             endpoints: Vec::new(),
             by_address: IndexMap::new(),
             free: Vec::new(),
-            queue: RequestQueue::new(QueueOrder::EarliestDeadline, most_waiting),
+            queue: RequestQueue::new(QueueOrder::EarliestDeadlineFirst, most_waiting),
             holding: LatencyEstimate::new(HEDGE_QUANTILE),
             latency: LatencyEstimate::new(HEDGE_QUANTILE),
             budget: RetryBudget::new(retry_ratio, RETRY_BURST),
@@ -139,7 +139,7 @@
 
     /// Puts a slot that was taken, and not used, back.
     pub(crate) fn put_back(&mut self, key: SlotKey) {
-        self.entry(key.endpoint).score.ended();
+        self.entry(key.endpoint).score.record_completion();
         self.slot(key).phase = SlotPhase::Idle;
         self.list(Some(key));
     }
@@ -239,7 +239,7 @@
     pub(crate) fn weigh_leaving(&mut self, now: Duration) {
         let open = self.endpoints.iter().filter(|entry| entry.open);
         let (all, leaving) = open.fold((0, 0), |(all, leaving), entry| {
-            (all + 1, leaving + usize::from(entry.leaving.holds(now)))
+            (all + 1, leaving + usize::from(entry.leaving.is_active(now)))
         });
         self.heed_leaving = leaving * 2 <= all;
     }
@@ -283,7 +283,7 @@
 
     fn occupy(&mut self, key: SlotKey) -> SlotKey {
         self.slot(key).phase = SlotPhase::Busy;
-        self.entry(key.endpoint).score.started();
+        self.entry(key.endpoint).score.record_start();
         key
     }
 }
--- a/crates/gateway/src/request_handler.rs
+++ b/crates/gateway/src/request_handler.rs
@@ -117,13 +117,13 @@
     let job = DeliveryJob {
         shared: Arc::clone(shared),
         plan: AttemptPlan {
-            give_up: arrival + shared.settings.patience(class.entry.target),
-            connect: shared.settings.connect_patience(class.entry.target),
+            give_up: arrival + shared.settings.patience(class.entry.latency_target),
+            connect: shared.settings.connect_patience(class.entry.latency_target),
             idempotent,
         },
         demand: SlotDemand {
             arrival,
-            deadline: arrival + class.entry.target,
+            deadline: arrival + class.entry.latency_target,
             avoid: None,
         },
         class: class.clone(),
@@ -138,7 +138,7 @@
     }?;
     let taken = shared.clock.monotonic().saturating_sub(arrival);
     class.metrics.seconds.record(taken);
-    if taken <= class.entry.target {
+    if taken <= class.entry.latency_target {
         class.metrics.within_target.increment(1);
     }
     Ok(answer)
--- a/crates/gateway/src/route_snapshot.rs
+++ b/crates/gateway/src/route_snapshot.rs
@@ -80,7 +80,7 @@
 
     /// Returns the class of a request.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<&RequestClass> {
-        let key = self.table.find(host, path)?;
+        let key = self.table.find_route(host, path)?;
         self.classes.get(key.index())
     }
 }
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -16,8 +16,8 @@
 use jasminebend_base::ServiceName;
 use jasminebend_ports::ClockSource;
 use jasminebend_routing::{
-    Admission,
-    AdmissionRule,
+    AdmissionControl,
+    AdmissionDecision,
     QueueKey, //
 };
 use metrics::counter;
@@ -167,7 +167,7 @@
     pub(crate) fn settle(self: &Arc<Self>, key: SlotKey, end: ExchangeEnd, held: Duration) {
         let now = self.clock.monotonic();
         let mut state = self.lock();
-        state.entry(key.endpoint).score.ended();
+        state.entry(key.endpoint).score.record_completion();
         if matches!(end, ExchangeEnd::Answered { .. }) {
             state.holding.observe(held);
         }
@@ -240,7 +240,7 @@
         let now = self.clock.monotonic();
         let mut state = self.lock();
         if demand.avoid.is_none() {
-            state.budget.earn();
+            state.budget.deposit();
         }
         if state.queue.is_empty()
             && let Some(key) = state.take_avoiding(now, demand.avoid)
@@ -256,17 +256,17 @@
         demand: SlotDemand,
         now: Duration,
     ) -> Result<SlotOffer, Refusal> {
-        let rule = AdmissionRule {
-            slots: state.serving,
-            waiting: state.queue.len(),
+        let rule = AdmissionControl {
+            slot_count: state.serving,
+            queue_length: state.queue.len(),
             service_time: state.holding.mean(),
         };
-        if rule.slots == 0 && state.shares_awaited(now).is_none() {
+        if rule.slot_count == 0 && state.shares_awaited(now).is_none() {
             return Err(Refusal::NoEndpoint);
         }
         let left = demand.deadline.saturating_sub(now);
-        if rule.slots > 0
-            && let Admission::Refuse { retry_after } = rule.decide(left)
+        if rule.slot_count > 0
+            && let AdmissionDecision::Refuse { retry_after } = rule.decide(left)
         {
             return Err(Refusal::Overloaded { retry_after });
         }
--- a/crates/routing/benches/endpoint_pick.rs
+++ b/crates/routing/benches/endpoint_pick.rs
@@ -18,7 +18,7 @@
 use jasminebend_routing::{
     EndpointScore,
     LatencyEstimate,
-    PickRule, //
+    LoadBalancingPolicy, //
 };
 use rand::{
     RngExt,
@@ -57,7 +57,7 @@
 }
 
 struct SimulatedPool {
-    rule: PickRule,
+    rule: LoadBalancingPolicy,
     rng: SmallRng,
     scores: Vec<EndpointScore>,
     /// By which factor the work takes longer at each endpoint.
@@ -92,9 +92,9 @@
 }
 
 impl SimulatedPool {
-    fn new(rule: PickRule, seed: u64) -> Self {
+    fn new(rule: LoadBalancingPolicy, seed: u64) -> Self {
         let scores = (0..ENDPOINTS).map(|endpoint| match endpoint % 3 {
-            0 => EndpointScore::new().with_distance(DISTANT_ROUND_TRIP),
+            0 => EndpointScore::new().with_round_trip_time(DISTANT_ROUND_TRIP),
             _ => EndpointScore::new(),
         });
         Self {
@@ -131,7 +131,7 @@
         // Round robin depends on the order of the free slots, which `remove` preserves.
         let slot = self.free_slots.remove(index);
         let endpoint = endpoint_of(slot);
-        self.scores[endpoint].started();
+        self.scores[endpoint].record_start();
         let succeeded = endpoint != FAILING_ENDPOINT || self.rng.random_bool(0.1);
         let work_time = match succeeded {
             true => exponential(&mut self.rng, MEAN_WORK_TIME).mul_f64(self.work_factors[endpoint]),
@@ -153,12 +153,12 @@
 
     fn complete(&mut self, slot: usize, latency: Duration, succeeded: bool) {
         let endpoint = endpoint_of(slot);
-        self.scores[endpoint].ended();
+        self.scores[endpoint].record_completion();
         if succeeded {
-            self.scores[endpoint].succeeded(latency);
+            self.scores[endpoint].record_success(latency);
             self.latency.observe(latency);
         } else {
-            self.scores[endpoint].failed();
+            self.scores[endpoint].record_error();
         }
         self.free_slots.push(slot);
     }
@@ -173,7 +173,7 @@
     }
 }
 
-fn simulate(rule: PickRule, load: f64, seed: u64) -> SimulationResult {
+fn simulate(rule: LoadBalancingPolicy, load: f64, seed: u64) -> SimulationResult {
     let mut pool = SimulatedPool::new(rule, seed);
     let mut events = EventQueue::new();
     // The mean work time factor of the endpoints, other than the slow one, is 1.5.
@@ -221,13 +221,25 @@
 
 fn main() {
     let rules = [
-        ("random", PickRule::Random),
-        ("round robin", PickRule::RoundRobin),
-        ("least outstanding", PickRule::LeastOutstanding),
-        ("least cost of 2", PickRule::LeastCost { samples: 2 }),
-        ("least cost of 4", PickRule::LeastCost { samples: 4 }),
-        ("least cost of 8", PickRule::LeastCost { samples: 8 }),
-        ("least cost of 16", PickRule::LeastCost { samples: 16 }),
+        ("random", LoadBalancingPolicy::Random),
+        ("round robin", LoadBalancingPolicy::RoundRobin),
+        ("least outstanding", LoadBalancingPolicy::LeastOutstanding),
+        (
+            "least cost of 2",
+            LoadBalancingPolicy::LeastCost { samples: 2 },
+        ),
+        (
+            "least cost of 4",
+            LoadBalancingPolicy::LeastCost { samples: 4 },
+        ),
+        (
+            "least cost of 8",
+            LoadBalancingPolicy::LeastCost { samples: 8 },
+        ),
+        (
+            "least cost of 16",
+            LoadBalancingPolicy::LeastCost { samples: 16 },
+        ),
     ];
     println!(
         "{} seeds; p50 and p99 as ratios to random; error rate",
@@ -236,7 +248,7 @@
     for load in [0.3, 0.6, 0.8] {
         println!("load {load}:");
         let baseline: Vec<_> = SEEDS
-            .map(|seed| simulate(PickRule::Random, load, seed))
+            .map(|seed| simulate(LoadBalancingPolicy::Random, load, seed))
             .collect();
         for (name, rule) in rules {
             let results: Vec<_> = SEEDS.map(|seed| simulate(rule, load, seed)).collect();
--- a/crates/routing/benches/queue_order.rs
+++ b/crates/routing/benches/queue_order.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use jasminebend_routing::{
-    Admission,
-    AdmissionRule,
+    AdmissionControl,
+    AdmissionDecision,
     LatencyEstimate,
     QueueOrder,
     RequestQueue, //
@@ -104,12 +104,12 @@
             self.free_slots -= 1;
             return self.send(now, request);
         }
-        let rule = AdmissionRule {
-            slots: SLOTS,
-            waiting: self.queue.len(),
+        let rule = AdmissionControl {
+            slot_count: SLOTS,
+            queue_length: self.queue.len(),
             service_time: self.service_time.mean(),
         };
-        let admitted = !self.policy.refuses || rule.decide(target) == Admission::Queue;
+        let admitted = !self.policy.refuses || rule.decide(target) == AdmissionDecision::Queue;
         if !admitted || self.queue.push(request, now, request.deadline).is_err() {
             self.refused += 1;
         }
@@ -189,12 +189,12 @@
         policy("adaptive LIFO, refusal", QueueOrder::AdaptiveLifo, true),
         policy(
             "earliest deadline, no refusal",
-            QueueOrder::EarliestDeadline,
+            QueueOrder::EarliestDeadlineFirst,
             false,
         ),
         policy(
             "earliest deadline, refusal",
-            QueueOrder::EarliestDeadline,
+            QueueOrder::EarliestDeadlineFirst,
             true,
         ),
     ];
--- a/crates/routing/benches/retry_and_hedge.rs
+++ b/crates/routing/benches/retry_and_hedge.rs
@@ -49,7 +49,7 @@
     let mut budget = RetryBudget::new(0.1, 10.0);
     let (mut attempts, mut succeeded) = (0_u32, 0_u32);
     for _ in 0..REQUESTS {
-        budget.earn();
+        budget.deposit();
         for attempt in 1..=MAX_ATTEMPTS {
             attempts += 1;
             if !rng.random_bool(failure_rate) {
@@ -58,7 +58,7 @@
             }
             let may_retry = match limit {
                 AttemptLimit::SingleAttempt => false,
-                AttemptLimit::Budget => attempt < MAX_ATTEMPTS && budget.spend(),
+                AttemptLimit::Budget => attempt < MAX_ATTEMPTS && budget.try_withdraw(),
                 AttemptLimit::Unbounded => true,
             };
             if !may_retry {
@@ -92,13 +92,13 @@
     let mut attempts = REQUESTS;
     let mut latencies = Vec::with_capacity(REQUESTS);
     for _ in 0..REQUESTS {
-        budget.earn();
+        budget.deposit();
         let mut latency = response_time(&mut rng);
         let hedge_delay = estimate.quantile();
         let is_due = estimate.samples() >= MIN_HEDGE_SAMPLES && latency > hedge_delay;
         let is_hedged = match limit {
             AttemptLimit::SingleAttempt => false,
-            AttemptLimit::Budget => is_due && budget.spend(),
+            AttemptLimit::Budget => is_due && budget.try_withdraw(),
             AttemptLimit::Unbounded => is_due,
         };
         if is_hedged {
--- a/crates/routing/src/admission_rule.rs
+++ b/crates/routing/src/admission_control.rs
@@ -4,7 +4,7 @@
 
 /// Decision on a request that finds no free slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Admission {
+pub enum AdmissionDecision {
     /// Queue the request: it is expected to meet its target.
     Queue,
     /// Reject the request.
@@ -16,20 +16,20 @@
 
 /// Admission control based on the current load and the mean service time.
 #[derive(Clone, Copy, Debug)]
-pub struct AdmissionRule {
+pub struct AdmissionControl {
     /// Number of slots, busy ones included, that this daemon can send requests to.
-    pub slots: usize,
+    pub slot_count: usize,
     /// Number of requests in the queue.
-    pub waiting: usize,
+    pub queue_length: usize,
     /// Mean time for which a request occupies a slot.
     pub service_time: Duration,
 }
 
-impl AdmissionRule {
+impl AdmissionControl {
     /// Returns the expected time in the queue for one more request.
     pub fn expected_wait(&self) -> Duration {
-        let queue_position = u32::try_from(self.waiting + 1).unwrap_or(u32::MAX);
-        let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
+        let queue_position = u32::try_from(self.queue_length + 1).unwrap_or(u32::MAX);
+        let slots = u32::try_from(self.slot_count.max(1)).unwrap_or(u32::MAX);
         self.service_time.saturating_mul(queue_position) / slots
     }
 
@@ -38,11 +38,11 @@
     /// A request that is expected to miss its target is rejected at once: it would only occupy a
     /// slot that another request could use to meet its own target. Without slots, every request is
     /// rejected.
-    pub fn decide(&self, left: Duration) -> Admission {
+    pub fn decide(&self, left: Duration) -> AdmissionDecision {
         let wait = self.expected_wait();
-        if self.slots > 0 && wait + self.service_time <= left {
-            return Admission::Queue;
+        if self.slot_count > 0 && wait + self.service_time <= left {
+            return AdmissionDecision::Queue;
         }
-        Admission::Refuse { retry_after: wait }
+        AdmissionDecision::Refuse { retry_after: wait }
     }
 }
--- a/crates/routing/src/endpoint_score.rs
+++ b/crates/routing/src/endpoint_score.rs
@@ -26,23 +26,23 @@
     }
 
     /// Sets the network round-trip time to the endpoint's failure domain.
-    pub fn with_distance(mut self, round_trip: Duration) -> Self {
+    pub fn with_round_trip_time(mut self, round_trip: Duration) -> Self {
         self.round_trip_secs = round_trip.as_secs_f64();
         self
     }
 
     /// Records that a request was sent to the endpoint.
-    pub fn started(&mut self) {
+    pub fn record_start(&mut self) {
         self.outstanding = self.outstanding.saturating_add(1);
     }
 
     /// Records that a request to the endpoint is over, whatever its outcome.
-    pub fn ended(&mut self) {
+    pub fn record_completion(&mut self) {
         self.outstanding = self.outstanding.saturating_sub(1);
     }
 
     /// Records a successful response and its latency.
-    pub fn succeeded(&mut self, latency: Duration) {
+    pub fn record_success(&mut self, latency: Duration) {
         self.error_rate -= ERROR_RATE_EWMA_WEIGHT * self.error_rate;
         let secs = latency.as_secs_f64();
         if self.samples == 0 {
@@ -56,7 +56,7 @@
     ///
     /// The latency of an error is ignored: otherwise an endpoint that fails immediately would look
     /// like the fastest one and attract all requests.
-    pub fn failed(&mut self) {
+    pub fn record_error(&mut self) {
         self.error_rate += ERROR_RATE_EWMA_WEIGHT * (1.0 - self.error_rate);
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -4,12 +4,12 @@
 //! This crate does no I/O and reads no clock: callers pass the current time and the random number
 //! generator.
 
-mod admission_rule;
+mod admission_control;
+mod endpoint_backoff;
 mod endpoint_score;
-mod hold_backoff;
 mod latency_estimate;
+mod load_balancing_policy;
 mod normalize_path;
-mod pick_rule;
 mod request_queue;
 mod retry_budget;
 mod route_entry;
@@ -18,16 +18,16 @@
 mod slot_share;
 
 pub use self::{
-    admission_rule::{
-        Admission,
-        AdmissionRule, //
+    admission_control::{
+        AdmissionControl,
+        AdmissionDecision, //
     },
+    endpoint_backoff::EndpointBackoff,
     endpoint_score::EndpointScore,
-    hold_backoff::HoldBackoff,
     latency_estimate::LatencyEstimate,
-    pick_rule::{
-        PickCandidate,
-        PickRule, //
+    load_balancing_policy::{
+        CandidateScores,
+        LoadBalancingPolicy, //
     },
     request_queue::{
         QueueKey,
--- a/crates/routing/src/pick_rule.rs
+++ b/crates/routing/src/load_balancing_policy.rs
@@ -9,16 +9,16 @@
 
 use crate::EndpointScore;
 
-/// One in this many [`PickRule::LeastCost`] picks, on average, is uniformly random.
+/// One in this many [`LoadBalancingPolicy::LeastCost`] picks, on average, is uniformly random.
 const PICKS_PER_EXPLORATION: u32 = 50;
 
 /// List of the free slots that a request may take, each with the score of its endpoint.
-pub trait PickCandidate {
+pub trait CandidateScores {
     /// Returns the score of the endpoint whose slot is at `index` in the list.
     fn score(&self, index: usize) -> &EndpointScore;
 }
 
-impl PickCandidate for [EndpointScore] {
+impl CandidateScores for [EndpointScore] {
     fn score(&self, index: usize) -> &EndpointScore {
         &self[index]
     }
@@ -26,7 +26,7 @@
 
 /// Load balancing policy by which one of the free slots is picked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PickRule {
+pub enum LoadBalancingPolicy {
     /// Picks uniformly at random.
     Random,
     /// Picks the candidates in turn.
@@ -44,7 +44,7 @@
     },
 }
 
-impl PickRule {
+impl LoadBalancingPolicy {
     /// Returns the index of the picked candidate, or `None` if `count` is zero.
     ///
     /// `count` is the number of candidates, `previous_picks` the number of picks made before this
@@ -59,7 +59,7 @@
         rng: &mut Generator,
     ) -> Option<usize>
     where
-        Candidates: PickCandidate + ?Sized,
+        Candidates: CandidateScores + ?Sized,
         Generator: Rng + ?Sized,
     {
         if count == 0 {
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -11,7 +11,7 @@
     /// Earliest arrival first.
     Fifo,
     /// Earliest deadline first.
-    EarliestDeadline,
+    EarliestDeadlineFirst,
     /// Earliest arrival first; latest arrival first while the request that arrived earliest has
     /// waited for more than half of the time between its arrival and its deadline.
     AdaptiveLifo,
@@ -107,7 +107,7 @@
 
     fn sort_time(&self, arrival: Duration, deadline: Duration) -> Duration {
         match self.order {
-            QueueOrder::EarliestDeadline => deadline,
+            QueueOrder::EarliestDeadlineFirst => deadline,
             QueueOrder::Fifo | QueueOrder::AdaptiveLifo => arrival,
         }
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -23,12 +23,12 @@
     }
 
     /// Adds the tokens for a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
     /// Takes a token for a further attempt; returns `false` if less than one token is left.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -19,7 +19,7 @@
     /// Service whose endpoints answer the requests of the class.
     pub service: ServiceName,
     /// Time from its arrival within which a request should be answered.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Determines which requests are idempotent, that is, may be executed more than once.
     pub idempotency: IdempotencyRule,
     /// Host that the route matches, in lower case; `None` matches every host.
@@ -35,14 +35,14 @@
         if class.kind != ClassKind::Service {
             return None;
         }
-        let ClassTarget::AnswerWithin(target) = class.target else {
+        let ClassTarget::AnswerWithin(latency_target) = class.target else {
             return None;
         };
         let route = class.route.as_ref()?;
         Some(Self {
             class: class.name.clone(),
             service: class.service.clone()?,
-            target,
+            latency_target,
             idempotency: class.idempotency,
             host: route.host.as_ref().map(|host| host.to_ascii_lowercase()),
             path_prefix: route.path_prefix.clone(),
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -33,7 +33,7 @@
 
     /// Returns the key of the route that matches a request, or `None` if none does; `host` must not
     /// contain a port.
-    pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
         let path = normalize_path(path);
         let index = self
             .entries
--- a/crates/routing/tests/admission_and_queueing.rs
+++ b/crates/routing/tests/admission_and_queueing.rs
@@ -5,8 +5,8 @@
 
 use arbtest::arbtest;
 use jasminebend_routing::{
-    Admission,
-    AdmissionRule,
+    AdmissionControl,
+    AdmissionDecision,
     QueueOrder,
     RequestQueue,
     RetryBudget, //
@@ -28,7 +28,10 @@
 #[test]
 fn queue_orders_return_requests_as_documented() {
     assert_eq!(pop_order(QueueOrder::Fifo, ms(5)), [1, 2, 3]);
-    assert_eq!(pop_order(QueueOrder::EarliestDeadline, ms(5)), [2, 3, 1]);
+    assert_eq!(
+        pop_order(QueueOrder::EarliestDeadlineFirst, ms(5)),
+        [2, 3, 1]
+    );
     assert_eq!(pop_order(QueueOrder::AdaptiveLifo, ms(5)), [1, 2, 3]);
     assert_eq!(pop_order(QueueOrder::AdaptiveLifo, ms(300)), [3, 2, 1]);
 }
@@ -38,7 +41,7 @@
 #[test]
 fn queue_is_bounded_and_returns_earliest_deadline_first() {
     arbtest(|source| {
-        let mut queue = RequestQueue::new(QueueOrder::EarliestDeadline, 8);
+        let mut queue = RequestQueue::new(QueueOrder::EarliestDeadlineFirst, 8);
         let mut model: Vec<(u64, u32)> = Vec::new();
         let mut keys = Vec::new();
         for item in 0..source.int_in_range(0..=40)? {
@@ -71,21 +74,21 @@
 
 #[test]
 fn request_that_would_miss_its_target_is_refused_with_retry_after() {
-    let rule = |slots, waiting| AdmissionRule {
-        slots,
-        waiting,
+    let admission = |slot_count, queue_length| AdmissionControl {
+        slot_count,
+        queue_length,
         service_time: ms(20),
     };
-    assert_eq!(rule(10, 0).decide(ms(22)), Admission::Queue);
-    assert_eq!(rule(10, 40).decide(ms(102)), Admission::Queue);
+    assert_eq!(admission(10, 0).decide(ms(22)), AdmissionDecision::Queue);
+    assert_eq!(admission(10, 40).decide(ms(102)), AdmissionDecision::Queue);
     let retry_after = ms(82);
     assert_eq!(
-        rule(10, 40).decide(ms(101)),
-        Admission::Refuse { retry_after }
+        admission(10, 40).decide(ms(101)),
+        AdmissionDecision::Refuse { retry_after }
     );
     assert!(matches!(
-        rule(0, 0).decide(ms(1000)),
-        Admission::Refuse { .. }
+        admission(0, 0).decide(ms(1000)),
+        AdmissionDecision::Refuse { .. }
     ));
 }
 
@@ -96,11 +99,11 @@
     let mut budget = RetryBudget::new(0.1, 10.0);
     let spent: u32 = (0..10_000)
         .map(|_| {
-            budget.earn();
-            u32::from(budget.spend())
+            budget.deposit();
+            u32::from(budget.try_withdraw())
         })
         .sum();
     assert!((990..=1011).contains(&spent), "{spent}");
-    (0..10_000).for_each(|_| budget.earn());
-    assert_eq!((0..100).filter(|_| budget.spend()).count(), 10);
+    (0..10_000).for_each(|_| budget.deposit());
+    assert_eq!((0..100).filter(|_| budget.try_withdraw()).count(), 10);
 }
--- a/crates/routing/tests/endpoint_choice.rs
+++ b/crates/routing/tests/endpoint_choice.rs
@@ -4,10 +4,10 @@
 use std::time::Duration;
 
 use jasminebend_routing::{
+    EndpointBackoff,
     EndpointScore,
-    HoldBackoff,
     LatencyEstimate,
-    PickRule, //
+    LoadBalancingPolicy, //
 };
 use rand::{
     SeedableRng,
@@ -20,12 +20,12 @@
 /// Returns the score of an endpoint with one successful response.
 fn score_with_latency(latency: Duration) -> EndpointScore {
     let mut score = EndpointScore::new();
-    score.succeeded(latency);
+    score.record_success(latency);
     score
 }
 
 /// Returns how often each endpoint is picked in 1000 picks.
-fn pick_counts(scores: &[EndpointScore], rule: PickRule) -> Vec<usize> {
+fn pick_counts(scores: &[EndpointScore], rule: LoadBalancingPolicy) -> Vec<usize> {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut counts = vec![0; scores.len()];
     for previous_picks in 0..1000 {
@@ -40,14 +40,14 @@
 #[test]
 fn fast_failing_endpoint_is_rarely_picked() {
     let mut failing = score_with_latency(Duration::from_millis(1));
-    (0..20).for_each(|_| failing.failed());
+    (0..20).for_each(|_| failing.record_error());
     let scores = [
         score_with_latency(MEAN_LATENCY),
         failing,
         score_with_latency(MEAN_LATENCY),
         score_with_latency(MEAN_LATENCY),
     ];
-    let counts = pick_counts(&scores, PickRule::LeastCost { samples: 8 });
+    let counts = pick_counts(&scores, LoadBalancingPolicy::LeastCost { samples: 8 });
     assert!(counts[1] < 20, "{counts:?}");
     // A few requests must still go to it, or its recovery would never be noticed.
     assert!(counts[1] > 0, "{counts:?}");
@@ -56,15 +56,15 @@
 #[test]
 fn slow_busy_and_distant_endpoints_get_fewer_requests() {
     let mut busy = score_with_latency(MEAN_LATENCY);
-    (0..3).for_each(|_| busy.started());
-    let distant = score_with_latency(MEAN_LATENCY).with_distance(MEAN_LATENCY);
+    (0..3).for_each(|_| busy.record_start());
+    let distant = score_with_latency(MEAN_LATENCY).with_round_trip_time(MEAN_LATENCY);
     let scores = [
         score_with_latency(MEAN_LATENCY),
         score_with_latency(5 * MEAN_LATENCY),
         busy,
         distant,
     ];
-    let counts = pick_counts(&scores, PickRule::LeastCost { samples: 8 });
+    let counts = pick_counts(&scores, LoadBalancingPolicy::LeastCost { samples: 8 });
     assert!(
         counts[1..].iter().all(|count| *count < counts[0] / 2),
         "{counts:?}"
@@ -86,9 +86,9 @@
 #[test]
 fn nothing_is_picked_without_a_free_slot() {
     for rule in [
-        PickRule::Random,
-        PickRule::RoundRobin,
-        PickRule::LeastOutstanding,
+        LoadBalancingPolicy::Random,
+        LoadBalancingPolicy::RoundRobin,
+        LoadBalancingPolicy::LeastOutstanding,
     ] {
         let no_scores: &[EndpointScore] = &[];
         assert_eq!(
@@ -115,12 +115,12 @@
 
 #[test]
 fn backoff_doubles_until_a_success_and_lasts_for_the_requested_minimum() {
-    let mut backoff = HoldBackoff::new();
-    backoff.hold(Duration::ZERO, SECOND, Duration::ZERO);
-    assert!(backoff.holds(Duration::from_millis(999)) && !backoff.holds(SECOND));
-    backoff.hold(SECOND, SECOND, Duration::ZERO);
-    assert!(backoff.holds(2 * SECOND) && !backoff.holds(3 * SECOND));
-    backoff.succeeded();
-    backoff.hold(3 * SECOND, SECOND, 9 * SECOND);
-    assert!(backoff.holds(11 * SECOND) && !backoff.holds(12 * SECOND));
+    let mut backoff = EndpointBackoff::new();
+    backoff.back_off(Duration::ZERO, SECOND, Duration::ZERO);
+    assert!(backoff.is_active(Duration::from_millis(999)) && !backoff.is_active(SECOND));
+    backoff.back_off(SECOND, SECOND, Duration::ZERO);
+    assert!(backoff.is_active(2 * SECOND) && !backoff.is_active(3 * SECOND));
+    backoff.record_success();
+    backoff.back_off(3 * SECOND, SECOND, 9 * SECOND);
+    assert!(backoff.is_active(11 * SECOND) && !backoff.is_active(12 * SECOND));
 }
--- a/crates/routing/tests/route_table.rs
+++ b/crates/routing/tests/route_table.rs
@@ -47,7 +47,7 @@
         ("other", "/%71uote%2F%zz%", "quote"),
         ("other", "/%2Fquote", "any"),
     ] {
-        let key = table.find(host, path).unwrap();
+        let key = table.find_route(host, path).unwrap();
         assert_eq!(
             table.entry(key).unwrap().class.as_str(),
             expected,
@@ -65,5 +65,5 @@
         classes: vec![batch],
         ..Configuration::default()
     });
-    assert!(table.find("shop", "/").is_none());
+    assert!(table.find_route("shop", "/").is_none());
 }
