--- a/crates/placement/benches/decisions/simulated_cluster.rs
+++ b/crates/placement/benches/decisions/simulated_cluster.rs
@@ -12,13 +12,13 @@
 use jasminebend_placement::{
     ClassKey,
     InterferenceModel,
-    LadderAction,
-    LadderReading,
     LatestStart,
-    LoadLadder,
+    OverloadAction,
+    OverloadController,
+    OverloadReading,
     PlacementPolicy,
     ResourceUsageModel,
-    ServiceReading,
+    ServiceMeasurement,
     TaskDemand,
     WorkerCondition,
     WorkerKey,
@@ -79,7 +79,7 @@
     keys: Vec<WorkerKey>,
     interference: InterferenceModel,
     usage: ResourceUsageModel,
-    ladders: Vec<LoadLadder>,
+    controllers: Vec<OverloadController>,
     tasks: Vec<SimulatedTask>,
     /// The indices of the tasks on each worker.
     tasks_on_worker: Vec<Vec<usize>>,
@@ -125,7 +125,7 @@
         }
         Self {
             policy: PlacementPolicy::new().with_interference(rules.learns_interference),
-            ladders: vec![LoadLadder::new(); keys.len()],
+            controllers: vec![OverloadController::new(); keys.len()],
             tasks_on_worker: vec![Vec::new(); keys.len()],
             tasks: load.tasks.clone(),
             load,
@@ -169,8 +169,9 @@
     fn update_domain(&mut self, time: f64) {
         let domain = DomainName::from("domain-0");
         let takes_work = !CLOSED_SECONDS.contains(&time);
-        self.pool.set_domain(&domain, takes_work, duration(time));
-        self.pool.count_time(duration(time));
+        self.pool
+            .set_domain_open(&domain, takes_work, duration(time));
+        self.pool.refill_start_tokens(duration(time));
         if takes_work {
             return;
         }
@@ -242,9 +243,9 @@
             return task.declared;
         }
         let size = self.usage.reservation(task.class, task.declared);
-        match self.pool.could_hold(size) {
+        match self.pool.any_capacity_fits(size) {
             true => size,
-            false => self.pool.largest()[0],
+            false => self.pool.maximal_capacities()[0],
         }
     }
 
@@ -252,14 +253,14 @@
         let fits = |key: &WorkerKey| {
             let worker = self.pool.worker(*key);
             worker.condition == WorkerCondition::Open
-                && size.fits_in(worker.room())
-                && self.pool.domain_takes_work(&worker.domain)
+                && size.fits_in(worker.free_capacity())
+                && self.pool.is_domain_open(&worker.domain)
         };
         let keys = self.keys.iter().copied();
         match self.rules.placement {
             PlacementRule::FirstFit => keys.clone().find(fits),
             PlacementRule::LeastLoaded => keys.filter(fits).max_by_key(|key| {
-                let free = self.pool.worker(*key).room();
+                let free = self.pool.worker(*key).free_capacity();
                 (free.cpu_millis, free.memory_mib)
             }),
             PlacementRule::Policy => {
@@ -270,7 +271,7 @@
                     kind: task.kind,
                     size,
                     failed_on: &[],
-                    spread: &[],
+                    job_tasks_by_domain: &[],
                     urgent: start.laxity_ms(duration(time)) < URGENT_LAXITY_MS,
                 };
                 let now = duration(time);
@@ -288,7 +289,7 @@
         started.reserved = size;
         started.speed = 1.0;
         self.pool.reserve(worker, started.class, size);
-        self.pool.note_start(worker);
+        self.pool.record_start(worker);
         self.tasks_on_worker[worker_index].push(task);
     }
 
@@ -434,7 +435,7 @@
     }
 
     fn receive_readings(&mut self, time: f64) {
-        self.interference.forget(duration(time));
+        self.interference.decay(duration(time));
         let arrived: Vec<LateReading> = self
             .readings
             .extract_if(.., |reading| reading.arrival <= time)
@@ -458,11 +459,11 @@
             true => self.predict(worker_index),
             false => (0.0, 0.0),
         };
-        let worker_reading = LadderReading {
-            measured: duration(reading.measured_at),
+        let worker_reading = OverloadReading {
+            measured_at: duration(reading.measured_at),
             latency_ratio: worst,
             predicted_ratio: predicted,
-            lifted_ratio: unthrottled,
+            unthrottled_ratio: unthrottled,
             memory_share: reading.memory_share,
         };
         match self.rules.overload {
@@ -470,7 +471,8 @@
             OverloadRule::EvictAtOnce if worst > 1.0 => self.evict_one(worker_index, true),
             OverloadRule::EvictAtOnce => {}
             OverloadRule::Controller => {
-                let action = self.ladders[worker_index].observe(duration(time), &worker_reading);
+                let action =
+                    self.controllers[worker_index].observe(duration(time), &worker_reading);
                 self.apply_action(worker_index, action);
             }
         }
@@ -478,12 +480,17 @@
 
     fn predict(&self, worker_index: usize) -> (f64, f64) {
         let worker = self.pool.worker(self.keys[worker_index]);
-        let task_counts = worker.company.iter();
+        let task_counts = worker.task_counts.iter();
         let unthrottled: Vec<(ClassKey, f64)> = task_counts
             .map(|(class, count)| (*class, f64::from(*count)))
             .collect();
-        let now = self.interference.predict(&self.task_counts(worker_index));
-        (now, self.interference.predict_peak(&unthrottled))
+        let now = self
+            .interference
+            .predict_latency_ratio(&self.task_counts(worker_index));
+        (
+            now,
+            self.interference.predict_peak_latency_ratio(&unthrottled),
+        )
     }
 
     fn learn_usage(&mut self, task: usize, used: ResourceAmount, worker: WorkerKey) {
@@ -500,7 +507,8 @@
             return;
         }
         let reserved = measured_task.reserved.max(used);
-        self.pool.recount(worker, measured_task.reserved, reserved);
+        self.pool
+            .replace_reservation(worker, measured_task.reserved, reserved);
         measured_task.reserved = reserved;
     }
 
@@ -514,12 +522,12 @@
         if !self.rules.learns_interference {
             return;
         }
-        self.interference.observe(&ServiceReading {
-            measured: duration(reading.measured_at),
+        self.interference.observe(&ServiceMeasurement {
+            measured_at: duration(reading.measured_at),
             service: class,
             latency_p99: Duration::from_secs_f64(0.1 * ratio),
             load: level,
-            company: &reading.task_counts,
+            task_counts: &reading.task_counts,
         });
         for (other, _) in reading
             .task_counts
@@ -541,12 +549,14 @@
         }
     }
 
-    fn apply_action(&mut self, worker_index: usize, action: LadderAction) {
+    fn apply_action(&mut self, worker_index: usize, action: OverloadAction) {
         match action {
-            LadderAction::Hold => {}
-            LadderAction::Throttle(speed) => self.throttle(worker_index, f64::from(speed) / 1000.0),
-            LadderAction::Evict => self.evict_one(worker_index, true),
-            LadderAction::Stop => self.evict_one(worker_index, false),
+            OverloadAction::NoChange => {}
+            OverloadAction::Throttle(speed) => {
+                self.throttle(worker_index, f64::from(speed) / 1000.0)
+            }
+            OverloadAction::Evict => self.evict_one(worker_index, true),
+            OverloadAction::Stop => self.evict_one(worker_index, false),
         }
     }
 
@@ -559,16 +569,23 @@
         let overloaded = cpu as f64 > worker.capacity.cpu_millis as f64 * 0.95;
         for task in &self.tasks_on_worker[worker_index] {
             let task = &mut self.tasks[*task];
-            let blamed = self.interference.blames(worker, task.class, overloaded);
+            let blamed = self
+                .interference
+                .is_likely_cause(worker, task.class, overloaded);
             if task.kind == ClassKind::Batch && (blamed || task.speed < 1.0) {
                 task.speed = speed;
             }
         }
-        self.pool.set_pressed(self.keys[worker_index], speed < 1.0);
+        self.pool
+            .set_services_slowed(self.keys[worker_index], speed < 1.0);
     }
 
     fn evict_one(&mut self, worker_index: usize, checkpoints: bool) {
-        let task_counts = self.pool.worker(self.keys[worker_index]).company.clone();
+        let task_counts = self
+            .pool
+            .worker(self.keys[worker_index])
+            .task_counts
+            .clone();
         let effect = |class: ClassKey| -> f64 {
             let services = task_counts
                 .iter()
@@ -617,12 +634,12 @@
 fn teach_wrong_estimate(interference: &mut InterferenceModel) {
     for service in 0..SERVICE_CLASS_COUNT {
         for batch_tasks in [0.0, 1.0].repeat(20) {
-            interference.observe(&ServiceReading {
-                measured: Duration::ZERO,
+            interference.observe(&ServiceMeasurement {
+                measured_at: Duration::ZERO,
                 service: ClassKey(service),
                 latency_p99: Duration::from_secs_f64(0.05 * (1.0 + 1.5 * batch_tasks)),
                 load: 1.0,
-                company: &[(ClassKey(SERVICE_CLASS_COUNT), batch_tasks)],
+                task_counts: &[(ClassKey(SERVICE_CLASS_COUNT), batch_tasks)],
             });
         }
     }
--- a/crates/placement/benches/scale.rs
+++ b/crates/placement/benches/scale.rs
@@ -25,7 +25,7 @@
     LatestStart,
     PlacementPolicy,
     ReadyQueue,
-    ServiceReading,
+    ServiceMeasurement,
     TaskDemand,
     TaskId,
     WorkerCondition,
@@ -114,7 +114,7 @@
             random.random_range(1_000..16_000),
         ),
         failed_on: &[],
-        spread: &[],
+        job_tasks_by_domain: &[],
         urgent: false,
     }
 }
@@ -128,25 +128,25 @@
             let batch = (0..6).map(|_| {
                 random.random_range(SERVICE_CLASS_COUNT..SERVICE_CLASS_COUNT + BATCH_CLASS_COUNT)
             });
-            let mut company: Vec<(ClassKey, f64)> = vec![(service, 1.0)];
-            company.extend(batch.map(|class| (ClassKey(class), 1.0)));
-            (random.random_range(0.2..1.0), company)
+            let mut task_counts: Vec<(ClassKey, f64)> = vec![(service, 1.0)];
+            task_counts.extend(batch.map(|class| (ClassKey(class), 1.0)));
+            (random.random_range(0.2..1.0), task_counts)
         })
         .collect();
     let started = Instant::now();
-    for (load, company) in &readings {
-        let service = company[0].0;
+    for (load, task_counts) in &readings {
+        let service = task_counts[0].0;
         let is_harmful = |class: &ClassKey| (class.0 * 7 + service.0).is_multiple_of(20);
-        let harmful_tasks = company[1..]
+        let harmful_tasks = task_counts[1..]
             .iter()
             .filter(|(class, _)| is_harmful(class))
             .count();
-        model.observe(&ServiceReading {
-            measured: NOW,
+        model.observe(&ServiceMeasurement {
+            measured_at: NOW,
             service,
             latency_p99: Duration::from_secs_f64(0.05 * (0.6 * load * harmful_tasks as f64).exp()),
             load: *load,
-            company,
+            task_counts,
         });
     }
     started.elapsed().as_secs_f64() * 1e6 / f64::from(READING_COUNT)
--- a/crates/placement/src/class_registry.rs
+++ b/crates/placement/src/class_registry.rs
@@ -27,13 +27,13 @@
 
     /// Returns the key of a team's class, and assigns one if the class has none. All classes from
     /// the 65,536th on share the key `u16::MAX`.
-    pub fn key(&mut self, team: &TeamName, class: &ClassName) -> ClassKey {
+    pub fn get_or_insert(&mut self, team: &TeamName, class: &ClassName) -> ClassKey {
         let (index, _) = self.classes.insert_full((team.clone(), class.clone()));
         ClassKey(u16::try_from(index).unwrap_or(u16::MAX))
     }
 
     /// Returns the key of a team's class, or `None` if no key was assigned to it.
-    pub fn find(&self, team: &TeamName, class: &ClassName) -> Option<ClassKey> {
+    pub fn get(&self, team: &TeamName, class: &ClassName) -> Option<ClassKey> {
         // The lookup needs an owned pair, because the set's elements are owned.
         let index = self.classes.get_index_of(&(team.clone(), class.clone()))?;
         u16::try_from(index).ok().map(ClassKey)
--- a/crates/placement/src/hold_reason.rs
+++ b/crates/placement/src/hold_reason.rs
@@ -12,9 +12,10 @@
 pub enum HoldReason {
     /// One of the job's tasks failed on several workers.
     #[display(
-        "task {index} failed on {workers} different workers, last with code {code}; fix the job and submit it again"
+        "task {index} failed on {workers} different workers, last with code {code}; mend the job and submit it again"
     )]
-    FailsEverywhere {
+    #[serde(rename = "fails_everywhere")]
+    FailedOnSeveralWorkers {
         /// The index of the task in the job.
         index: u32,
         /// The number of different workers on which the task failed.
--- a/crates/placement/src/interference_model.rs
+++ b/crates/placement/src/interference_model.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    ClassKey, PoolWorker, ServiceReading,
+    ClassKey, PoolWorker, ServiceMeasurement,
     latency_regression::{
         LatencyRegression,
         task_count_weight, //
@@ -93,20 +93,20 @@
     }
 
     /// Returns the ratio of a latency to the service's target, or `None` if no target is set.
-    pub fn target_ratio(&self, service: ClassKey, latency: Duration) -> Option<f64> {
+    pub fn latency_ratio(&self, service: ClassKey, latency: Duration) -> Option<f64> {
         let model = self.service(service)?;
         Some(latency.as_secs_f64() / model.target.as_secs_f64().max(1e-6))
     }
 
     /// Learns from one measurement; ignores it if the service has no target.
-    pub fn observe(&mut self, reading: &ServiceReading<'_>) {
-        let ratio = self.target_ratio(reading.service, reading.latency_p99);
+    pub fn observe(&mut self, reading: &ServiceMeasurement<'_>) {
+        let ratio = self.latency_ratio(reading.service, reading.latency_p99);
         let (Some(ratio), Some(model)) = (ratio, self.service_mut(reading.service)) else {
             return;
         };
         let load = reading.load.clamp(0.0, MAX_LOAD);
-        model.load.record(reading.measured, load);
-        let others = reading.company.iter().copied();
+        model.load.record(reading.measured_at, load);
+        let others = reading.task_counts.iter().copied();
         let others: Vec<(ClassKey, f64)> = others
             .filter(|(class, _)| *class != reading.service)
             .collect();
@@ -114,7 +114,7 @@
     }
 
     /// Applies the decay for the time since the last call.
-    pub fn forget(&mut self, now: Duration) {
+    pub fn decay(&mut self, now: Duration) {
         while now.saturating_sub(self.decayed_until) >= DECAY_INTERVAL {
             self.decayed_until += DECAY_INTERVAL;
             for service in self.services.iter_mut().flatten() {
@@ -131,29 +131,29 @@
         })
     }
 
-    /// Predicts the highest ratio of latency to target among the services in `company` at their
+    /// Predicts the highest ratio of latency to target among the services in `task_counts` at their
     /// latest load. This is known sooner than the latency, which is measured late on each worker:
     /// the load of a service's class is taken from the first worker that reports it.
-    pub fn predict(&self, company: &[(ClassKey, f64)]) -> f64 {
-        self.max_latency_ratio(company, LoadTracker::latest)
+    pub fn predict_latency_ratio(&self, task_counts: &[(ClassKey, f64)]) -> f64 {
+        self.max_latency_ratio(task_counts, LoadTracker::latest)
     }
 
     /// Predicts the same ratio at the services' recent peak load, which is likely to recur.
-    pub fn predict_peak(&self, company: &[(ClassKey, f64)]) -> f64 {
-        self.max_latency_ratio(company, LoadTracker::peak)
+    pub fn predict_peak_latency_ratio(&self, task_counts: &[(ClassKey, f64)]) -> f64 {
+        self.max_latency_ratio(task_counts, LoadTracker::peak)
     }
 
     fn max_latency_ratio(
         &self,
-        company: &[(ClassKey, f64)],
+        task_counts: &[(ClassKey, f64)],
         load_of: fn(&LoadTracker) -> f64,
     ) -> f64 {
-        let services = company
+        let services = task_counts
             .iter()
             .filter_map(|(class, _)| Some((*class, self.service(*class)?)));
         let ratios = services.map(|(service, model)| {
             let load = load_of(&model.load);
-            let others = company.iter().filter(|(class, _)| *class != service);
+            let others = task_counts.iter().filter(|(class, _)| *class != service);
             let added = others.map(|(class, tasks)| {
                 model.regression.effect(*class) * load * task_count_weight(*tasks)
             });
@@ -165,7 +165,7 @@
     /// Returns whether a class may slow a service on a worker; an unknown effect counts as one that
     /// may.
     pub fn may_interfere(&self, worker: &PoolWorker, class: ClassKey) -> bool {
-        worker.company.iter().any(|(service, _)| {
+        worker.task_counts.iter().any(|(service, _)| {
             self.service(*service).is_some_and(|model| {
                 !model.regression.has_learned_class(class)
                     || self.effect(*service, class) > NEGLIGIBLE_LOG_EFFECT
@@ -175,15 +175,15 @@
 
     /// Returns whether a class is known to slow a service on a worker.
     pub fn interferes(&self, worker: &PoolWorker, class: ClassKey) -> bool {
-        let mut services = worker.company.iter();
+        let mut services = worker.task_counts.iter();
         services.any(|(service, _)| self.effect(*service, class) > NEGLIGIBLE_LOG_EFFECT)
     }
 
     /// Returns whether batch tasks of a class may be the cause that a worker's services are slow:
     /// the classes known to slow them; if there are none, those whose effect is unknown; otherwise,
     /// on an overloaded worker, whose processors are all in use, every class.
-    pub fn blames(&self, worker: &PoolWorker, class: ClassKey, overloaded: bool) -> bool {
-        let classes = worker.company.iter().map(|(class, _)| *class);
+    pub fn is_likely_cause(&self, worker: &PoolWorker, class: ClassKey, overloaded: bool) -> bool {
+        let classes = worker.task_counts.iter().map(|(class, _)| *class);
         let mut batch = classes.filter(|class| self.service(*class).is_none());
         if overloaded {
             return true;
@@ -197,7 +197,7 @@
     /// Returns how much a task of `class` would slow the services on a worker, as a sum of
     /// logarithms, or `None` if a service would be slowed beyond its target. For a service, returns
     /// how much the worker's present tasks would slow it, and never `None`.
-    pub fn harm(
+    pub fn added_interference(
         &self,
         worker: &PoolWorker,
         class: ClassKey,
@@ -213,7 +213,7 @@
             return None;
         }
         let mut sum = 0.0;
-        for (service, _) in &worker.company {
+        for (service, _) in &worker.task_counts {
             if self.service(*service).is_some() {
                 let present = self.total_effect(worker, *service, None);
                 let after = self.total_effect(worker, *service, Some(class));
@@ -227,11 +227,11 @@
     /// unknown. Admitting one such task at a time shows soonest which one slows the service, and
     /// does the least damage.
     fn is_second_unknown_class(&self, worker: &PoolWorker, class: ClassKey) -> bool {
-        let services = worker.company.iter();
+        let services = worker.task_counts.iter();
         let mut models = services.filter_map(|(service, _)| self.service(*service));
         models.any(|model| {
             let is_unknown = |class: ClassKey| !model.regression.has_learned_class(class);
-            let batch = worker.company.iter().map(|(other, _)| *other);
+            let batch = worker.task_counts.iter().map(|(other, _)| *other);
             let mut batch = batch.filter(|other| self.service(*other).is_none());
             is_unknown(class) && batch.any(is_unknown)
         })
@@ -240,7 +240,10 @@
     /// Returns the sum of the effects of all tasks on a worker on a service, with one additional
     /// task of the class `added`.
     fn total_effect(&self, worker: &PoolWorker, service: ClassKey, added: Option<ClassKey>) -> f64 {
-        let others = worker.company.iter().filter(|(class, _)| *class != service);
+        let others = worker
+            .task_counts
+            .iter()
+            .filter(|(class, _)| *class != service);
         let present = others.map(|(class, count)| {
             let more = f64::from(u8::from(added == Some(*class)));
             self.effect(service, *class) * task_count_weight(f64::from(*count) + more)
--- a/crates/placement/src/job_ledger.rs
+++ b/crates/placement/src/job_ledger.rs
@@ -11,7 +11,7 @@
     JobRecord,
     JobTransition,
     LedgerError,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     TaskRecord,
     TaskState, //
@@ -84,7 +84,7 @@
             JobTransition::Cancelled { job } => self.cancel(*job),
             JobTransition::Closed { job } => self.close(*job),
             JobTransition::Held { job, reason } => {
-                self.job_mut(*job)?.held = Some(reason.clone());
+                self.job_mut(*job)?.hold_reason = Some(reason.clone());
                 Ok(())
             }
         }
@@ -118,7 +118,7 @@
         &mut self,
         task: TaskId,
         attempt: u32,
-        end: &TaskEnd,
+        end: &RunOutcome,
         ran_ms: u64,
     ) -> Result<(), LedgerError> {
         let record = self.job_mut(task.job)?;
@@ -148,7 +148,7 @@
     }
 
     fn close(&mut self, job: JobId) -> Result<(), LedgerError> {
-        if !self.job_mut(job)?.ended() {
+        if !self.job_mut(job)?.is_complete() {
             return Err(LedgerError::OpenTasks { job });
         }
         self.jobs.swap_remove(&job);
--- a/crates/placement/src/job_record.rs
+++ b/crates/placement/src/job_record.rs
@@ -25,7 +25,8 @@
     /// Whether the job was cancelled.
     pub cancelled: bool,
     /// Why the job is held; `None` if it is not.
-    pub held: Option<HoldReason>,
+    #[serde(rename = "held")]
+    pub hold_reason: Option<HoldReason>,
     /// The job's tasks, in the order of their index.
     pub tasks: Vec<TaskRecord>,
     /// The number of tasks that are neither finished nor cancelled.
@@ -43,18 +44,18 @@
             kind,
             submitted_ms,
             cancelled: false,
-            held: None,
+            hold_reason: None,
             tasks,
         }
     }
 
     /// Returns whether every task is finished or cancelled, so that none will run again.
-    pub fn ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.open_tasks == 0
     }
 
     /// Counts the tasks whose state passes a test.
-    pub fn count<Test>(&self, test: Test) -> u32
+    pub fn count_tasks<Test>(&self, test: Test) -> u32
     where
         Test: Fn(&TaskState) -> bool,
     {
--- a/crates/placement/src/job_transition.rs
+++ b/crates/placement/src/job_transition.rs
@@ -14,7 +14,7 @@
     HoldReason,
     JobId,
     JobSpec,
-    TaskEnd,
+    RunOutcome,
     TaskId, //
 };
 
@@ -50,7 +50,7 @@
         /// The number of the run.
         attempt: u32,
         /// How the run ended.
-        end: TaskEnd,
+        end: RunOutcome,
         /// How long the run took, as far as the shard's owner knows, in milliseconds.
         ran_ms: u64,
     },
--- a/crates/placement/src/latency_regression.rs
+++ b/crates/placement/src/latency_regression.rs
@@ -53,10 +53,10 @@
         regression
     }
 
-    /// Learns from a measured logarithm of latency over target. `company` holds the other classes
-    /// on the worker, each with its number of tasks as if at full speed.
-    pub(crate) fn learn(&mut self, load: f64, company: &[(ClassKey, f64)], measured: f64) {
-        let features = self.feature_vector(load, company);
+    /// Learns from a measured logarithm of latency over target. `task_counts` holds the other
+    /// classes on the worker, each with its number of tasks as if at full speed.
+    pub(crate) fn learn(&mut self, load: f64, task_counts: &[(ClassKey, f64)], measured: f64) {
+        let features = self.feature_vector(load, task_counts);
         let predicted: f64 = dot(&self.means, &features);
         let prediction_error = (measured - predicted).clamp(-MAX_LOG_ERROR, MAX_LOG_ERROR);
         let feature_covariances: Vec<f64> = self
@@ -112,8 +112,8 @@
             .is_some_and(|index| self.has_learned_feature(index))
     }
 
-    /// Applies one step of decay, which keeps the share `kept_share`: the effects of classes that are
-    /// no longer measured approach zero, and variances approach the prior variance.
+    /// Applies one step of decay, which keeps the share `kept_share`: the effects of classes that
+    /// are no longer measured approach zero, and variances approach the prior variance.
     pub(crate) fn decay(&mut self, kept_share: f64) {
         for (index, row) in self.covariance.iter_mut().enumerate() {
             row.iter_mut().for_each(|cell| *cell *= kept_share);
@@ -124,9 +124,9 @@
         }
     }
 
-    fn feature_vector(&mut self, load: f64, company: &[(ClassKey, f64)]) -> Vec<(usize, f64)> {
+    fn feature_vector(&mut self, load: f64, task_counts: &[(ClassKey, f64)]) -> Vec<(usize, f64)> {
         let mut features = vec![(0, 1.0), (1, load)];
-        for (class, tasks) in company {
+        for (class, tasks) in task_counts {
             let feature = self.feature_or_insert(*class);
             features.push((feature, load * task_count_weight(*tasks)));
         }
--- a/crates/placement/src/learned_state.rs
+++ b/crates/placement/src/learned_state.rs
@@ -18,17 +18,20 @@
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LearnedState {
     /// The classes that the keys in both models stand for.
-    pub book: ClassRegistry,
+    #[serde(rename = "book")]
+    pub classes: ClassRegistry,
     /// The resources and the run time that tasks of each class use.
-    pub sizes: ResourceUsageModel,
+    #[serde(rename = "sizes")]
+    pub usage: ResourceUsageModel,
     /// How much each class slows each service.
-    pub pairs: InterferenceModel,
+    #[serde(rename = "pairs")]
+    pub interference: InterferenceModel,
 }
 
 impl LearnedState {
     /// Moves the stored times to `now` on the present owner's monotonic clock, since the times of
     /// the former owner's clock mean nothing here.
     pub fn rebase(&mut self, now: Duration) {
-        self.pairs.rebase(now);
+        self.interference.rebase(now);
     }
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -14,24 +14,24 @@
 mod job_record;
 mod job_spec;
 mod job_transition;
-mod ladder_action;
-mod ladder_reading;
 mod latency_regression;
 mod latest_start;
 mod learned_state;
 mod ledger_error;
-mod load_ladder;
 mod load_tracker;
+mod overload_action;
+mod overload_controller;
+mod overload_reading;
 mod placement_policy;
 mod placement_search;
 mod pool_worker;
 mod ratio_sketch;
 mod ready_queue;
 mod resource_usage_model;
-mod service_reading;
+mod run_outcome;
+mod service_measurement;
 mod shard_hash;
 mod task_demand;
-mod task_end;
 mod task_id;
 mod task_record;
 mod task_state;
@@ -54,23 +54,23 @@
     job_record::JobRecord,
     job_spec::JobSpec,
     job_transition::JobTransition,
-    ladder_action::LadderAction,
-    ladder_reading::LadderReading,
     latest_start::LatestStart,
     learned_state::LearnedState,
     ledger_error::LedgerError,
-    load_ladder::LoadLadder,
+    overload_action::OverloadAction,
+    overload_controller::OverloadController,
+    overload_reading::OverloadReading,
     placement_policy::PlacementPolicy,
     pool_worker::PoolWorker,
     ready_queue::ReadyQueue,
     resource_usage_model::ResourceUsageModel,
-    service_reading::ServiceReading,
+    run_outcome::RunOutcome,
+    service_measurement::ServiceMeasurement,
     shard_hash::{
         shard_of_job,
         shard_of_rack, //
     },
     task_demand::TaskDemand,
-    task_end::TaskEnd,
     task_id::TaskId,
     task_record::TaskRecord,
     task_state::TaskState,
--- a/crates/placement/src/ladder_action.rs
+++ b/crates/placement/src/overload_action.rs
@@ -4,10 +4,10 @@
 
 /// The action to take on the batch tasks of an overloaded worker.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum LadderAction {
+pub enum OverloadAction {
     /// Change nothing.
     #[display("hold")]
-    Hold,
+    NoChange,
     /// Limit the batch tasks that cause the overload to this share of full speed, in thousandths.
     #[display("throttle to {_0}/1000")]
     Throttle(u32),
--- a/crates/placement/src/load_ladder.rs
+++ b/crates/placement/src/overload_controller.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use crate::{
-    LadderAction,
-    LadderReading, //
+    OverloadAction,
+    OverloadReading, //
 };
 
 /// Ratio of latency to target above which the throttle level rises.
@@ -32,7 +32,7 @@
 /// under a load that rises and falls, each return of the overload doubles the calm time needed to
 /// lower the level.
 #[derive(Clone, Debug)]
-pub struct LoadLadder {
+pub struct OverloadController {
     /// The index of the present speed in `SPEED_MILLIS_BY_LEVEL`; zero is not throttled.
     level: usize,
     /// When the level last changed or a task was last evicted or stopped.
@@ -49,7 +49,7 @@
     last_lowered: Option<Duration>,
 }
 
-impl Default for LoadLadder {
+impl Default for OverloadController {
     fn default() -> Self {
         Self {
             level: 0,
@@ -63,8 +63,8 @@
     }
 }
 
-impl LoadLadder {
-    /// Creates a ladder that does not throttle.
+impl OverloadController {
+    /// Creates a controller that does not throttle.
     pub fn new() -> Self {
         Self::default()
     }
@@ -76,7 +76,7 @@
 
     /// Continues from the level of a worker whose tasks were found throttled to `speed_millis`;
     /// never lowers the level.
-    pub fn resume(&mut self, speed_millis: u32) {
+    pub fn resume_from_speed(&mut self, speed_millis: u32) {
         let level = SPEED_MILLIS_BY_LEVEL
             .iter()
             .position(|speed| *speed <= speed_millis);
@@ -86,13 +86,13 @@
     }
 
     /// Evaluates a reading that arrived at `now`, and returns the action to take.
-    pub fn observe(&mut self, now: Duration, reading: &LadderReading) -> LadderAction {
+    pub fn observe(&mut self, now: Duration, reading: &OverloadReading) -> OverloadAction {
         // A prediction includes the latest change of the level; a measurement may be older than it.
         if reading.predicted_ratio > OVERLOAD_LATENCY_RATIO {
             return self.raise_level(now);
         }
-        if reading.measured < self.last_action {
-            return LadderAction::Hold;
+        if reading.measured_at < self.last_action {
+            return OverloadAction::NoChange;
         }
         if reading.memory_share >= EVICT_MEMORY_SHARE {
             return self.act_on_memory_share(now, reading.memory_share);
@@ -102,32 +102,32 @@
         }
         self.overload_readings = 0;
         if reading.latency_ratio < CALM_LATENCY_RATIO
-            && reading.lifted_ratio < OVERLOAD_LATENCY_RATIO
+            && reading.unthrottled_ratio < OVERLOAD_LATENCY_RATIO
         {
-            return self.record_calm(now, reading.measured);
+            return self.record_calm(now, reading.measured_at);
         }
         self.calm_readings = 0;
         self.calm_since = None;
-        LadderAction::Hold
+        OverloadAction::NoChange
     }
 
-    fn act_on_memory_share(&mut self, now: Duration, share: f64) -> LadderAction {
+    fn act_on_memory_share(&mut self, now: Duration, share: f64) -> OverloadAction {
         self.last_action = now;
         match share > STOP_MEMORY_SHARE {
-            true => LadderAction::Stop,
-            false => LadderAction::Evict,
+            true => OverloadAction::Stop,
+            false => OverloadAction::Evict,
         }
     }
 
-    fn record_overload(&mut self, now: Duration) -> LadderAction {
+    fn record_overload(&mut self, now: Duration) -> OverloadAction {
         self.overload_readings += 1;
         if self.overload_readings < READINGS_TO_RAISE {
-            return LadderAction::Hold;
+            return OverloadAction::NoChange;
         }
         self.raise_level(now)
     }
 
-    fn raise_level(&mut self, now: Duration) -> LadderAction {
+    fn raise_level(&mut self, now: Duration) -> OverloadAction {
         self.overload_readings = 0;
         self.calm_readings = 0;
         self.calm_since = None;
@@ -135,9 +135,9 @@
         self.adjust_required_calm(now);
         if self.level + 1 < SPEED_MILLIS_BY_LEVEL.len() {
             self.level += 1;
-            return LadderAction::Throttle(self.speed_millis());
+            return OverloadAction::Throttle(self.speed_millis());
         }
-        LadderAction::Evict
+        OverloadAction::Evict
     }
 
     fn adjust_required_calm(&mut self, now: Duration) {
@@ -151,18 +151,18 @@
         };
     }
 
-    fn record_calm(&mut self, now: Duration, measured: Duration) -> LadderAction {
+    fn record_calm(&mut self, now: Duration, measured: Duration) -> OverloadAction {
         self.calm_readings += 1;
         let since = *self.calm_since.get_or_insert(measured);
         let calm = measured.saturating_sub(since) >= self.required_calm;
         if self.level == 0 || self.calm_readings < READINGS_TO_LOWER || !calm {
-            return LadderAction::Hold;
+            return OverloadAction::NoChange;
         }
         self.calm_readings = 0;
         self.calm_since = None;
         self.last_action = now;
         self.last_lowered = Some(now);
         self.level -= 1;
-        LadderAction::Throttle(self.speed_millis())
+        OverloadAction::Throttle(self.speed_millis())
     }
 }
--- a/crates/placement/src/placement_policy.rs
+++ b/crates/placement/src/placement_policy.rs
@@ -72,7 +72,7 @@
         // The search for a batch task ends once enough workers are scored. Its first failure domain
         // rotates, so that none fills up before the others.
         let count = pool.domains.len();
-        let first_domain = pool.releases() as usize % count.max(1);
+        let first_domain = pool.release_count() as usize % count.max(1);
         for offset in 0..count {
             let Some((name, domain)) = pool.domains.get_index((first_domain + offset) % count)
             else {
@@ -172,8 +172,9 @@
     model: &InterferenceModel,
     demand: &TaskDemand<'_>,
 ) -> Option<f64> {
-    let interference = model.harm(worker, demand.class, demand.kind, demand.urgent)?;
-    match (worker.pressed, demand.kind) {
+    let interference =
+        model.added_interference(worker, demand.class, demand.kind, demand.urgent)?;
+    match (worker.services_slowed, demand.kind) {
         (true, ClassKind::Batch) if model.may_interfere(worker, demand.class) => None,
         (true, _) => Some(interference + SLOWED_SERVICES_PENALTY),
         (false, _) => Some(interference),
@@ -181,18 +182,21 @@
 }
 
 fn fits(worker: &PoolWorker, demand: &TaskDemand<'_>) -> bool {
-    demand.size.fits_in(worker.room()) && !demand.failed_on.contains(&worker.name)
+    demand.size.fits_in(worker.free_capacity()) && !demand.failed_on.contains(&worker.name)
 }
 
 fn free_share_after(worker: &PoolWorker, demand: &TaskDemand<'_>) -> f64 {
-    let remaining = worker.room().saturating_sub(demand.size);
+    let remaining = worker.free_capacity().saturating_sub(demand.size);
     let cpu = remaining.cpu_millis as f64 / worker.capacity.cpu_millis.max(1) as f64;
     let memory = remaining.memory_mib as f64 / worker.capacity.memory_mib.max(1) as f64;
     (cpu + memory) / 2.0
 }
 
 fn job_tasks_in_domain(demand: &TaskDemand<'_>, domain: &DomainName) -> u32 {
-    let found = demand.spread.iter().find(|(name, _)| name == domain);
+    let found = demand
+        .job_tasks_by_domain
+        .iter()
+        .find(|(name, _)| name == domain);
     found.map_or(0, |(_, count)| *count)
 }
 
@@ -203,7 +207,7 @@
         .next()
         .is_some();
     match has_capacity {
-        true => WaitReason::Domain,
-        false => WaitReason::NoRoom,
+        true => WaitReason::DomainUnavailable,
+        false => WaitReason::NoFreeCapacity,
     }
 }
--- a/crates/placement/src/placement_search.rs
+++ b/crates/placement/src/placement_search.rs
@@ -25,7 +25,7 @@
             job_tasks_in_domain: 0,
             scored: 0,
             best: None,
-            reason: WaitReason::NoRoom,
+            reason: WaitReason::NoFreeCapacity,
         }
     }
 
@@ -42,7 +42,8 @@
     /// Records why a candidate was rejected. Interference outranks every other reason, and every
     /// reason outranks a lack of capacity.
     pub(crate) fn record_reason(&mut self, reason: WaitReason) {
-        let keeps_reason = reason == WaitReason::NoRoom || self.reason == WaitReason::Interference;
+        let keeps_reason =
+            reason == WaitReason::NoFreeCapacity || self.reason == WaitReason::Interference;
         if !keeps_reason {
             self.reason = reason;
         }
--- a/crates/placement/src/pool_worker.rs
+++ b/crates/placement/src/pool_worker.rs
@@ -24,11 +24,11 @@
     pub reserved: ResourceAmount,
     /// Whether the worker's services are slowed, so that it gets no batch task that may slow them
     /// further.
-    pub pressed: bool,
+    pub services_slowed: bool,
     /// Whether the worker may take tasks.
     pub condition: WorkerCondition,
     /// The classes of the tasks on the worker, each with its number of tasks.
-    pub company: Vec<(ClassKey, u16)>,
+    pub task_counts: Vec<(ClassKey, u16)>,
 }
 
 impl PoolWorker {
@@ -39,34 +39,34 @@
             domain,
             capacity,
             reserved: ResourceAmount::default(),
-            pressed: false,
+            services_slowed: false,
             condition: WorkerCondition::Silent,
-            company: Vec::new(),
+            task_counts: Vec::new(),
         }
     }
 
     /// Returns the capacity that is not reserved.
-    pub fn room(&self) -> ResourceAmount {
+    pub fn free_capacity(&self) -> ResourceAmount {
         self.capacity.saturating_sub(self.reserved)
     }
 
     /// Returns the number of tasks of a class on the worker.
     pub fn task_count(&self, class: ClassKey) -> u16 {
-        let found = self.company.iter().find(|(key, _)| *key == class);
+        let found = self.task_counts.iter().find(|(key, _)| *key == class);
         found.map_or(0, |(_, count)| *count)
     }
 
     pub(crate) fn add_task(&mut self, class: ClassKey) {
-        match self.company.iter_mut().find(|(key, _)| *key == class) {
+        match self.task_counts.iter_mut().find(|(key, _)| *key == class) {
             Some((_, count)) => *count += 1,
-            None => self.company.push((class, 1)),
+            None => self.task_counts.push((class, 1)),
         }
     }
 
     pub(crate) fn remove_task(&mut self, class: ClassKey) {
-        if let Some((_, count)) = self.company.iter_mut().find(|(key, _)| *key == class) {
+        if let Some((_, count)) = self.task_counts.iter_mut().find(|(key, _)| *key == class) {
             *count = count.saturating_sub(1);
         }
-        self.company.retain(|(_, count)| *count > 0);
+        self.task_counts.retain(|(_, count)| *count > 0);
     }
 }
--- a/crates/placement/src/task_end.rs
+++ b/crates/placement/src/run_outcome.rs
@@ -10,7 +10,7 @@
 
 /// The outcome of a run of a task.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
-pub enum TaskEnd {
+pub enum RunOutcome {
     /// The task finished with this result.
     #[display("finished")]
     Finished {
@@ -39,11 +39,11 @@
         checkpoint: Option<CheckpointName>,
     },
     /// The run was never started.
-    #[display("never started")]
+    #[display("never begun")]
     NotStarted,
 }
 
-impl TaskEnd {
+impl RunOutcome {
     /// Returns whether the work of the run is lost.
     pub fn loses_work(&self) -> bool {
         match self {
--- a/crates/placement/src/task_demand.rs
+++ b/crates/placement/src/task_demand.rs
@@ -21,7 +21,7 @@
     /// The workers on which the task failed, which are excluded.
     pub failed_on: &'a [VmName],
     /// The number of the job's other tasks in each failure domain; used for services only.
-    pub spread: &'a [(DomainName, u32)],
+    pub job_tasks_by_domain: &'a [(DomainName, u32)],
     /// Whether next to no time is left until the latest start.
     pub urgent: bool,
 }
--- a/crates/placement/src/task_record.rs
+++ b/crates/placement/src/task_record.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     CheckpointName,
-    TaskEnd,
+    RunOutcome,
     TaskState, //
 };
 
@@ -26,40 +26,42 @@
     /// How often the task was evicted, with or without a checkpoint.
     pub evictions: u32,
     /// The total duration of the runs whose work was lost, in milliseconds.
-    pub lost_ms: u64,
+    #[serde(rename = "lost_ms")]
+    pub lost_work_ms: u64,
     /// The code of the last failure; zero before the first.
-    pub last_code: i32,
+    #[serde(rename = "last_code")]
+    pub last_failure_code: i32,
 }
 
 impl TaskRecord {
     /// Ends the current run: the task finishes, is queued again, or is cancelled with its job.
-    pub(crate) fn end_run(&mut self, end: &TaskEnd, cancelled: bool, ran_ms: u64) {
+    pub(crate) fn end_run(&mut self, end: &RunOutcome, cancelled: bool, ran_ms: u64) {
         if end.loses_work() && !cancelled {
-            self.lost_ms += ran_ms;
+            self.lost_work_ms += ran_ms;
         }
         let worker = match std::mem::take(&mut self.state) {
             TaskState::Placed { worker, .. } => Some(worker),
             _ => None,
         };
         match end {
-            TaskEnd::Finished { result } => {
+            RunOutcome::Finished { result } => {
                 self.state = TaskState::Finished {
                     result: result.clone(),
                 };
                 return;
             }
-            TaskEnd::Failed { code } => self.record_failure(worker, *code),
-            TaskEnd::Checkpointed { checkpoint } => {
+            RunOutcome::Failed { code } => self.record_failure(worker, *code),
+            RunOutcome::Checkpointed { checkpoint } => {
                 self.checkpoint = Some(checkpoint.clone());
                 self.evictions += u32::from(!cancelled);
             }
-            TaskEnd::Stopped => self.evictions += u32::from(!cancelled),
-            TaskEnd::Lost { checkpoint } => {
+            RunOutcome::Stopped => self.evictions += u32::from(!cancelled),
+            RunOutcome::Lost { checkpoint } => {
                 if checkpoint.is_some() {
                     self.checkpoint.clone_from(checkpoint);
                 }
             }
-            TaskEnd::NotStarted => {}
+            RunOutcome::NotStarted => {}
         }
         if cancelled {
             self.state = TaskState::Cancelled;
@@ -67,7 +69,7 @@
     }
 
     fn record_failure(&mut self, worker: Option<VmName>, code: i32) {
-        self.last_code = code;
+        self.last_failure_code = code;
         let Some(worker) = worker else { return };
         if !self.failed_on.contains(&worker) {
             self.failed_on.push(worker);
--- a/crates/placement/src/wait_reason.rs
+++ b/crates/placement/src/wait_reason.rs
@@ -11,17 +11,17 @@
 #[serde(rename_all = "snake_case")]
 pub enum WaitReason {
     /// The task was not considered for placement yet.
-    #[display("it was submitted just now; it is considered for placement within a second")]
-    New,
+    #[display("it was submitted just now; it is looked at within a second")]
+    #[serde(rename = "new")]
+    NotConsidered,
     /// No worker has enough free capacity.
-    #[display(
-        "no worker has enough free capacity; it starts when running tasks end or workers are added"
-    )]
-    NoRoom,
+    #[display("no worker has room; it starts when running tasks end or workers are added")]
+    #[serde(rename = "no_room")]
+    NoFreeCapacity,
     /// The workers with enough free capacity run services that the task would slow beyond their
     /// target.
     #[display(
-        "the workers with enough free capacity run services that it would slow beyond their target; it starts when other workers have enough free capacity or its latest start is near"
+        "the workers with room run services that it would slow beyond their target; it starts when other workers have room or its latest start comes near"
     )]
     Interference,
     /// The team's running tasks use up its quota.
@@ -32,15 +32,15 @@
     /// Only failure domains that are out, or that fill slowly after their return, have enough free
     /// capacity.
     #[display(
-        "the failure domains with enough free capacity are out or filling up after their return; it starts when they have filled up"
+        "the failure domains with room are out or filling after their return; it starts when they have filled"
     )]
-    Domain,
+    #[serde(rename = "domain")]
+    DomainUnavailable,
     /// A new planner is taking over the shard.
-    #[display(
-        "a new planner is taking over its shard; it starts when the shard's workers have answered"
-    )]
+    #[display("its shard is being taken over; it starts when its workers answered")]
     TakeOver,
     /// The table service does not respond.
-    #[display("the table service does not respond; it starts when a run can be committed")]
-    Table,
+    #[display("the table service gives no answer; it starts when a run can be committed")]
+    #[serde(rename = "table")]
+    TableUnavailable,
 }
--- a/crates/placement/src/worker_condition.rs
+++ b/crates/placement/src/worker_condition.rs
@@ -17,5 +17,5 @@
     Leaving,
     /// The worker is quarantined because several different jobs failed on it.
     #[display("set aside")]
-    SetAside,
+    Quarantined,
 }
--- a/crates/placement/src/worker_pool.rs
+++ b/crates/placement/src/worker_pool.rs
@@ -69,7 +69,7 @@
     }
 
     /// Returns the key of the worker of this name.
-    pub fn find(&self, name: &VmName) -> Option<WorkerKey> {
+    pub fn key_of(&self, name: &VmName) -> Option<WorkerKey> {
         self.key_by_name.get(name).copied()
     }
 
@@ -84,19 +84,19 @@
     }
 
     /// Returns a counter that increases whenever capacity may have become free for a waiting task.
-    pub fn releases(&self) -> u64 {
+    pub fn release_count(&self) -> u64 {
         self.releases
     }
 
     /// Returns whether the total capacity of any worker is large enough for this size.
-    pub fn could_hold(&self, size: ResourceAmount) -> bool {
+    pub fn any_capacity_fits(&self, size: ResourceAmount) -> bool {
         self.maximal_capacities
             .iter()
             .any(|capacity| size.fits_in(*capacity))
     }
 
     /// Returns the maximal capacities: those that do not fit into any other worker's capacity.
-    pub fn largest(&self) -> &[ResourceAmount] {
+    pub fn maximal_capacities(&self) -> &[ResourceAmount] {
         &self.maximal_capacities
     }
 
@@ -111,10 +111,10 @@
     }
 
     /// Sets whether a worker's services are slowed.
-    pub fn set_pressed(&mut self, key: WorkerKey, pressed: bool) {
+    pub fn set_services_slowed(&mut self, key: WorkerKey, services_slowed: bool) {
         let worker = &mut self.workers[key.index()];
-        self.releases += u64::from(worker.pressed && !pressed);
-        worker.pressed = pressed;
+        self.releases += u64::from(worker.services_slowed && !services_slowed);
+        worker.services_slowed = services_slowed;
     }
 
     /// Sets the total capacity of a worker.
@@ -147,13 +147,13 @@
 
     /// Reserves resources for an orphaned run: one that still runs although the journal assigns it
     /// to another worker or to none.
-    pub fn reserve_stray(&mut self, key: WorkerKey, size: ResourceAmount) {
+    pub fn reserve_orphan(&mut self, key: WorkerKey, size: ResourceAmount) {
         self.workers[key.index()].reserved += size;
         self.update_index(key);
     }
 
     /// Releases the resources of an orphaned run.
-    pub fn release_stray(&mut self, key: WorkerKey, size: ResourceAmount) {
+    pub fn release_orphan(&mut self, key: WorkerKey, size: ResourceAmount) {
         let worker = &mut self.workers[key.index()];
         worker.reserved = worker.reserved.saturating_sub(size);
         self.releases += 1;
@@ -161,7 +161,12 @@
     }
 
     /// Replaces the reservation of a task whose use was measured.
-    pub fn recount(&mut self, key: WorkerKey, before: ResourceAmount, after: ResourceAmount) {
+    pub fn replace_reservation(
+        &mut self,
+        key: WorkerKey,
+        before: ResourceAmount,
+        after: ResourceAmount,
+    ) {
         let worker = &mut self.workers[key.index()];
         worker.reserved = worker.reserved.saturating_sub(before) + after;
         self.update_index(key);
@@ -169,7 +174,7 @@
 
     /// Opens or closes a failure domain for task starts. The starts in a domain that reopens are
     /// rate-limited for a while.
-    pub fn set_domain(&mut self, domain: &DomainName, takes_work: bool, now: Duration) {
+    pub fn set_domain_open(&mut self, domain: &DomainName, takes_work: bool, now: Duration) {
         let entry = self.domain_or_insert(domain);
         if entry.admission.is_open() == takes_work {
             return;
@@ -183,32 +188,32 @@
     }
 
     /// Returns whether a worker's failure domain admits one more start at present.
-    pub fn domain_admits(&self, key: WorkerKey, now: Duration) -> bool {
+    pub fn domain_admits_start(&self, key: WorkerKey, now: Duration) -> bool {
         let entry = self.domains.get(&self.worker(key).domain);
         entry.is_none_or(|entry| entry.admission.admits_start(now))
     }
 
     /// Returns a worker with this free capacity in an open failure domain. Examines only the
     /// emptiest worker of each domain, so that `None` does not rule out that another has it.
-    pub fn some_room(&self, size: ResourceAmount) -> Option<WorkerKey> {
+    pub fn find_free_worker(&self, size: ResourceAmount) -> Option<WorkerKey> {
         let open = self
             .domains
             .values()
             .filter(|entry| entry.admission.is_open());
         let mut candidates =
             open.filter_map(|entry| entry.free_capacity.emptiest_first(size).next());
-        candidates.find(|key| size.fits_in(self.worker(*key).room()))
+        candidates.find(|key| size.fits_in(self.worker(*key).free_capacity()))
     }
 
     /// Returns whether a failure domain is open for task starts.
-    pub fn domain_takes_work(&self, domain: &DomainName) -> bool {
+    pub fn is_domain_open(&self, domain: &DomainName) -> bool {
         self.domains
             .get(domain)
             .is_none_or(|entry| entry.admission.is_open())
     }
 
     /// Admits more starts to the failure domains that reopened, for the time since the last call.
-    pub fn count_time(&mut self, now: Duration) {
+    pub fn refill_start_tokens(&mut self, now: Duration) {
         for domain in self.domains.values_mut() {
             let admitted = domain.admission.admits_start(now);
             domain.admission.refill_tokens(now, domain.worker_count);
@@ -219,7 +224,7 @@
     }
 
     /// Counts a start against the rate limit of the worker's failure domain.
-    pub fn note_start(&mut self, key: WorkerKey) {
+    pub fn record_start(&mut self, key: WorkerKey) {
         let domain = self.workers[key.index()].domain.clone();
         self.domain_or_insert(&domain).admission.take_token();
     }
@@ -237,7 +242,7 @@
     }
 
     fn record_capacity(&mut self, capacity: ResourceAmount) {
-        if self.could_hold(capacity) {
+        if self.any_capacity_fits(capacity) {
             return;
         }
         self.maximal_capacities
@@ -251,7 +256,9 @@
             return;
         };
         match worker.condition {
-            WorkerCondition::Open => domain.free_capacity.insert_or_move(key, worker.room()),
+            WorkerCondition::Open => domain
+                .free_capacity
+                .insert_or_move(key, worker.free_capacity()),
             _ => domain.free_capacity.remove(key),
         }
     }
--- a/crates/placement/tests/placement/interference_model.rs
+++ b/crates/placement/tests/placement/interference_model.rs
@@ -11,7 +11,7 @@
     ClassKey,
     InterferenceModel,
     PoolWorker,
-    ServiceReading, //
+    ServiceMeasurement, //
 };
 
 const QUOTES: ClassKey = ClassKey(0);
@@ -29,9 +29,9 @@
     model: &mut InterferenceModel,
     load: f64,
     latency_ratio: f64,
-    company: &[(ClassKey, f64)],
+    task_counts: &[(ClassKey, f64)],
 ) {
-    observe(model, 0, load, latency_ratio, company);
+    observe(model, 0, load, latency_ratio, task_counts);
 }
 
 fn observe(
@@ -39,28 +39,28 @@
     seconds: u64,
     load: f64,
     latency_ratio: f64,
-    company: &[(ClassKey, f64)],
+    task_counts: &[(ClassKey, f64)],
 ) {
-    model.observe(&ServiceReading {
-        measured: Duration::from_secs(seconds),
+    model.observe(&ServiceMeasurement {
+        measured_at: Duration::from_secs(seconds),
         service: QUOTES,
         latency_p99: TARGET.mul_f64(latency_ratio),
         load,
-        company,
+        task_counts,
     });
 }
 
-fn worker(company: &[(ClassKey, u16)]) -> PoolWorker {
+fn worker(task_counts: &[(ClassKey, u16)]) -> PoolWorker {
     let capacity = ResourceAmount::new(32_000, 128_000);
     let mut worker = PoolWorker::new("worker".into(), DomainName::from("a"), capacity);
-    worker.company = company.to_vec();
+    worker.task_counts = task_counts.to_vec();
     worker
 }
 
 fn admits(model: &InterferenceModel, class: ClassKey, urgent: bool) -> bool {
     let worker = worker(&[(QUOTES, 1)]);
     model
-        .harm(&worker, class, ClassKind::Batch, urgent)
+        .added_interference(&worker, class, ClassKind::Batch, urgent)
         .is_some()
 }
 
@@ -123,7 +123,7 @@
     }
     assert!(!admits(&model, NOISY, false));
     let minutes = (1..240).find(|minutes| {
-        model.forget(Duration::from_secs(60 * minutes));
+        model.decay(Duration::from_secs(60 * minutes));
         admits(&model, NOISY, false)
     });
     assert!((5..60).contains(&minutes.unwrap()), "{minutes:?}");
--- a/crates/placement/tests/placement/job_ledger.rs
+++ b/crates/placement/tests/placement/job_ledger.rs
@@ -11,7 +11,7 @@
     JobSpec,
     JobTransition,
     LedgerError,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     TaskState, //
 };
@@ -45,7 +45,7 @@
     }
 }
 
-fn ended(attempt: u32, end: TaskEnd) -> JobTransition {
+fn ended(attempt: u32, end: RunOutcome) -> JobTransition {
     JobTransition::Ended {
         task: TASK,
         attempt,
@@ -56,7 +56,7 @@
 
 fn finished(attempt: u32) -> JobTransition {
     let result = "42".to_owned();
-    ended(attempt, TaskEnd::Finished { result })
+    ended(attempt, RunOutcome::Finished { result })
 }
 
 fn ledger_after<const COUNT: usize>(transitions: [JobTransition; COUNT]) -> JobLedger {
@@ -78,7 +78,7 @@
     let duplicate = LedgerError::DuplicateJob { job: JOB };
     let open = LedgerError::OpenTasks { job: JOB };
     let unknown = LedgerError::UnknownJob { job: JOB };
-    let lost = || ended(1, TaskEnd::Lost { checkpoint: None });
+    let lost = || ended(1, RunOutcome::Lost { checkpoint: None });
     let table = [
         (ledger_after([]), placed(1), unknown),
         (ledger_after([accepted()]), accepted(), duplicate),
@@ -135,25 +135,28 @@
         placed(1),
         ended(
             1,
-            TaskEnd::Checkpointed {
+            RunOutcome::Checkpointed {
                 checkpoint: checkpoint.clone(),
             },
         ),
         placed(2),
-        ended(2, TaskEnd::Lost { checkpoint: None }),
+        ended(2, RunOutcome::Lost { checkpoint: None }),
     ]);
     let task = ledger.task(TASK).unwrap();
     assert_eq!(task.checkpoint, Some(checkpoint));
-    assert_eq!((task.attempt, task.evictions, task.lost_ms), (2, 1, 5_000));
+    assert_eq!(
+        (task.attempt, task.evictions, task.lost_work_ms),
+        (2, 1, 5_000)
+    );
     assert_eq!(task.state, TaskState::Queued);
 }
 
 #[test]
 fn a_cancelled_job_ends_once_its_runs_have_stopped() {
     let mut ledger = ledger_after([accepted(), placed(1), JobTransition::Cancelled { job: JOB }]);
-    assert!(!ledger.job(JOB).unwrap().ended());
-    ledger.apply(&ended(1, TaskEnd::Stopped)).unwrap();
-    assert!(ledger.job(JOB).unwrap().ended());
+    assert!(!ledger.job(JOB).unwrap().is_complete());
+    ledger.apply(&ended(1, RunOutcome::Stopped)).unwrap();
+    assert!(ledger.job(JOB).unwrap().is_complete());
     ledger.apply(&JobTransition::Closed { job: JOB }).unwrap();
     assert!(ledger.job(JOB).is_none());
 }
--- a/crates/placement/tests/placement/main.rs
+++ b/crates/placement/tests/placement/main.rs
@@ -7,7 +7,7 @@
 
 mod interference_model;
 mod job_ledger;
-mod load_ladder;
+mod overload_controller;
 mod placement_policy;
 mod ready_queue_and_shards;
 mod resource_usage_model;
--- a/crates/placement/tests/placement/load_ladder.rs
+++ b/crates/placement/tests/placement/overload_controller.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use jasminebend_placement::{
-    LadderAction,
-    LadderReading,
-    LoadLadder, //
+    OverloadAction,
+    OverloadController,
+    OverloadReading, //
 };
 
 const READING_DELAY_SECONDS: u64 = 20;
@@ -17,11 +17,11 @@
 /// Feeds a reading every five seconds, each `READING_DELAY_SECONDS` late. `ratio` returns the ratio
 /// of latency to target for the time of the measurement, in seconds, and the speed then. Returns
 /// the actions other than `Hold` with their times in seconds.
-fn actions_until<Ratio>(until: u64, ratio: Ratio) -> Vec<(u64, LadderAction)>
+fn actions_until<Ratio>(until: u64, ratio: Ratio) -> Vec<(u64, OverloadAction)>
 where
     Ratio: Fn(u64, u32) -> f64,
 {
-    let mut ladder = LoadLadder::new();
+    let mut controller = OverloadController::new();
     let mut speeds = vec![(0, 1000)];
     let mut actions = Vec::new();
     for now in (READING_DELAY_SECONDS..until).step_by(5) {
@@ -32,17 +32,17 @@
             .find(|(since, _)| *since <= measured_at)
             .unwrap()
             .1;
-        let reading = LadderReading {
-            measured: seconds(measured_at),
+        let reading = OverloadReading {
+            measured_at: seconds(measured_at),
             latency_ratio: ratio(measured_at, speed),
             predicted_ratio: 0.0,
-            lifted_ratio: 0.0,
+            unthrottled_ratio: 0.0,
             memory_share: 0.5,
         };
-        let action = ladder.observe(seconds(now), &reading);
-        if action != LadderAction::Hold {
+        let action = controller.observe(seconds(now), &reading);
+        if action != OverloadAction::NoChange {
             actions.push((now, action));
-            speeds.push((now, ladder.speed_millis()));
+            speeds.push((now, controller.speed_millis()));
         }
     }
     actions
@@ -53,10 +53,10 @@
     let actions = actions_until(300, |_, _| 1.3);
     assert_eq!(
         actions[0],
-        (READING_DELAY_SECONDS + 5, LadderAction::Throttle(500))
+        (READING_DELAY_SECONDS + 5, OverloadAction::Throttle(500))
     );
-    assert_eq!(actions[1].1, LadderAction::Throttle(250));
-    assert_eq!(actions[2].1, LadderAction::Evict);
+    assert_eq!(actions[1].1, OverloadAction::Throttle(250));
+    assert_eq!(actions[2].1, OverloadAction::Evict);
     for pair in actions.windows(2) {
         assert!(
             pair[1].0 - pair[0].0 >= READING_DELAY_SECONDS,
@@ -83,7 +83,10 @@
         (true, 1000) => 1.3,
         _ => 0.5,
     });
-    let expected = [LadderAction::Throttle(500), LadderAction::Throttle(1000)];
+    let expected = [
+        OverloadAction::Throttle(500),
+        OverloadAction::Throttle(1000),
+    ];
     assert_eq!(
         actions
             .iter()
@@ -104,7 +107,7 @@
     };
     let actions = actions_until(4 * 3600, square_wave);
     let actions_in_hour = |hour: u64| {
-        let is_in_hour = |(time, _): &&(u64, LadderAction)| *time / 3600 == hour;
+        let is_in_hour = |(time, _): &&(u64, OverloadAction)| *time / 3600 == hour;
         actions.iter().filter(is_in_hour).count()
     };
     assert!(
@@ -120,23 +123,32 @@
     assert!(
         actions
             .iter()
-            .all(|(_, action)| *action != LadderAction::Evict)
+            .all(|(_, action)| *action != OverloadAction::Evict)
     );
 }
 
 #[test]
 fn high_memory_use_evicts_or_stops_a_task_at_once() {
-    let mut ladder = LoadLadder::new();
-    let mut reading = LadderReading {
-        measured: seconds(10),
+    let mut controller = OverloadController::new();
+    let mut reading = OverloadReading {
+        measured_at: seconds(10),
         latency_ratio: 0.1,
         predicted_ratio: 0.0,
-        lifted_ratio: 0.0,
+        unthrottled_ratio: 0.0,
         memory_share: 0.97,
     };
-    assert_eq!(ladder.observe(seconds(20), &reading), LadderAction::Evict);
-    assert_eq!(ladder.observe(seconds(21), &reading), LadderAction::Hold);
-    reading.measured = seconds(30);
+    assert_eq!(
+        controller.observe(seconds(20), &reading),
+        OverloadAction::Evict
+    );
+    assert_eq!(
+        controller.observe(seconds(21), &reading),
+        OverloadAction::NoChange
+    );
+    reading.measured_at = seconds(30);
     reading.memory_share = 1.1;
-    assert_eq!(ladder.observe(seconds(40), &reading), LadderAction::Stop);
+    assert_eq!(
+        controller.observe(seconds(40), &reading),
+        OverloadAction::Stop
+    );
 }
--- a/crates/placement/tests/placement/placement_policy.rs
+++ b/crates/placement/tests/placement/placement_policy.rs
@@ -41,7 +41,7 @@
         kind,
         size: ResourceAmount::new(cpu_millis, 1024),
         failed_on: &[],
-        spread: &[],
+        job_tasks_by_domain: &[],
         urgent: false,
     }
 }
@@ -58,7 +58,7 @@
     assert_eq!(batch, Ok(keys[4]));
     let spread = [(DomainName::from("a"), 2), (DomainName::from("b"), 1)];
     let mut service = demand(ClassKind::Service, 1000);
-    service.spread = &spread;
+    service.job_tasks_by_domain = &spread;
     let chosen = choose(&pool, &service).unwrap();
     assert_eq!(pool.worker(chosen).domain, DomainName::from("c"));
 }
@@ -67,34 +67,34 @@
 fn reports_why_no_worker_can_take_a_task() {
     let (mut pool, keys) = open_pool(3);
     let oversized = demand(ClassKind::Batch, 8001);
-    assert_eq!(choose(&pool, &oversized), Err(WaitReason::NoRoom));
+    assert_eq!(choose(&pool, &oversized), Err(WaitReason::NoFreeCapacity));
     for key in &keys[1..] {
-        pool.set_condition(*key, WorkerCondition::SetAside);
+        pool.set_condition(*key, WorkerCondition::Quarantined);
     }
     let failed_on = [VmName::from("worker-0")];
     let mut failed = demand(ClassKind::Batch, 1000);
     failed.failed_on = &failed_on;
-    assert_eq!(choose(&pool, &failed), Err(WaitReason::NoRoom));
-    pool.set_domain(&DomainName::from("a"), false, NOW);
+    assert_eq!(choose(&pool, &failed), Err(WaitReason::NoFreeCapacity));
+    pool.set_domain_open(&DomainName::from("a"), false, NOW);
     let small = demand(ClassKind::Batch, 1000);
-    assert_eq!(choose(&pool, &small), Err(WaitReason::Domain));
+    assert_eq!(choose(&pool, &small), Err(WaitReason::DomainUnavailable));
 }
 
 #[test]
 fn starts_in_a_reopened_domain_are_rate_limited_for_a_minute() {
     let (mut pool, keys) = open_pool(30);
     let domain = DomainName::from("a");
-    pool.set_domain(&domain, false, NOW);
-    pool.set_domain(&domain, true, NOW);
+    pool.set_domain_open(&domain, false, NOW);
+    pool.set_domain_open(&domain, true, NOW);
     let mut started = 0;
-    while pool.domain_admits(keys[0], NOW) {
-        pool.note_start(keys[0]);
+    while pool.domain_admits_start(keys[0], NOW) {
+        pool.record_start(keys[0]);
         started += 1;
     }
     assert_eq!(started, 2);
-    pool.count_time(NOW + Duration::from_secs(1));
-    assert!(pool.domain_admits(keys[0], NOW + Duration::from_secs(1)));
-    assert!(pool.domain_admits(keys[0], NOW + Duration::from_secs(61)));
+    pool.refill_start_tokens(NOW + Duration::from_secs(1));
+    assert!(pool.domain_admits_start(keys[0], NOW + Duration::from_secs(1)));
+    assert!(pool.domain_admits_start(keys[0], NOW + Duration::from_secs(61)));
 }
 
 // Guards against reserving more than a VM's capacity, and against tasks that wait although a worker
@@ -114,7 +114,7 @@
                     let some_worker_fits = keys.iter().any(|key| {
                         let worker = pool.worker(*key);
                         let open = worker.condition == WorkerCondition::Open;
-                        open && request.size.fits_in(worker.room())
+                        open && request.size.fits_in(worker.free_capacity())
                     });
                     match choose(&pool, &request) {
                         Ok(key) => {
--- a/crates/planner/src/job_status.rs
+++ b/crates/planner/src/job_status.rs
@@ -58,7 +58,7 @@
             team: spec.team.clone(),
             class: spec.class.clone(),
             phase: JobPhase::Waiting {
-                reason: WaitReason::New,
+                reason: WaitReason::NotConsidered,
             },
             tasks: spec.tasks,
             queued: spec.tasks,
@@ -80,19 +80,19 @@
 
     /// Creates the status of a job from its record.
     pub(crate) fn new(job: JobId, record: &JobRecord, reason: WaitReason) -> Self {
-        let queued = record.count(|state| *state == TaskState::Queued);
-        let running = record.count(|state| matches!(state, TaskState::Placed { .. }));
+        let queued = record.count_tasks(|state| *state == TaskState::Queued);
+        let running = record.count_tasks(|state| matches!(state, TaskState::Placed { .. }));
         let attempts = record.tasks.iter().map(|task| task.attempt);
         let mut status = Self::submitted(job, &record.spec);
         status.phase = phase_of(record, queued, reason);
         status.queued = queued;
         status.running = running;
-        status.finished = record.count(|state| matches!(state, TaskState::Finished { .. }));
+        status.finished = record.count_tasks(|state| matches!(state, TaskState::Finished { .. }));
         status.evictions = record.tasks.iter().map(|task| task.evictions).sum();
         status.reruns = attempts.map(|attempt| attempt.saturating_sub(1)).sum();
-        let lost: u64 = record.tasks.iter().map(|task| task.lost_ms).sum();
+        let lost: u64 = record.tasks.iter().map(|task| task.lost_work_ms).sum();
         status.lost_seconds = lost / 1000;
-        if record.ended() {
+        if record.is_complete() {
             status.results = results_of(record);
         }
         status.explained()
@@ -113,7 +113,7 @@
 }
 
 fn phase_of(record: &JobRecord, queued: u32, reason: WaitReason) -> JobPhase {
-    if record.ended() {
+    if record.is_complete() {
         return match record.cancelled {
             true => JobPhase::Cancelled,
             false => JobPhase::Finished,
@@ -122,7 +122,7 @@
     if record.cancelled {
         return JobPhase::Cancelling;
     }
-    if let Some(reason) = &record.held {
+    if let Some(reason) = &record.hold_reason {
         return JobPhase::Held {
             reason: reason.clone(),
         };
--- a/crates/planner/src/shard_ahead.rs
+++ b/crates/planner/src/shard_ahead.rs
@@ -11,7 +11,7 @@
 use jasminebend_placement::{
     JobId,
     LatestStart,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     WorkerCondition,
     WorkerKey, //
@@ -58,20 +58,20 @@
         let worker = self.pool.worker(key);
         let open = worker.condition == WorkerCondition::Open;
         let run = &self.runs[&task];
-        let fits = run.counted.fits_in(worker.room());
+        let fits = run.counted.fits_in(worker.free_capacity());
         let harmless = self
             .learned
-            .pairs
-            .harm(worker, run.class, run.kind, false)
+            .interference
+            .added_interference(worker, run.class, run.kind, false)
             .is_some();
         let in_turn = first.is_none_or(|first| run.latest <= first);
-        if !(open && fits && harmless && in_turn && self.pool.domain_admits(key, now)) {
+        if !(open && fits && harmless && in_turn && self.pool.domain_admits_start(key, now)) {
             return false;
         }
         let (class, counted) = (run.class, run.counted);
         self.links[&key].ahead.shift_remove(&task);
         self.pool.reserve(key, class, counted);
-        self.pool.note_start(key);
+        self.pool.record_start(key);
         self.note_company(key);
         if let Some(run) = self.runs.get_mut(&task) {
             run.phase = RunPhase::ToStart;
@@ -101,7 +101,7 @@
         let open = links.filter(|(key, link)| {
             let worker = self.pool.worker(**key);
             worker.condition == WorkerCondition::Open
-                && self.pool.domain_admits(**key, now)
+                && self.pool.domain_admits_start(**key, now)
                 && link.ahead.len() < MOST_AHEAD.min(link.runs.len() - link.ahead.len())
         });
         let keys: Vec<WorkerKey> = open.map(|(key, _)| *key).collect();
@@ -132,16 +132,19 @@
         let (Some(job), Some(record)) = (self.ledger.job(task.job), self.ledger.task(task)) else {
             return false;
         };
-        let class = self.learned.book.key(&job.spec.team, &job.spec.class);
-        let size = self.learned.sizes.reservation(class, job.spec.size);
+        let class = self
+            .learned
+            .classes
+            .get_or_insert(&job.spec.team, &job.spec.class);
+        let size = self.learned.usage.reservation(class, job.spec.size);
         let fits = job.kind == ClassKind::Batch
             && size.fits_in(worker.capacity)
             && !record.failed_on.contains(&worker.name)
             && self.quota_allows(job, size)
             && self
                 .learned
-                .pairs
-                .harm(worker, class, job.kind, false)
+                .interference
+                .added_interference(worker, class, job.kind, false)
                 .is_some();
         if !fits {
             return false;
@@ -172,11 +175,13 @@
             }
         }
         for task in back.into_iter().take(MOST_PER_PASS) {
-            self.end_run(task, TaskEnd::NotStarted);
+            self.end_run(task, RunOutcome::NotStarted);
         }
     }
 
     fn has_room_elsewhere(&self, key: WorkerKey, size: jasminebend_base::ResourceAmount) -> bool {
-        self.pool.some_room(size).is_some_and(|other| other != key)
+        self.pool
+            .find_free_worker(size)
+            .is_some_and(|other| other != key)
     }
 }
--- a/crates/planner/src/shard_domains.rs
+++ b/crates/planner/src/shard_domains.rs
@@ -31,7 +31,7 @@
             let configuration = self.configuration.borrow_and_update().clone();
             for link in self.links.values() {
                 let takes_work = configuration.domain_state(&link.domain) == DomainState::In;
-                self.pool.set_domain(&link.domain, takes_work, now);
+                self.pool.set_domain_open(&link.domain, takes_work, now);
             }
             self.class_targets = configuration
                 .classes
@@ -52,9 +52,8 @@
 
     fn leave_domains(&mut self) {
         let links = self.links.iter();
-        let leaving = links.filter(|(_, link)| {
-            !link.runs.is_empty() && !self.pool.domain_takes_work(&link.domain)
-        });
+        let leaving = links
+            .filter(|(_, link)| !link.runs.is_empty() && !self.pool.is_domain_open(&link.domain));
         let keys: Vec<WorkerKey> = leaving.map(|(key, _)| *key).collect();
         for key in keys {
             self.leave_worker(key);
@@ -103,12 +102,12 @@
             kind: ClassKind::Service,
             size: run.counted,
             failed_on: &record.failed_on,
-            spread: &[],
+            job_tasks_by_domain: &[],
             urgent: true,
         };
         let policy = self.settings.policy;
         policy
-            .choose(&self.pool, &self.learned.pairs, &demand, self.now())
+            .choose(&self.pool, &self.learned.interference, &demand, self.now())
             .ok()
     }
 
@@ -126,7 +125,7 @@
         }
         let worker = self.pool.worker(target);
         let still_open = worker.condition == jasminebend_placement::WorkerCondition::Open
-            && self.pool.domain_takes_work(&worker.domain);
+            && self.pool.is_domain_open(&worker.domain);
         match still_open {
             true => self.place(task, target, run.class, run.counted),
             false => self.enqueue(task),
--- a/crates/planner/src/shard_ends.rs
+++ b/crates/planner/src/shard_ends.rs
@@ -14,7 +14,7 @@
     JobRecord,
     JobTransition,
     LatestStart,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     TaskState,
     WorkerKey, //
@@ -50,7 +50,10 @@
             return;
         };
         let (kind, cancelled) = (record.kind, record.cancelled);
-        let class = self.learned.book.key(&record.spec.team, &record.spec.class);
+        let class = self
+            .learned
+            .classes
+            .get_or_insert(&record.spec.team, &record.spec.class);
         let states: Vec<(TaskState, u32)> = record
             .tasks
             .iter()
@@ -96,7 +99,7 @@
         let Some(job) = self.ledger.job(task.job) else {
             return;
         };
-        if job.held.is_some() || job.cancelled {
+        if job.hold_reason.is_some() || job.cancelled {
             return;
         }
         let start = self.latest_start(job);
@@ -115,14 +118,14 @@
             // Callers wait for a service: each of its tasks is late from the start.
             Some(ClassTarget::AnswerWithin(_)) | None => Duration::ZERO,
         };
-        let key = self.learned.book.find(&job.spec.team, &job.spec.class);
-        let learned = key.and_then(|key| self.learned.sizes.run_time(key));
+        let key = self.learned.classes.get(&job.spec.team, &job.spec.class);
+        let learned = key.and_then(|key| self.learned.usage.run_time(key));
         let run_time = learned.or(job.spec.run_time).unwrap_or(RUN_TIME);
         LatestStart::new(self.now(), waited, target, run_time)
     }
 
     /// Ends a run in memory and in the journal, and gives its room back.
-    pub(crate) fn end_run(&mut self, task: TaskId, end: TaskEnd) {
+    pub(crate) fn end_run(&mut self, task: TaskId, end: RunOutcome) {
         let Some(run) = self.runs.get(&task) else {
             return;
         };
@@ -140,8 +143,8 @@
         };
         metrics::counter!("jasminebend_planner_run_ends_total", "end" => end_label(&end))
             .increment(1);
-        let failed = matches!(end, TaskEnd::Failed { .. });
-        if matches!(end, TaskEnd::Finished { .. }) {
+        let failed = matches!(end, RunOutcome::Failed { .. });
+        if matches!(end, RunOutcome::Finished { .. }) {
             self.note_success(worker, &run);
         }
         let transition = JobTransition::Ended {
@@ -193,8 +196,8 @@
         }
         let cancelled = self.ledger.job(task.job).is_some_and(|job| job.cancelled);
         let end = match cancelled {
-            true => TaskEnd::Stopped,
-            false => TaskEnd::Lost { checkpoint: None },
+            true => RunOutcome::Stopped,
+            false => RunOutcome::Lost { checkpoint: None },
         };
         self.end_run(task, end);
     }
@@ -219,7 +222,7 @@
     fn note_success(&mut self, worker: WorkerKey, run: &TaskRun) {
         let took = self.now().saturating_sub(run.since);
         if !run.since.is_zero() {
-            self.learned.sizes.observe_run(run.class, took);
+            self.learned.usage.observe_run(run.class, took);
         }
         self.note_worker_success(worker);
     }
@@ -231,13 +234,13 @@
             return;
         };
         let failed_on = record.failed_on.clone();
-        let code = record.last_code;
+        let code = record.last_failure_code;
         match failed_on.len() {
             0 | 1 => self.note_worker_failure(worker, task.job),
             _ => self.forgive_workers(task.job),
         }
         let blameless = |name: &&VmName| {
-            let link = self.pool.find(name).and_then(|key| self.links.get(&key));
+            let link = self.pool.key_of(name).and_then(|key| self.links.get(&key));
             link.is_none_or(|link| link.set_aside.is_none())
         };
         let distinct = failed_on.iter().filter(blameless).count();
@@ -245,7 +248,7 @@
         if distinct < FAILED_ON_MOST.min(listed) {
             return;
         }
-        let reason = HoldReason::FailsEverywhere {
+        let reason = HoldReason::FailedOnSeveralWorkers {
             index: task.index,
             workers: u32::try_from(distinct).unwrap_or(u32::MAX),
             code,
@@ -270,13 +273,13 @@
     }
 }
 
-fn end_label(end: &TaskEnd) -> &'static str {
+fn end_label(end: &RunOutcome) -> &'static str {
     match end {
-        TaskEnd::Finished { .. } => "finished",
-        TaskEnd::Failed { .. } => "failed",
-        TaskEnd::Checkpointed { .. } => "checkpointed",
-        TaskEnd::Stopped => "stopped",
-        TaskEnd::Lost { .. } => "lost",
-        TaskEnd::NotStarted => "not_started",
+        RunOutcome::Finished { .. } => "finished",
+        RunOutcome::Failed { .. } => "failed",
+        RunOutcome::Checkpointed { .. } => "checkpointed",
+        RunOutcome::Stopped => "stopped",
+        RunOutcome::Lost { .. } => "lost",
+        RunOutcome::NotStarted => "not_started",
     }
 }
--- a/crates/planner/src/shard_health.rs
+++ b/crates/planner/src/shard_health.rs
@@ -82,7 +82,7 @@
                 && link.phase == LinkPhase::Adopted
                 && link.listed
                 && !link.leaving
-                && self.pool.domain_takes_work(&link.domain)
+                && self.pool.is_domain_open(&link.domain)
         });
         let keys: Vec<WorkerKey> = due.map(|(key, _)| *key).collect();
         for key in keys {
@@ -97,8 +97,11 @@
         let Some(record) = self.ledger.job(job) else {
             return;
         };
-        let class = self.learned.book.key(&record.spec.team, &record.spec.class);
-        let size = self.learned.sizes.reservation(class, record.spec.size);
+        let class = self
+            .learned
+            .classes
+            .get_or_insert(&record.spec.team, &record.spec.class);
+        let size = self.learned.usage.reservation(class, record.spec.size);
         self.queue.pop(job);
         self.links[&key].probing = true;
         self.place(task, key, class, size);
@@ -115,10 +118,10 @@
             let failed_on = &self.ledger.task(task)?.failed_on;
             let class = self
                 .learned
-                .book
-                .find(&record.spec.team, &record.spec.class)?;
-            let size = self.learned.sizes.reservation(class, record.spec.size);
-            let fits = size.fits_in(worker.room()) && self.quota_allows(record, size);
+                .classes
+                .get(&record.spec.team, &record.spec.class)?;
+            let size = self.learned.usage.reservation(class, record.spec.size);
+            let fits = size.fits_in(worker.free_capacity()) && self.quota_allows(record, size);
             if record.kind == ClassKind::Batch && fits && !failed_on.contains(&worker.name) {
                 return Some((job, task));
             }
--- a/crates/planner/src/shard_plan.rs
+++ b/crates/planner/src/shard_plan.rs
@@ -49,7 +49,7 @@
     fn find(&self, class: ClassKey, urgent: bool, size: ResourceAmount) -> Option<WaitReason> {
         let covers = |entry: &&(ClassKey, bool, ResourceAmount, WaitReason)| {
             let same = entry.0 == class && entry.1 == urgent;
-            let by_size = entry.3 == WaitReason::NoRoom || same;
+            let by_size = entry.3 == WaitReason::NoFreeCapacity || same;
             by_size && entry.2.fits_in(size)
         };
         self.unfit.iter().find(covers).map(|entry| entry.3)
@@ -59,7 +59,7 @@
 impl ShardState {
     /// Places what can be placed, the job with the least laxity first.
     pub(crate) fn plan(&mut self, now: Duration) {
-        let changed = self.plan_due || self.pool.releases() != self.planned_releases;
+        let changed = self.plan_due || self.pool.release_count() != self.planned_releases;
         let waiting = self.writer.as_ref().map_or(0, |writer| writer.waiting());
         self.start_ahead(now);
         // Without the table no run can be committed, and room set aside for one would be idle.
@@ -70,7 +70,7 @@
             return;
         }
         self.plan_due = false;
-        self.planned_releases = self.pool.releases();
+        self.planned_releases = self.pool.release_count();
         self.next_plan = now + PLAN_EVERY;
         self.probe_workers(now);
         let mut links = self.links.values();
@@ -128,9 +128,12 @@
         memo: &mut PassMemo,
         now: Duration,
     ) -> Result<(WorkerKey, ClassKey, ResourceAmount), WaitReason> {
-        let job = self.ledger.job(task.job).ok_or(WaitReason::New)?;
-        let record = self.ledger.task(task).ok_or(WaitReason::New)?;
-        let class = self.learned.book.key(&job.spec.team, &job.spec.class);
+        let job = self.ledger.job(task.job).ok_or(WaitReason::NotConsidered)?;
+        let record = self.ledger.task(task).ok_or(WaitReason::NotConsidered)?;
+        let class = self
+            .learned
+            .classes
+            .get_or_insert(&job.spec.team, &job.spec.class);
         let size = self.reservation(class, job);
         if !self.quota_allows(job, size) {
             return Err(WaitReason::Quota);
@@ -147,13 +150,13 @@
             kind: job.kind,
             size,
             failed_on: &record.failed_on,
-            spread: &spread,
+            job_tasks_by_domain: &spread,
             urgent,
         };
-        let chosen = self
-            .settings
-            .policy
-            .choose(&self.pool, &self.learned.pairs, &demand, now);
+        let chosen =
+            self.settings
+                .policy
+                .choose(&self.pool, &self.learned.interference, &demand, now);
         match chosen {
             Ok(worker) => Ok((worker, class, size)),
             Err(reason) => {
@@ -168,11 +171,11 @@
     /// Returns what to set aside for a task. What was learned may exceed every worker: the largest
     /// one, all to itself, must then do.
     fn reservation(&self, class: ClassKey, job: &JobRecord) -> ResourceAmount {
-        let size = self.learned.sizes.reservation(class, job.spec.size);
-        if self.pool.could_hold(size) {
+        let size = self.learned.usage.reservation(class, job.spec.size);
+        if self.pool.any_capacity_fits(size) {
             return size;
         }
-        let fitting = self.pool.largest().iter();
+        let fitting = self.pool.maximal_capacities().iter();
         let held = fitting.map(|capacity| ResourceAmount {
             cpu_millis: size.cpu_millis.min(capacity.cpu_millis),
             memory_mib: size.memory_mib.min(capacity.memory_mib),
@@ -192,7 +195,7 @@
             let TaskState::Placed { worker, .. } = &task.state else {
                 continue;
             };
-            let Some(key) = self.pool.find(worker) else {
+            let Some(key) = self.pool.key_of(worker) else {
                 continue;
             };
             let domain = &self.pool.worker(key).domain;
@@ -225,7 +228,7 @@
         };
         if self.record(transition, CommitEffect::Start(task)) {
             self.add_run(task, TaskRun::new(attempt, worker, class, kind, size));
-            self.pool.note_start(worker);
+            self.pool.record_start(worker);
         }
     }
 }
--- a/crates/planner/src/shard_reconcile.rs
+++ b/crates/planner/src/shard_reconcile.rs
@@ -4,7 +4,7 @@
 
 use jasminebend_placement::{
     CheckpointName,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     TaskState,
     WorkerKey, //
@@ -68,7 +68,9 @@
                 run.maybe_started = true;
                 run.since = now;
                 run.speed_millis = known.speed_millis;
-                self.links[&key].ladder.resume(known.speed_millis);
+                self.links[&key]
+                    .ladder
+                    .resume_from_speed(known.speed_millis);
             }
             _ => {}
         }
@@ -103,7 +105,7 @@
     fn stop_stray(&mut self, key: WorkerKey, known: &WorkerTask) {
         let link = &mut self.links[&key];
         if link.strays.insert(known.attempt, known.reserved).is_none() {
-            self.pool.reserve_stray(key, known.reserved);
+            self.pool.reserve_orphan(key, known.reserved);
         }
         self.calls.stop_stray(key, known.attempt, link.address);
     }
@@ -132,7 +134,7 @@
 
     fn release_stray(&mut self, key: WorkerKey, run: TaskAttempt) {
         if let Some(size) = self.links[&key].strays.swap_remove(&run) {
-            self.pool.release_stray(key, size);
+            self.pool.release_orphan(key, size);
         }
     }
 
@@ -205,17 +207,17 @@
     }
 }
 
-fn end_of(event: &TaskEvent) -> TaskEnd {
+fn end_of(event: &TaskEvent) -> RunOutcome {
     match event {
-        TaskEvent::Finished { result } => TaskEnd::Finished {
+        TaskEvent::Finished { result } => RunOutcome::Finished {
             result: result.clone(),
         },
-        TaskEvent::Failed { code } => TaskEnd::Failed { code: *code },
-        TaskEvent::Checkpointed { checkpoint } => TaskEnd::Checkpointed {
+        TaskEvent::Failed { code } => RunOutcome::Failed { code: *code },
+        TaskEvent::Checkpointed { checkpoint } => RunOutcome::Checkpointed {
             checkpoint: CheckpointName::from(checkpoint.as_str()),
         },
-        TaskEvent::Stopped => TaskEnd::Stopped,
-        TaskEvent::Lapsed { checkpoint } => TaskEnd::Lost {
+        TaskEvent::Stopped => RunOutcome::Stopped,
+        TaskEvent::Lapsed { checkpoint } => RunOutcome::Lost {
             checkpoint: checkpoint
                 .as_ref()
                 .map(|name| CheckpointName::from(name.as_str())),
--- a/crates/planner/src/shard_rows.rs
+++ b/crates/planner/src/shard_rows.rs
@@ -61,7 +61,7 @@
         let Some(record) = self.ledger.job(job) else {
             return;
         };
-        if !record.ended() || self.closing.contains(&job) {
+        if !record.is_complete() || self.closing.contains(&job) {
             return;
         }
         let status = JobStatus::new(job, record, self.reason(job));
@@ -127,7 +127,7 @@
             shard: self.calls.permit.shard,
             fingerprint: fingerprint_of(&record.spec),
             status,
-            ended_ms: record.ended().then(|| self.wall_ms()),
+            ended_ms: record.is_complete().then(|| self.wall_ms()),
             results,
         };
         let value = record_codec::encode(&row).ok()?;
@@ -148,7 +148,7 @@
         let count = self.untold.len().min(MOST_TOLD);
         let jobs: Vec<JobId> = self.untold.drain(..count).collect();
         for job in jobs {
-            let closing = self.ledger.job(job).is_none_or(JobRecord::ended);
+            let closing = self.ledger.job(job).is_none_or(JobRecord::is_complete);
             if closing {
                 continue;
             }
--- a/crates/planner/src/shard_runs.rs
+++ b/crates/planner/src/shard_runs.rs
@@ -4,7 +4,7 @@
 
 use jasminebend_placement::{
     CheckpointName,
-    TaskEnd,
+    RunOutcome,
     TaskId,
     TaskState, //
 };
@@ -64,7 +64,7 @@
         let ending = run.wish != StopWish::Keep;
         match run.phase {
             RunPhase::ToStart | RunPhase::Ahead if !run.maybe_started && (ending || !adopted) => {
-                self.end_run(task, TaskEnd::NotStarted);
+                self.end_run(task, RunOutcome::NotStarted);
                 false
             }
             RunPhase::ToStart if adopted => {
@@ -180,7 +180,7 @@
             }
             Err(_) => {
                 run.phase = RunPhase::ToStart;
-                self.end_run(task, TaskEnd::NotStarted);
+                self.end_run(task, RunOutcome::NotStarted);
             }
         }
     }
@@ -203,7 +203,7 @@
         match result {
             Ok(checkpoint) => {
                 let checkpoint = CheckpointName::from(checkpoint.as_str());
-                self.end_run(task, TaskEnd::Checkpointed { checkpoint });
+                self.end_run(task, RunOutcome::Checkpointed { checkpoint });
             }
             Err(CallError::Worker(WorkerError::CheckpointFailed)) => {
                 run.phase = RunPhase::Running;
--- a/crates/planner/src/shard_state.rs
+++ b/crates/planner/src/shard_state.rs
@@ -224,8 +224,8 @@
 
     fn work(&mut self, now: Duration) {
         self.refresh_configuration(now);
-        self.pool.count_time(now);
-        self.learned.pairs.forget(now);
+        self.pool.refill_start_tokens(now);
+        self.learned.interference.decay(now);
         self.tend_runs(now);
         self.plan(now);
         self.scan(now);
@@ -258,8 +258,11 @@
 
     pub(crate) fn reason(&self, job: JobId) -> WaitReason {
         if self.unread || self.table_silent.is_some() {
-            return WaitReason::Table;
+            return WaitReason::TableUnavailable;
         }
-        self.reasons.get(&job).copied().unwrap_or(WaitReason::New)
+        self.reasons
+            .get(&job)
+            .copied()
+            .unwrap_or(WaitReason::NotConsidered)
     }
 }
--- a/crates/planner/src/shard_sweep.rs
+++ b/crates/planner/src/shard_sweep.rs
@@ -28,7 +28,10 @@
         }
         self.next_sweep = now + SWEEP_EVERY;
         self.calls.sweep(self.swept_to.clone());
-        let ended = self.ledger.jobs().filter(|(_, record)| record.ended());
+        let ended = self
+            .ledger
+            .jobs()
+            .filter(|(_, record)| record.is_complete());
         let ended: Vec<JobId> = ended.map(|(job, _)| job).collect();
         for job in ended {
             self.close_if_ended(job);
--- a/crates/planner/src/shard_usage.rs
+++ b/crates/planner/src/shard_usage.rs
@@ -8,9 +8,9 @@
 };
 use jasminebend_placement::{
     ClassKey,
-    LadderAction,
-    LadderReading,
-    ServiceReading,
+    OverloadAction,
+    OverloadReading,
+    ServiceMeasurement,
     TaskId,
     WorkerKey, //
 };
@@ -75,7 +75,7 @@
         };
         let found = self.class_targets.get(&job.spec.class);
         if let (Some(target), Some(run)) = (found, self.runs.get(&task)) {
-            self.learned.pairs.set_target(run.class, *target);
+            self.learned.interference.set_target(run.class, *target);
         }
     }
 
@@ -102,22 +102,22 @@
             return;
         }
         let now = self.now();
-        let mut reading = LadderReading {
-            measured: now,
+        let mut reading = OverloadReading {
+            measured_at: now,
             latency_ratio: 0.0,
             predicted_ratio: 0.0,
-            lifted_ratio: 0.0,
+            unthrottled_ratio: 0.0,
             memory_share: 0.0,
         };
         for measured in usage {
             let time = now.saturating_sub(measured.age);
-            reading.measured = reading.measured.min(time);
+            reading.measured_at = reading.measured_at.min(time);
             let ratio = self.take_measurement(key, measured, time);
             reading.latency_ratio = reading.latency_ratio.max(ratio.unwrap_or(0.0));
         }
         let company = self.links[&key].company.latest();
-        reading.predicted_ratio = self.learned.pairs.predict(company);
-        reading.lifted_ratio = self.lifted_ratio(key);
+        reading.predicted_ratio = self.learned.interference.predict_latency_ratio(company);
+        reading.unthrottled_ratio = self.lifted_ratio(key);
         reading.memory_share = self.memory_share(key);
         let action = self.links[&key].ladder.observe(now, &reading);
         self.climb(key, action);
@@ -140,7 +140,7 @@
         let full_speed = run.speed_millis == FULL_SPEED;
         run.used = measured.used;
         run.counted = counted;
-        self.pool.recount(key, before, counted);
+        self.pool.replace_reservation(key, before, counted);
         let job = self.ledger.job(task.job)?;
         if kind == ClassKind::Batch {
             let team = job.spec.team.clone();
@@ -150,7 +150,7 @@
         // What a throttled run uses tells nothing of what it would.
         if full_speed {
             self.learned
-                .sizes
+                .usage
                 .observe(class, job.spec.size, measured.used);
         }
         let latency = measured.latency_p99?;
@@ -160,23 +160,25 @@
         let declared = job.spec.size.cpu_millis.max(1);
         let load = measured.used.cpu_millis as f64 / declared as f64;
         if let Some(company) = self.links[&key].company.at(time) {
-            self.learned.pairs.observe(&ServiceReading {
-                measured: time,
+            self.learned.interference.observe(&ServiceMeasurement {
+                measured_at: time,
                 service: class,
                 latency_p99: latency,
                 load,
-                company,
+                task_counts: company,
             });
         }
-        self.learned.pairs.target_ratio(class, latency)
+        self.learned.interference.latency_ratio(class, latency)
     }
 
     fn lifted_ratio(&self, key: WorkerKey) -> f64 {
-        let company = self.pool.worker(key).company.iter();
+        let company = self.pool.worker(key).task_counts.iter();
         let lifted: Vec<(ClassKey, f64)> = company
             .map(|(class, count)| (*class, f64::from(*count)))
             .collect();
-        self.learned.pairs.predict_peak(&lifted)
+        self.learned
+            .interference
+            .predict_peak_latency_ratio(&lifted)
     }
 
     /// Returns the memory in use, that of runs not yet measured taken as reserved, over the worker's.
@@ -191,12 +193,12 @@
         used as f64 / self.pool.worker(key).capacity.memory_mib.max(1) as f64
     }
 
-    fn climb(&mut self, key: WorkerKey, action: LadderAction) {
+    fn climb(&mut self, key: WorkerKey, action: OverloadAction) {
         match action {
-            LadderAction::Hold => {}
-            LadderAction::Throttle(speed) => self.throttle_batch(key, speed),
-            LadderAction::Evict => self.evict_one(key, StopWish::Checkpoint),
-            LadderAction::Stop => self.evict_one(key, StopWish::Stop),
+            OverloadAction::NoChange => {}
+            OverloadAction::Throttle(speed) => self.throttle_batch(key, speed),
+            OverloadAction::Evict => self.evict_one(key, StopWish::Checkpoint),
+            OverloadAction::Stop => self.evict_one(key, StopWish::Stop),
         }
     }
 
@@ -209,7 +211,10 @@
         let link = &self.links[&key];
         for task in &link.runs {
             let run = &mut self.runs[task];
-            let blamed = self.learned.pairs.blames(worker, run.class, overloaded);
+            let blamed = self
+                .learned
+                .interference
+                .is_likely_cause(worker, run.class, overloaded);
             let throttled = run.speed_millis < FULL_SPEED;
             if run.kind == ClassKind::Service || !(blamed || throttled) {
                 continue;
@@ -255,9 +260,9 @@
     }
 
     fn effect_on_services(&self, key: WorkerKey, class: ClassKey) -> f64 {
-        let company = self.pool.worker(key).company.iter();
+        let company = self.pool.worker(key).task_counts.iter();
         company
-            .map(|(service, _)| self.learned.pairs.effect(*service, class))
+            .map(|(service, _)| self.learned.interference.effect(*service, class))
             .sum()
     }
 }
--- a/crates/planner/src/shard_vms.rs
+++ b/crates/planner/src/shard_vms.rs
@@ -81,7 +81,7 @@
 
     /// Returns the worker of a name from the journal, also if the VM list no longer has it.
     pub(crate) fn worker_of(&mut self, name: &VmName) -> WorkerKey {
-        if let Some(key) = self.pool.find(name) {
+        if let Some(key) = self.pool.key_of(name) {
             return key;
         }
         let now = self.now();
@@ -103,12 +103,12 @@
         } else if link.leaving {
             WorkerCondition::Leaving
         } else if link.set_aside.is_some() {
-            WorkerCondition::SetAside
+            WorkerCondition::Quarantined
         } else {
             WorkerCondition::Open
         };
         let pressed = link.ladder.speed_millis() < 1000;
-        self.pool.set_pressed(key, pressed);
+        self.pool.set_services_slowed(key, pressed);
         self.pool.set_condition(key, condition);
         if link.leaving {
             self.leave_worker(key);
--- a/crates/planner/src/worker_link.rs
+++ b/crates/planner/src/worker_link.rs
@@ -15,7 +15,7 @@
 };
 use jasminebend_placement::{
     JobId,
-    LoadLadder,
+    OverloadController,
     TaskId, //
 };
 use jasminebend_ports::TaskAttempt;
@@ -56,7 +56,7 @@
     pub(crate) late_starts: Vec<TaskAttempt>,
     /// The runs there that belong nowhere, until they are stopped.
     pub(crate) strays: IndexMap<TaskAttempt, ResourceAmount>,
-    pub(crate) ladder: LoadLadder,
+    pub(crate) ladder: OverloadController,
     pub(crate) company: CompanyLog,
     /// The jobs that failed there since one finished.
     pub(crate) failed_jobs: IndexSet<JobId>,
@@ -86,7 +86,7 @@
             acknowledged: Vec::new(),
             late_starts: Vec::new(),
             strays: IndexMap::new(),
-            ladder: LoadLadder::new(),
+            ladder: OverloadController::new(),
             company: CompanyLog::new(),
             failed_jobs: IndexSet::new(),
             set_aside: None,
--- a/crates/planner/tests/planner/failing_work.rs
+++ b/crates/planner/tests/planner/failing_work.rs
@@ -31,7 +31,7 @@
         let JobPhase::Held { reason } = &status.phase else {
             panic!("not held: {status:?}");
         };
-        let HoldReason::FailsEverywhere { code, workers, .. } = reason;
+        let HoldReason::FailedOnSeveralWorkers { code, workers, .. } = reason;
         assert_eq!((*code, *workers), (42, 3));
         assert!(bed.ledger.runs_of(job.0, 0).len() <= 8);
     }
--- a/crates/planner/tests/planner/outage.rs
+++ b/crates/planner/tests/planner/outage.rs
@@ -66,7 +66,7 @@
             _ => matches!(error, SubmitError::Unknown { .. }),
         };
         assert!(truthful, "{kind:?}: {error}");
-        let reason = WaitReason::Table;
+        let reason = WaitReason::TableUnavailable;
         let waiting = planner.handle.job(job).await.unwrap().phase;
         assert_eq!(waiting, JobPhase::Waiting { reason });
         sleep(seconds(570)).await;
