--- /dev/null
+++ b/crates/fleet/src/job_api.rs
@@ -0,0 +1,485 @@
+//! The API for callers: accepts and cancels jobs, and reports their progress.
+
+use std::{
+    rc::Rc,
+    sync::Arc,
+    time::Duration, //
+};
+
+use jasminebend_dispatch::{
+    JobGraph,
+    JobKey,
+    JobOutcome,
+    JobProgress,
+    ProgressRecord, //
+};
+use serde::Serialize;
+
+use crate::{
+    CallerAnswer,
+    CallerRequest,
+    CallerVerb,
+    CommitOutcome,
+    JobRecord,
+    LogEvent,
+    RowCommit,
+    StoreError,
+    StoreRow,
+    StoreTable,
+    admission_check::check_admission,
+    fleet_log::whole_millis,
+    peer_client::PeerCallError,
+    shared_state::{
+        CANCELLATION_SUFFIX,
+        SHARD_PART,
+        SharedState,
+        job_row_parts, //
+    }, //
+};
+
+/// When a refused caller should retry while the store is lost. A caller retries for a few seconds in total and waits
+/// for whole seconds; the shortest wait leaves it the most attempts.
+const RETRY_WITHOUT_STORE: Duration = Duration::from_secs(1);
+/// How long another daemon may take to answer a read.
+const PEER_READ_TIMEOUT: Duration = Duration::from_millis(1200);
+/// How long another daemon may take to carry out a submission or cancellation; the caller has already waited for the
+/// attempt at this one.
+const PEER_WRITE_TIMEOUT: Duration = Duration::from_millis(350);
+/// The most other daemons to which a request is forwarded.
+const MAX_PEERS_ASKED: usize = 2;
+
+/// The API for callers, behind the HTTP front end.
+pub struct JobApi {
+    shared: Rc<SharedState>,
+}
+
+/// Whether a request may be forwarded to other daemons.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum Forwarding {
+    /// The request came from a caller and may be forwarded.
+    Allowed,
+    /// Another daemon forwarded the request; it goes no further.
+    Forbidden,
+}
+
+/// The rows of a job and its cancellation, from all parts that could be read.
+struct JobRows {
+    rows: Vec<StoreRow>,
+    /// Whether all parts that may hold the job's rows were read.
+    complete: bool,
+}
+
+impl JobRows {
+    fn contains_job(&self, key: JobKey) -> bool {
+        self.contains_key(&key.to_string())
+    }
+
+    fn contains_cancellation(&self, key: JobKey) -> bool {
+        self.contains_key(&format!("{key}{CANCELLATION_SUFFIX}"))
+    }
+
+    fn contains_key(&self, name: &str) -> bool {
+        self.rows.iter().any(|row| row.key == name)
+    }
+}
+
+/// A part of the store in which a row could not be inserted.
+#[derive(Serialize)]
+struct PartFailureLine<'a> {
+    dependency: &'static str,
+    part: &'a str,
+    row: &'a str,
+    outcome: String,
+}
+
+/// The answer to a caller's request, with the state that it was based on.
+#[derive(Serialize)]
+struct RequestLine<'a> {
+    request: &'a str,
+    path: &'a str,
+    outcome: String,
+    config_version: u64,
+    config_age_ms: Option<u64>,
+    owner_token: u64,
+    without_store_ms: u64,
+    took_ms: f64,
+    at_peer: bool,
+}
+
+impl JobApi {
+    pub(crate) fn new(shared: Rc<SharedState>) -> Self {
+        Self { shared }
+    }
+
+    /// Returns the largest accepted body of a caller's request, in bytes.
+    pub fn body_limit(&self) -> usize {
+        const DEFAULT_BODY_LIMIT_BYTES: usize = 256 << 10;
+        self.shared
+            .configuration()
+            .map_or(DEFAULT_BODY_LIMIT_BYTES, |configuration| {
+                configuration.body_limit
+            })
+    }
+
+    /// Answers a caller's request.
+    pub async fn answer(&self, request: CallerRequest) -> CallerAnswer {
+        self.answer_and_log(request, Forwarding::Allowed).await
+    }
+
+    /// Answers a caller's request that another daemon forwarded.
+    pub(crate) async fn answer_for_peer(&self, request: CallerRequest) -> CallerAnswer {
+        self.answer_and_log(request, Forwarding::Forbidden).await
+    }
+
+    async fn answer_and_log(&self, request: CallerRequest, forwarding: Forwarding) -> CallerAnswer {
+        let started_at = self.shared.now();
+        let path = request.path.clone();
+        let verb = verb_label(&request.verb);
+        let answer = self.route(request, forwarding).await;
+        let took = self.shared.now().saturating_sub(started_at);
+        metrics::histogram!("jasminebend_fleet_request_seconds", "verb" => verb)
+            .record(took.as_secs_f64());
+        metrics::counter!("jasminebend_fleet_requests_total", "verb" => verb, "answer" => answer_label(&answer))
+            .increment(1);
+        // Reads are not logged: they are no decisions.
+        if !matches!(answer, CallerAnswer::Progress(_) | CallerAnswer::Waiting(_)) {
+            self.shared.log.line(
+                LogEvent::Request,
+                RequestLine {
+                    request: verb,
+                    path: &path,
+                    outcome: format!("{answer:?}"),
+                    config_version: self
+                        .shared
+                        .configuration()
+                        .map_or(0, |configuration| configuration.version),
+                    config_age_ms: self.shared.configuration_age().map(whole_millis),
+                    owner_token: self.shared.highest_token.get(),
+                    without_store_ms: whole_millis(self.shared.store.failing_for()),
+                    took_ms: took.as_secs_f64() * 1000.0,
+                    at_peer: forwarding == Forwarding::Forbidden,
+                },
+            );
+        }
+        answer
+    }
+
+    async fn route(&self, request: CallerRequest, forwarding: Forwarding) -> CallerAnswer {
+        let Some(configuration) = self.shared.configuration() else {
+            return CallerAnswer::Refused(RETRY_WITHOUT_STORE);
+        };
+        let Some((queue, rest)) = configuration.route(&request.host, &request.path) else {
+            return CallerAnswer::NoQueue;
+        };
+        let queue = Arc::clone(&queue.name);
+        if rest.is_empty() {
+            return match request.verb {
+                CallerVerb::Read => self.count_waiting(&queue, request, forwarding).await,
+                _ => CallerAnswer::Malformed("a job's identity is missing".to_owned()),
+            };
+        }
+        let key = match rest.parse::<JobKey>() {
+            Ok(key) => key,
+            Err(error) => {
+                return match request.verb {
+                    CallerVerb::Submit(_) => CallerAnswer::Malformed(error.to_string()),
+                    CallerVerb::Read | CallerVerb::Cancel => CallerAnswer::NoJob,
+                };
+            }
+        };
+        match &request.verb {
+            CallerVerb::Submit(graph) => match graph.check() {
+                Ok(()) => {
+                    self.submit(key, &queue, graph.clone(), request, forwarding)
+                        .await
+                }
+                Err(error) => CallerAnswer::Malformed(error.to_string()),
+            },
+            CallerVerb::Read => self.read(key, request, forwarding).await,
+            CallerVerb::Cancel => self.cancel(key, request, forwarding).await,
+        }
+    }
+
+    async fn submit(
+        &self,
+        key: JobKey,
+        queue: &str,
+        graph: JobGraph,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
+        let record = JobRecord {
+            queue: queue.to_owned(),
+            accepted_ms: whole_millis(self.shared.wall()),
+            graph,
+        };
+        let Ok(value) = postcard::to_stdvec(&record) else {
+            return CallerAnswer::Malformed("the job can't be kept".to_owned());
+        };
+        if !self.shared.store.is_lost()
+            && let Some(retry_after) =
+                check_admission(&self.shared, key, queue, &record.graph).await
+        {
+            return self.refuse(key, retry_after, request, forwarding).await;
+        }
+        match self.insert(key, key.to_string(), value).await {
+            // A row that already exists was written by an earlier attempt of the same caller.
+            Ok(_) => CallerAnswer::Done,
+            Err(error) => self.forward_after_failure(request, forwarding, error).await,
+        }
+    }
+
+    /// Refuses a job for which there is no free capacity, unless an earlier attempt of the same caller recorded it.
+    async fn refuse(
+        &self,
+        key: JobKey,
+        retry_after: Duration,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
+        match self.read_job_rows(key).await {
+            Ok(rows) if rows.contains_job(key) => CallerAnswer::Done,
+            Ok(rows) if rows.complete => CallerAnswer::Refused(retry_after),
+            _ => {
+                self.forward_after_failure(request, forwarding, StoreError::Refused)
+                    .await
+            }
+        }
+    }
+
+    async fn cancel(
+        &self,
+        key: JobKey,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
+        match self.read_job_rows(key).await {
+            Ok(rows) if rows.contains_job(key) => {}
+            Ok(rows) if rows.complete => return CallerAnswer::NoJob,
+            _ => {
+                return self
+                    .forward_after_failure(request, forwarding, StoreError::Refused)
+                    .await;
+            }
+        }
+        let name = format!("{key}{CANCELLATION_SUFFIX}");
+        match self.insert(key, name, Vec::new()).await {
+            Ok(_) => CallerAnswer::Done,
+            Err(error) => self.forward_after_failure(request, forwarding, error).await,
+        }
+    }
+
+    /// Inserts a job's row, unless it exists, in the first of the job's parts that can be written. Readers treat
+    /// copies of a row in several parts as one row.
+    async fn insert(
+        &self,
+        key: JobKey,
+        name: String,
+        value: Vec<u8>,
+    ) -> Result<CommitOutcome, StoreError> {
+        let mut unknown = false;
+        for part in job_row_parts(key) {
+            if self.shared.store.is_lost() {
+                break;
+            }
+            let row = StoreRow::new(StoreTable::Jobs, &part, name.clone(), value.clone());
+            let commit = RowCommit {
+                guards: vec![row.guard(0)],
+                writes: vec![row],
+            };
+            match self.shared.store.commit(commit).await {
+                Ok(answer) => return Ok(answer),
+                Err(error) => {
+                    unknown |= error != StoreError::Refused;
+                    self.log_part_failure(&part, &name, error);
+                }
+            }
+        }
+        Err(match unknown {
+            true => StoreError::Unknown,
+            false => StoreError::Refused,
+        })
+    }
+
+    fn log_part_failure(&self, part: &str, row: &str, error: StoreError) {
+        self.shared.log.line(
+            LogEvent::Dependency,
+            PartFailureLine {
+                dependency: "store_part",
+                part,
+                row,
+                outcome: error.to_string(),
+            },
+        );
+    }
+
+    /// Reads a job's rows from all of its parts.
+    async fn read_job_rows(&self, key: JobKey) -> Result<JobRows, StoreError> {
+        if self.shared.store.is_lost() {
+            return Err(StoreError::Refused);
+        }
+        let (from, to) = (key.to_string(), format!("{key}~"));
+        let [first, second, third] = job_row_parts(key);
+        let store = &self.shared.store;
+        let (first, second, third) = tokio::join!(
+            store.read_few(StoreTable::Jobs, &first, &from, Some(&to)),
+            store.read_few(StoreTable::Jobs, &second, &from, Some(&to)),
+            store.read_few(StoreTable::Jobs, &third, &from, Some(&to)),
+        );
+        let reads = [first, second, third];
+        let complete = reads.iter().all(Result::is_ok);
+        let read = reads.into_iter().flatten();
+        Ok(JobRows {
+            rows: read.flat_map(|(rows, _)| rows).collect(),
+            complete,
+        })
+    }
+
+    async fn read(
+        &self,
+        key: JobKey,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
+        let term = self.shared.loaded_term();
+        let known = term.and_then(|term| term.dispatcher.borrow().progress(key));
+        if let Some(progress) = known {
+            return CallerAnswer::Progress(progress);
+        }
+        if let Some(answer) = self.read_from_peers(&request, forwarding).await {
+            return answer;
+        }
+        match self.read_from_store(key).await {
+            Ok(Some(progress)) => CallerAnswer::Progress(progress),
+            Ok(None) => CallerAnswer::NoJob,
+            Err(_) => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
+        }
+    }
+
+    /// Reads a job's progress from the store alone.
+    async fn read_from_store(&self, key: JobKey) -> Result<Option<JobProgress>, StoreError> {
+        let rows = self.read_job_rows(key).await?;
+        if !rows.complete {
+            return Err(StoreError::Refused);
+        }
+        if !rows.contains_job(key) {
+            return Ok(None);
+        }
+        let (from, to) = (key.to_string(), format!("{key}~"));
+        let (progress_rows, _) = self
+            .shared
+            .store
+            .read_few(StoreTable::Progress, SHARD_PART, &from, Some(&to))
+            .await?;
+        let record = progress_rows
+            .first()
+            .and_then(|row| postcard::from_bytes::<ProgressRecord>(&row.value).ok());
+        let outcome = record.as_ref().and_then(|record| record.outcome);
+        Ok(Some(match outcome {
+            Some(outcome) => JobProgress::Ended(outcome),
+            None if rows.contains_cancellation(key) => JobProgress::Ended(JobOutcome::Cancelled),
+            None if record.is_some() => JobProgress::Running,
+            None => JobProgress::Queued,
+        }))
+    }
+
+    async fn count_waiting(
+        &self,
+        queue: &str,
+        request: CallerRequest,
+        forwarding: Forwarding,
+    ) -> CallerAnswer {
+        if let Some(term) = self.shared.loaded_term() {
+            return CallerAnswer::Waiting(term.dispatcher.borrow().waiting(queue) as u64);
+        }
+        match self.read_from_peers(&request, forwarding).await {
+            // Another daemon may not know yet a queue that this one knows.
+            Some(answer @ CallerAnswer::Waiting(_)) => answer,
+            _ => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
+        }
+    }
+
+    /// Forwards a read to the owner, or, if this daemon has lost the store and may not know the owner, to any daemon.
+    /// Returns `None` if no daemon answered it.
+    async fn read_from_peers(
+        &self,
+        request: &CallerRequest,
+        forwarding: Forwarding,
+    ) -> Option<CallerAnswer> {
+        if forwarding == Forwarding::Forbidden {
+            return None;
+        }
+        let peers = match self.shared.store.is_lost() {
+            true => self.shared.peer_addresses(),
+            false => self.shared.owner_address().into_iter().collect(),
+        };
+        for address in peers.into_iter().take(MAX_PEERS_ASKED) {
+            let forwarded =
+                self.shared
+                    .forward_to_peer(&address, request.clone(), PEER_READ_TIMEOUT);
+            match forwarded.await {
+                Ok(CallerAnswer::Refused(_) | CallerAnswer::Unknown) | Err(_) => {}
+                Ok(answer) => return Some(answer),
+            }
+        }
+        None
+    }
+
+    /// Forwards a request after the attempt here failed with `error`. If that attempt may have taken effect, a
+    /// refusal by another daemon does not change the outcome from unknown.
+    async fn forward_after_failure(
+        &self,
+        request: CallerRequest,
+        forwarding: Forwarding,
+        error: StoreError,
+    ) -> CallerAnswer {
+        let unknown = error != StoreError::Refused;
+        let answer = match forwarding {
+            Forwarding::Allowed => self.forward_write(request).await,
+            Forwarding::Forbidden => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
+        };
+        match answer {
+            CallerAnswer::Refused(_) if unknown => CallerAnswer::Unknown,
+            answer => answer,
+        }
+    }
+
+    /// Forwards a request to other daemons; refuses it only if none of them can have carried it out.
+    async fn forward_write(&self, request: CallerRequest) -> CallerAnswer {
+        let mut unknown = false;
+        let peers = self.shared.peer_addresses();
+        for address in peers.into_iter().take(MAX_PEERS_ASKED) {
+            let forwarded =
+                self.shared
+                    .forward_to_peer(&address, request.clone(), PEER_WRITE_TIMEOUT);
+            match forwarded.await {
+                Ok(answer @ (CallerAnswer::Done | CallerAnswer::NoJob)) => return answer,
+                Ok(CallerAnswer::Unknown) | Err(PeerCallError::Unanswered) => unknown = true,
+                Ok(_) | Err(PeerCallError::NotSent) => {}
+            }
+        }
+        match unknown {
+            true => CallerAnswer::Unknown,
+            false => CallerAnswer::Refused(RETRY_WITHOUT_STORE),
+        }
+    }
+}
+
+fn verb_label(verb: &CallerVerb) -> &'static str {
+    match verb {
+        CallerVerb::Submit(_) => "submit",
+        CallerVerb::Read => "read",
+        CallerVerb::Cancel => "cancel",
+    }
+}
+
+fn answer_label(answer: &CallerAnswer) -> &'static str {
+    match answer {
+        CallerAnswer::Done => "done",
+        CallerAnswer::Progress(_) | CallerAnswer::Waiting(_) => "told",
+        CallerAnswer::NoJob | CallerAnswer::NoQueue => "not_there",
+        CallerAnswer::Malformed(_) => "malformed",
+        CallerAnswer::Refused(_) => "refused",
+        CallerAnswer::Unknown => "unknown",
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/maintenance_waves.rs
@@ -0,0 +1,198 @@
+//! Carries out maintenance waves.
+
+use std::{
+    rc::Rc,
+    sync::Arc,
+    time::Duration, //
+};
+
+use indexmap::{
+    IndexMap,
+    IndexSet, //
+};
+use serde::Serialize;
+use tokio::time;
+
+use crate::{
+    FleetVms,
+    ListedVm,
+    LogEvent,
+    MaintenanceOutcome,
+    MaintenanceWave,
+    owner_term::OwnerTerm,
+    shared_state::SharedState, //
+};
+
+/// The interval between two steps of an active wave; each step reads the list of VMs, which is an expensive call.
+const WAVE_STEP_INTERVAL: Duration = Duration::from_millis(700);
+/// The interval between checks for a new wave while none is active.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// How long an unanswered call counts as carried out: the platform may carry it out late.
+const ASSUMED_DOWN_TIME: Duration = Duration::from_secs(13);
+
+/// The progress of a wave.
+#[derive(Debug, Default)]
+struct WaveState {
+    /// The VMs whose maintenance has begun or can never take place.
+    handled: IndexSet<Arc<str>>,
+    /// The VMs that may be down though the list shows them as up, with the time when the call was sent: the call got no
+    /// answer, or the list is not up to date yet.
+    maybe_down: IndexMap<Arc<str>, Duration>,
+    /// The completion status last written to the store; `None` before the first write.
+    written_status: Option<bool>,
+}
+
+/// The outcome of a call that sends a VM into maintenance.
+#[derive(Serialize)]
+struct WaveLine<'a> {
+    wave: u64,
+    vm: &'a str,
+    outcome: String,
+    down: usize,
+    cap: usize,
+    owner_token: u64,
+}
+
+/// Carries out maintenance waves until the term is over.
+pub(crate) async fn carry_out_waves(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
+    let Some(vms) = shared.vms.clone() else {
+        return term.until_over().await;
+    };
+    if term.token() > 1 {
+        // The platform counts calls of two owners within this time as two concurrent lease holders.
+        time::sleep(shared.settings.maintenance_lease).await;
+    }
+    let mut states: IndexMap<u64, WaveState> = IndexMap::new();
+    loop {
+        let waves: Vec<MaintenanceWave> =
+            shared.operator.borrow().waves.values().cloned().collect();
+        states.retain(|number, _| waves.iter().any(|wave| wave.number == *number));
+        let open = waves.iter().any(|wave| {
+            let state = states.get(&wave.number);
+            state.is_none_or(|state| state.written_status != Some(true))
+        });
+        if !open || !shared.may_send_orders(&term) {
+            time::sleep(IDLE_CHECK_INTERVAL).await;
+            continue;
+        }
+        if let Some(listed) = vms.list().await {
+            for wave in &waves {
+                let state = states.entry(wave.number).or_default();
+                advance_wave(&shared, &term, &*vms, wave, state, &listed).await;
+            }
+        }
+        time::sleep(WAVE_STEP_INTERVAL).await;
+    }
+}
+
+async fn advance_wave(
+    shared: &SharedState,
+    term: &OwnerTerm,
+    vms: &dyn FleetVms,
+    wave: &MaintenanceWave,
+    state: &mut WaveState,
+    listed: &[ListedVm],
+) {
+    if state.written_status == Some(true) {
+        return;
+    }
+    let now = shared.now();
+    state
+        .maybe_down
+        .retain(|_, sent| now < *sent + ASSUMED_DOWN_TIME);
+    for vm in &wave.vms {
+        let listed_vm = listed.iter().find(|listed_vm| listed_vm.vm == *vm);
+        let Some(listed_vm) = listed_vm else {
+            // A VM that is no longer listed needs no maintenance.
+            state.handled.insert(Arc::clone(vm));
+            continue;
+        };
+        if state.handled.contains(vm) || !listed_vm.up {
+            continue;
+        }
+        let down = count_vms_down(wave, state, listed);
+        if down >= wave.max_down || state.maybe_down.contains_key(vm) {
+            continue;
+        }
+        let ready = listed_vm.worker.as_ref().is_none_or(|worker| {
+            let mut dispatcher = term.dispatcher.borrow_mut();
+            dispatcher.prepare_upkeep(worker, now)
+        });
+        term.plan_wakeup.notify_one();
+        if ready && shared.may_send_orders(term) {
+            start_maintenance(shared, term, vms, wave, state, vm, down).await;
+        }
+        // Workers are drained one VM at a time, so that the others keep running tasks.
+        break;
+    }
+    let completed = wave.vms.iter().all(|vm| state.handled.contains(vm));
+    write_status(shared, term, wave, state, completed).await;
+}
+
+/// Counts the VMs of a wave that are down or may be.
+fn count_vms_down(wave: &MaintenanceWave, state: &WaveState, listed: &[ListedVm]) -> usize {
+    let down = wave.vms.iter().filter(|vm| {
+        let up = listed
+            .iter()
+            .any(|listed_vm| listed_vm.vm == **vm && listed_vm.up);
+        !up || state.maybe_down.contains_key(*vm)
+    });
+    down.count()
+}
+
+async fn start_maintenance(
+    shared: &SharedState,
+    term: &OwnerTerm,
+    vms: &dyn FleetVms,
+    wave: &MaintenanceWave,
+    state: &mut WaveState,
+    vm: &Arc<str>,
+    down: usize,
+) {
+    let sent = shared.now();
+    let outcome = vms
+        .start_maintenance(vm, wave.number, &shared.settings.node, term.token())
+        .await;
+    shared.log.line(
+        LogEvent::Operator,
+        WaveLine {
+            wave: wave.number,
+            vm,
+            outcome: format!("{outcome:?}"),
+            down,
+            cap: wave.max_down,
+            owner_token: term.token(),
+        },
+    );
+    match outcome {
+        MaintenanceOutcome::Begun => {
+            state.handled.insert(Arc::clone(vm));
+            // The list may show the VM as up for a while; it counts as down until `ASSUMED_DOWN_TIME` has passed.
+            state.maybe_down.insert(Arc::clone(vm), sent);
+        }
+        MaintenanceOutcome::Never => drop(state.handled.insert(Arc::clone(vm))),
+        MaintenanceOutcome::Unknown => drop(state.maybe_down.insert(Arc::clone(vm), sent)),
+        MaintenanceOutcome::Fenced => term.end(),
+        MaintenanceOutcome::Busy | MaintenanceOutcome::Refused => {}
+    }
+}
+
+async fn write_status(
+    shared: &SharedState,
+    term: &OwnerTerm,
+    wave: &MaintenanceWave,
+    state: &mut WaveState,
+    completed: bool,
+) {
+    if state.written_status == Some(completed) {
+        return;
+    }
+    let store = &shared.store;
+    let guard = term.guard.clone();
+    let call = store
+        .port()
+        .write_wave_status(wave.number, completed, guard);
+    if store.call(call).await.is_ok() {
+        state.written_status = Some(completed);
+    }
+}
--- a/crates/fleet/src/peer_client.rs
+++ b/crates/fleet/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! The client for the HTTP API of other daemons.
 
 use std::{
     rc::Rc,
@@ -16,27 +16,27 @@
 
 use crate::{
     CallerAnswer,
-    CallerCall,
-    HttpFault,
+    CallerRequest,
+    HttpError,
     HttpPool,
-    OwnerProbe,
     PeerAnswer,
-    PeerCall, //
+    PeerRequest,
+    ProbeResult, //
 };
 
-/// How long a probe waits. Three of them, with their pauses, make an owner silent.
-const PROBE: Duration = Duration::from_millis(400);
+/// How long a probe waits. An owner is taken for silent after three unanswered probes and the pauses between them.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why another daemon did not answer.
+/// Why a call to another daemon failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum PeerFault {
-    /// It never saw the call.
-    Unsent,
-    /// It may have done what it was asked.
+pub(crate) enum PeerCallError {
+    /// The call was not sent.
+    NotSent,
+    /// The call was sent and may have taken effect.
     Unanswered,
 }
 
-/// Calls to other daemons.
+/// The client for the HTTP API of other daemons.
 #[derive(Clone)]
 pub(crate) struct PeerClient {
     pool: Rc<HttpPool>,
@@ -47,45 +47,48 @@
         Self { pool }
     }
 
-    pub(crate) async fn probe(&self, address: &str, token: u64) -> OwnerProbe {
-        match self.call(address, &PeerCall::Probe { token }, PROBE).await {
-            Ok(PeerAnswer::Health(health)) => OwnerProbe::Answered(health),
-            Ok(PeerAnswer::Served(_) | PeerAnswer::Admission(_)) => OwnerProbe::Silent,
-            Err(HttpFault::Closed) => OwnerProbe::Gone,
-            Err(HttpFault::Unsent | HttpFault::Unanswered) => OwnerProbe::Silent,
+    pub(crate) async fn probe(&self, address: &str, token: u64) -> ProbeResult {
+        match self
+            .call(address, &PeerRequest::Probe { token }, PROBE_TIMEOUT)
+            .await
+        {
+            Ok(PeerAnswer::Health(health)) => ProbeResult::Answered(health),
+            Ok(PeerAnswer::Served(_) | PeerAnswer::Admission(_)) => ProbeResult::Unanswered,
+            Err(HttpError::ConnectionRefused) => ProbeResult::ConnectionRefused,
+            Err(HttpError::NotSent | HttpError::Unanswered) => ProbeResult::Unanswered,
         }
     }
 
-    pub(crate) async fn serve(
+    pub(crate) async fn forward_request(
         &self,
         address: &str,
-        call: CallerCall,
-        patience: Duration,
-    ) -> Result<CallerAnswer, PeerFault> {
-        match self.call(address, &PeerCall::Serve(call), patience).await {
+        call: CallerRequest,
+        timeout: Duration,
+    ) -> Result<CallerAnswer, PeerCallError> {
+        match self.call(address, &PeerRequest::Serve(call), timeout).await {
             Ok(PeerAnswer::Served(answer)) => Ok(answer),
-            Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpFault::Unanswered) => {
-                Err(PeerFault::Unanswered)
+            Ok(PeerAnswer::Health(_) | PeerAnswer::Admission(_)) | Err(HttpError::Unanswered) => {
+                Err(PeerCallError::Unanswered)
             }
-            Err(HttpFault::Closed | HttpFault::Unsent) => Err(PeerFault::Unsent),
+            Err(HttpError::ConnectionRefused | HttpError::NotSent) => Err(PeerCallError::NotSent),
         }
     }
 
-    /// Asks whether there is room for a job; nothing if no owner answered.
+    /// Asks the daemon at `address` for an admission decision; returns `None` if it did not answer or is not the owner.
     pub(crate) async fn admit(
         &self,
         address: &str,
         key: JobKey,
         queue: &str,
         graph: &JobGraph,
-        patience: Duration,
+        timeout: Duration,
     ) -> Option<Admission> {
-        let call = PeerCall::Admit {
+        let call = PeerRequest::Admit {
             key,
             queue: queue.to_owned(),
             graph: graph.clone(),
         };
-        match self.call(address, &call, patience).await {
+        match self.call(address, &call, timeout).await {
             Ok(PeerAnswer::Admission(admission)) => admission,
             Ok(_) | Err(_) => None,
         }
@@ -94,15 +97,15 @@
     async fn call(
         &self,
         address: &str,
-        call: &PeerCall,
+        call: &PeerRequest,
         timeout: Duration,
-    ) -> Result<PeerAnswer, HttpFault> {
-        let body = postcard::to_stdvec(call).map_err(|_| HttpFault::Unsent)?;
+    ) -> Result<PeerAnswer, HttpError> {
+        let body = postcard::to_stdvec(call).map_err(|_| HttpError::NotSent)?;
         let request = Request::post("/peer")
             .header(http::header::HOST, address)
             .body(Full::new(Bytes::from(body)))
-            .map_err(|_| HttpFault::Unsent)?;
+            .map_err(|_| HttpError::NotSent)?;
         let reply = self.pool.call(address, request, timeout).await?;
-        postcard::from_bytes(&reply.body).map_err(|_| HttpFault::Unanswered)
+        postcard::from_bytes(&reply.body).map_err(|_| HttpError::Unanswered)
     }
 }
--- a/crates/fleet/tests/daemons/worker_silence.rs
+++ b/crates/fleet/tests/daemons/worker_silence.rs
@@ -1,4 +1,5 @@
-//! What runs on workers after connections to them fell silent. Time is the runtime's and stands still while anything runs.
+//! Runs on workers after connections to the workers went silent. Time is simulated: it advances only while all tasks
+//! wait.
 
 use std::time::Duration;
 
@@ -7,34 +8,38 @@
 use crate::test_fleet::{
     TestFleet,
     job,
-    play_paused,
+    run_simulated,
     submit, //
 };
 
-/// Longer than the longest round of renewals, which are on their way for a part of it.
-const ROUND_MS: u64 = 2100;
-const PHASE_MS: usize = 20;
-const TASKS: usize = 4;
+/// Longer than the longest interval between lease renewals, so that connections are lost in every phase of a renewal.
+const RENEWAL_ROUND_MS: u64 = 2100;
+const PHASE_STEP_MS: usize = 20;
+const TASK_COUNT: usize = 4;
 
-/// Guards against tasks that are lost while daemons and workers are well: the renewal of the lease went unheard on a
+/// Guards against lost tasks while daemons and workers are healthy: the lease lapsed because its renewal was sent on a
 /// connection that had gone silent.
 #[test]
-fn tasks_outlive_the_silence_of_the_connections_to_their_workers() {
-    for phase in (0..ROUND_MS).step_by(PHASE_MS) {
-        play_paused(async {
+fn tasks_survive_silent_connections_to_their_workers() {
+    for phase in (0..RENEWAL_ROUND_MS).step_by(PHASE_STEP_MS) {
+        run_simulated(async {
             let fleet = TestFleet::with_runtime_clock(2);
-            fleet.workers.waits.set(true);
-            fleet.workers.lasts.set(Duration::from_secs(30));
+            fleet.workers.delays_answers.set(true);
+            fleet.workers.run_time.set(Duration::from_secs(30));
             let owner = fleet.daemon();
             let mut service = job(&[(4, &[])]);
             service.steps[0].lasting = true;
             service.steps[0].target = Some(Duration::from_millis(100));
-            submit(&owner.desk, 1, &service).await;
+            submit(&owner.job_api, 1, &service).await;
             time::sleep(Duration::from_secs(5) + Duration::from_millis(phase)).await;
-            assert_eq!(fleet.workers.begins(), TASKS);
+            assert_eq!(fleet.workers.started_runs(), TASK_COUNT);
             fleet.workers.lose_connections();
             time::sleep(Duration::from_secs(20)).await;
-            assert_eq!(fleet.workers.begins(), TASKS, "lost after {phase} ms");
+            assert_eq!(
+                fleet.workers.started_runs(),
+                TASK_COUNT,
+                "lost after {phase} ms"
+            );
         });
     }
 }
