--- a/crates/dispatch/src/admission.rs
+++ b/crates/dispatch/src/admission.rs
@@ -26,13 +26,17 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CpuShortage {
     /// The CPU that the job requests, in millicores.
-    pub demand: u64,
+    #[serde(rename = "demand")]
+    pub requested: u64,
     /// The CPU that is not promised to long-running tasks, in millicores.
-    pub room: u64,
+    #[serde(rename = "room")]
+    pub available: u64,
     /// The part of this CPU that short tasks need, in millicores.
-    pub short_need: u64,
+    #[serde(rename = "short_need")]
+    pub short_task_need: u64,
     /// The time after which there should be enough CPU, counted from the decision.
-    pub back: Duration,
+    #[serde(rename = "back")]
+    pub retry_after: Duration,
 }
 
 /// Grants of long-running jobs that are not known to be on record yet.
--- a/crates/dispatch/src/dispatch_settings.rs
+++ b/crates/dispatch/src/dispatch_settings.rs
@@ -9,21 +9,21 @@
 pub struct DispatchSettings {
     /// The duration of a worker's lease without a renewal. Tasks of a worker that fell silent wait
     /// for its expiry. A renewal is sent every 2 s, and an owner that died is replaced within 2 s.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// The longest time that a worker waits for a run to end before it answers a renewal.
     pub max_renewal_wait: Duration,
     /// The time for which an owner continues to send orders after its ownership was last confirmed.
-    pub unconfirmed: Duration,
+    pub unconfirmed_grace: Duration,
     /// The longest time that stopping a run takes.
-    pub stop: Duration,
+    pub max_stop_duration: Duration,
     /// The factor by which a task takes longer on another rack than its data's.
     pub remote_factor: f64,
     /// The time for which fillers may slow a service down beyond its target.
-    pub harm: Duration,
+    pub max_interference: Duration,
     /// The time for which a service's task counts as absent after its loss.
-    pub notice: Duration,
+    pub unavailability_notice: Duration,
     /// How much earlier than its due time an occurrence may start.
-    pub early: Duration,
+    pub early_start: Duration,
     /// The parts of the policy that are switched off, for trials.
     pub switches: PolicySwitches,
 }
@@ -31,14 +31,14 @@
 impl Default for DispatchSettings {
     fn default() -> Self {
         Self {
-            lease: Duration::from_secs(5),
+            lease_duration: Duration::from_secs(5),
             max_renewal_wait: Duration::from_secs(2),
-            unconfirmed: Duration::from_millis(2000),
-            stop: Duration::from_millis(900),
+            unconfirmed_grace: Duration::from_millis(2000),
+            max_stop_duration: Duration::from_millis(900),
             remote_factor: 2.0,
-            harm: Duration::from_secs(4),
-            notice: Duration::from_millis(4500),
-            early: Duration::ZERO,
+            max_interference: Duration::from_secs(4),
+            unavailability_notice: Duration::from_millis(4500),
+            early_start: Duration::ZERO,
             switches: PolicySwitches::default(),
         }
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -13,8 +13,8 @@
 use jasminebend_base::DomainName;
 
 use crate::{
-    DecisionNote,
     DispatchSettings,
+    FillerEviction,
     FleetConfiguration,
     JobGraph,
     JobKey,
@@ -94,7 +94,7 @@
     /// Orders decided between two plans, to be returned by the next plan.
     pub(crate) pending_orders: Vec<WorkerOrder>,
     /// Log entries to be returned by the next plan.
-    pub(crate) pending_notes: Vec<DecisionNote>,
+    pub(crate) pending_notes: Vec<FillerEviction>,
     pub(crate) commits: CommitTracker,
     pub(crate) interference: InterferenceModel,
     /// Demands for which no worker had capacity in a recent plan.
@@ -161,7 +161,7 @@
 
     /// Replaces the configuration. Rules of queues that it no longer contains stay in force for
     /// their remaining jobs.
-    pub fn configure(&mut self, configuration: Arc<FleetConfiguration>) {
+    pub fn set_configuration(&mut self, configuration: Arc<FleetConfiguration>) {
         for (name, rule) in &configuration.queues {
             self.queue_rules.insert(Arc::clone(name), rule.clone());
         }
@@ -222,14 +222,14 @@
 
     /// Opens the occurrences that are due at `wall`, the time since 1970 that corresponds to `now`
     /// on the process clock.
-    pub fn begin_due(&mut self, wall: Duration, now: Duration) {
+    pub fn open_due_occurrences(&mut self, wall: Duration, now: Duration) {
         self.clock_origin = wall.saturating_sub(now);
         let due: Vec<(JobKey, u32)> = self
             .next_occurrences
             .iter()
             .filter_map(|(&key, &next)| {
                 let schedule = self.jobs.get(&key)?.graph.schedule?;
-                (schedule.due(next) <= wall + self.settings.early).then_some((key, next))
+                (schedule.due(next) <= wall + self.settings.early_start).then_some((key, next))
             })
             .collect();
         for (key, next) in due {
@@ -257,7 +257,7 @@
     }
 
     /// Returns the number of a queue's accepted jobs that have neither started nor ended.
-    pub fn waiting(&self, queue: &str) -> usize {
+    pub fn waiting_job_count(&self, queue: &str) -> usize {
         self.jobs
             .values()
             .filter(|job| job.queue.as_ref() == queue && !job.started && !job.is_over())
@@ -265,7 +265,7 @@
     }
 
     /// Returns the number of jobs that have not ended.
-    pub fn live_jobs(&self) -> usize {
+    pub fn unfinished_job_count(&self) -> usize {
         self.jobs.values().filter(|job| !job.is_over()).count()
     }
 
--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -61,10 +61,10 @@
             return Admission::Granted;
         }
         Admission::Refused(CpuShortage {
-            demand,
-            room,
-            short_need,
-            back: self.retry_after(&pool, required - room, now),
+            requested: demand,
+            available: room,
+            short_task_need: short_need,
+            retry_after: self.retry_after(&pool, required - room, now),
         })
     }
 
--- a/crates/dispatch/src/dispatcher_advice.rs
+++ b/crates/dispatch/src/dispatcher_advice.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    AdviceWish,
+    AdviceRequest,
     Dispatcher,
     StepKey,
     StepSpec,
@@ -28,7 +28,7 @@
 impl Dispatcher {
     /// Stores the tickets, by worker identity, for the tasks of a step; workers without a ticket
     /// may not run it.
-    pub fn advice_answered(
+    pub fn store_tickets(
         &mut self,
         step: StepKey,
         tickets: Vec<(Arc<str>, Arc<str>)>,
@@ -88,7 +88,9 @@
             .take(MAX_WORKERS_PER_ADVICE_REQUEST)
             .map(|(_, key)| Arc::clone(&self.worker(key).record.id))
             .collect();
-        outcome.advice.push(AdviceWish { step, workers });
+        outcome
+            .advice_requests
+            .push(AdviceRequest { step, workers });
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(state) = job.step_mut(step.occurrence, step.step)
         {
--- a/crates/dispatch/src/dispatcher_completions.rs
+++ b/crates/dispatch/src/dispatcher_completions.rs
@@ -9,7 +9,7 @@
     Dispatcher,
     EndedRun,
     JobOutcome,
-    RunEnd,
+    RunResult,
     TaskKey,
     WorkerKey,
     dispatcher::StepOrigin, //
@@ -34,23 +34,23 @@
             return committed;
         };
         self.open_occurrence(step.job, step.occurrence);
-        match ended.end {
-            RunEnd::Done => self.worker_mut(key).health.record_success(),
-            RunEnd::Failed => self.worker_mut(key).health.record_failure(ended.task, now),
+        match ended.result {
+            RunResult::Done => self.worker_mut(key).health.record_success(),
+            RunResult::Failed => self.worker_mut(key).health.record_failure(ended.task, now),
             _ => {}
         }
-        if spec.lasting {
+        if spec.long_running {
             self.mark_unavailable(ended.task, now);
             return committed;
         }
         if let Some(checkpoint) = &ended.checkpoint {
             self.record_checkpoint(ended.task, Arc::clone(checkpoint));
         }
-        match ended.end {
-            RunEnd::Done => {
+        match ended.result {
+            RunResult::Done => {
                 // For gangs and copies, another worker may have reported the same result to the
                 // former owner.
-                let seen_by_owner = seen && !spec.gang && !spec.copies;
+                let seen_by_owner = seen && !spec.gang && !spec.allows_copies;
                 let origin = if seen_by_owner {
                     StepOrigin::ThisOwner
                 } else {
@@ -58,8 +58,8 @@
                 };
                 self.mark_done(ended.task, spec.gang, origin)
             }
-            RunEnd::Failed => self.count_failure(key, ended, spec.gang),
-            RunEnd::Stopped | RunEnd::Lapsed if ended.checkpoint.is_some() => {
+            RunResult::Failed => self.count_failure(key, ended, spec.gang),
+            RunResult::Stopped | RunResult::Lapsed if ended.checkpoint.is_some() => {
                 self.commits.record_change(step.job)
             }
             _ => committed,
@@ -69,7 +69,7 @@
     /// Records how long a task took, for a run that this owner placed at `placed`.
     pub(crate) fn record_run_time(&mut self, ended: &EndedRun, placed: Duration, now: Duration) {
         let step = ended.task.step;
-        if ended.end != RunEnd::Done || !ended.run.is_of_owner(self.fencing_token) {
+        if ended.result != RunResult::Done || !ended.run.is_of_owner(self.fencing_token) {
             return;
         }
         let Some(job) = self.jobs.get(&step.job) else {
@@ -166,7 +166,7 @@
         let attempts = self
             .queue_rules
             .get(&queue)
-            .map_or(1, |rule| rule.attempts.max(1));
+            .map_or(1, |rule| rule.max_attempts.max(1));
         let change = self.commits.record_change(step.job);
         if failures >= attempts as usize {
             self.finish_job(step.job, JobOutcome::Failed);
--- a/crates/dispatch/src/dispatcher_maintenance.rs
+++ b/crates/dispatch/src/dispatcher_maintenance.rs
@@ -15,7 +15,7 @@
     /// Starts nothing more on a worker and stops the runs that can move elsewhere; returns whether
     /// the worker is empty. Long-running tasks are stopped only as far as their step tolerates
     /// missing tasks, others only if they write checkpoints; the rest end by themselves.
-    pub fn prepare_upkeep(&mut self, id: &str, now: Duration) -> bool {
+    pub fn prepare_maintenance(&mut self, id: &str, now: Duration) -> bool {
         let Some(key) = self.worker_key(id) else {
             return true;
         };
@@ -50,8 +50,8 @@
         let Some(spec) = self.step_spec(task.step) else {
             return true;
         };
-        match spec.lasting {
-            true => self.unavailable_task_count(task.step, now) < spec.may_miss,
+        match spec.long_running {
+            true => self.unavailable_task_count(task.step, now) < spec.max_unavailable,
             false => spec.checkpoints,
         }
     }
@@ -70,7 +70,7 @@
             !self.is_fully_running(step.task(*index), task)
                 || task
                     .unavailable_since
-                    .is_some_and(|since| now < since + self.settings.notice)
+                    .is_some_and(|since| now < since + self.settings.unavailability_notice)
         });
         u32::try_from(unavailable.count()).unwrap_or(u32::MAX)
     }
--- a/crates/dispatch/src/dispatcher_plan.rs
+++ b/crates/dispatch/src/dispatcher_plan.rs
@@ -7,16 +7,16 @@
 };
 
 use crate::{
-    AdviceWish,
-    DecisionNote,
+    AdviceRequest,
     Dispatcher,
+    FillerEviction,
     PolicyPart,
     RunNumber,
     StartOrder,
     StepKey,
     StepSpec,
+    StepWait,
     TaskKey,
-    WaitNote,
     WorkerKey,
     WorkerOrder,
     dispatcher_advice::MIN_TICKET_VALIDITY,
@@ -55,11 +55,11 @@
     /// Orders to send to workers.
     pub orders: Vec<WorkerOrder>,
     /// Requests to send to the advice service.
-    pub advice: Vec<AdviceWish>,
+    pub advice_requests: Vec<AdviceRequest>,
     /// Decisions to log: fillers throttled or evicted for a service's sake.
-    pub notes: Vec<DecisionNote>,
+    pub evictions: Vec<FillerEviction>,
     /// Steps that wait although they should have started, to log.
-    pub waits: Vec<WaitNote>,
+    pub waits: Vec<StepWait>,
 }
 
 /// The parameters by which one plan searches workers for the tasks of a step.
@@ -86,8 +86,8 @@
         }
         let mut outcome = PlanOutcome {
             orders,
-            advice: Vec::new(),
-            notes: std::mem::take(&mut self.pending_notes),
+            advice_requests: Vec::new(),
+            evictions: std::mem::take(&mut self.pending_notes),
             waits: Vec::new(),
         };
         self.plan_stops(now, &mut outcome);
@@ -96,19 +96,19 @@
     }
 
     /// Records how late the process's own timers fire, the sign that this process is overloaded.
-    pub fn note_lag(&mut self, lag: Duration, now: Duration) {
+    pub fn report_timer_lag(&mut self, lag: Duration, now: Duration) {
         self.order_window.adjust_to_lag(lag, now);
     }
 
     /// Returns whether the last plan deferred starts and in-flight orders have since been answered,
     /// so that planning again is useful.
-    pub fn holds_back(&self) -> bool {
+    pub fn can_resume_starts(&self) -> bool {
         self.starts_deferred && self.order_window.remaining() > 0
     }
 
     /// Returns whether a decided start is still valid when it is about to be sent: its job may have
     /// been cancelled in the meantime, or its worker may have begun to drain.
-    pub fn still_wants(&self, start: &StartOrder) -> bool {
+    pub fn is_start_still_valid(&self, start: &StartOrder) -> bool {
         let Some(job) = self.jobs.get(&start.task.job()) else {
             return false;
         };
@@ -129,7 +129,7 @@
     fn plan_stops(&mut self, now: Duration, outcome: &mut PlanOutcome) {
         let stops: Vec<(WorkerKey, TaskKey, RunNumber)> =
             self.pending_stops.iter().copied().collect();
-        let stop = self.settings.stop;
+        let stop = self.settings.max_stop_duration;
         for (worker, task, run) in stops {
             let state = &mut self.workers[worker.index()];
             let silent = state.unanswered > 0;
--- a/crates/dispatch/src/dispatcher_pools.rs
+++ b/crates/dispatch/src/dispatcher_pools.rs
@@ -9,13 +9,13 @@
 
 use crate::{
     Dispatcher,
-    PoolUse, //
+    PoolUsage, //
 };
 
 impl Dispatcher {
     /// Returns, for each pool, the CPU that each kind of work holds and the CPU that it waits for.
-    pub fn pool_use(&self, now: Duration) -> Vec<PoolUse> {
-        let mut pools: IndexMap<Arc<str>, PoolUse> = IndexMap::new();
+    pub fn pool_usage(&self, now: Duration) -> Vec<PoolUsage> {
+        let mut pools: IndexMap<Arc<str>, PoolUsage> = IndexMap::new();
         for worker in &self.workers {
             let pool = &worker.record.pool;
             if !self.is_usable(worker, pool, now) {
@@ -40,15 +40,18 @@
                 // CAST: A step has at most 20,000 tasks.
                 let wanted = spec.size.cpu_millis.saturating_mul(pending.count() as u64);
                 let share = pool_entry(&mut pools, &rule.pool).share_mut(spec.kind());
-                share.wanted = share.wanted.saturating_add(wanted);
+                share.waiting = share.waiting.saturating_add(wanted);
             }
         }
         pools.into_values().collect()
     }
 }
 
-fn pool_entry<'a>(pools: &'a mut IndexMap<Arc<str>, PoolUse>, pool: &Arc<str>) -> &'a mut PoolUse {
+fn pool_entry<'a>(
+    pools: &'a mut IndexMap<Arc<str>, PoolUsage>,
+    pool: &Arc<str>,
+) -> &'a mut PoolUsage {
     pools
         .entry(Arc::clone(pool))
-        .or_insert_with(|| PoolUse::new(Arc::clone(pool)))
+        .or_insert_with(|| PoolUsage::new(Arc::clone(pool)))
 }
--- a/crates/dispatch/src/dispatcher_records.rs
+++ b/crates/dispatch/src/dispatcher_records.rs
@@ -22,7 +22,7 @@
 impl Dispatcher {
     /// Takes up to `limit` jobs with uncommitted changes, with the records to write. Returns
     /// nothing while a commit is in flight: there is at most one at a time.
-    pub fn take_commit(&mut self, limit: usize) -> Vec<(JobKey, ProgressRecord)> {
+    pub fn take_records_to_commit(&mut self, limit: usize) -> Vec<(JobKey, ProgressRecord)> {
         if self.commits.is_in_flight() {
             return Vec::new();
         }
@@ -39,12 +39,12 @@
     }
 
     /// Returns whether there are changes to commit and no commit is in flight.
-    pub fn wants_commit(&self) -> bool {
+    pub fn has_changes_to_commit(&self) -> bool {
         !self.commits.is_empty() && !self.commits.is_in_flight()
     }
 
     /// Reports that the commit in flight is on record.
-    pub fn note_committed(&mut self) {
+    pub fn confirm_commit(&mut self) {
         for (key, outcome) in self.commits.confirm() {
             if let Some(job) = self.jobs.get_mut(&key) {
                 job.recorded_outcome = Some(outcome);
@@ -54,13 +54,13 @@
     }
 
     /// Reports that the commit in flight is not known to be on record; its jobs are taken again.
-    pub fn note_uncommitted(&mut self) {
+    pub fn abort_commit(&mut self) {
         self.commits.abort();
     }
 
     /// Restores a job's state from its record. Must be called before any task of the job is
     /// started.
-    pub fn restore(&mut self, key: JobKey, record: &ProgressRecord) {
+    pub fn restore_job(&mut self, key: JobKey, record: &ProgressRecord) {
         let occurrences: IndexSet<u32> = record.steps.iter().map(|step| step.occurrence).collect();
         for occurrence in occurrences {
             self.open_occurrence(key, occurrence);
@@ -94,7 +94,7 @@
     }
 
     /// Returns the learned interference between fillers and services, to be stored for a successor.
-    pub fn learned(&self) -> LearnedRecord {
+    pub fn learned_record(&self) -> LearnedRecord {
         self.interference.record()
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// Returns how long ago a job was accepted, or `None` if it is unknown.
-    pub fn age(&self, key: JobKey, now: Duration) -> Option<Duration> {
+    pub fn job_age(&self, key: JobKey, now: Duration) -> Option<Duration> {
         Some(now.saturating_sub(self.jobs.get(&key)?.accepted))
     }
 }
@@ -162,14 +162,14 @@
     let mut stored = StepProgress {
         occurrence,
         step: number,
-        whole: step.is_done(),
+        all_done: step.is_done(),
         ..StepProgress::default()
     };
     for (index, task) in step.tasks.iter().enumerate() {
         // CAST: A step has at most 20,000 tasks.
         let index = index as u32;
         if task.done {
-            if !stored.whole {
+            if !stored.all_done {
                 stored.done.push(index);
             }
             continue;
@@ -180,7 +180,7 @@
             stored.checkpoints.push((index, checkpoint.to_string()));
         }
     }
-    let empty = !stored.whole
+    let empty = !stored.all_done
         && stored.done.is_empty()
         && stored.failures.is_empty()
         && stored.checkpoints.is_empty();
@@ -190,7 +190,7 @@
 fn restore_step(step: &mut StepState, stored: &StepProgress) {
     for (index, task) in step.tasks.iter_mut().enumerate() {
         // CAST: A step has at most 20,000 tasks.
-        task.done = stored.whole || stored.done.contains(&(index as u32));
+        task.done = stored.all_done || stored.done.contains(&(index as u32));
     }
     for &(index, run) in &stored.failures {
         if let Some(task) = step.tasks.get_mut(index as usize) {
--- a/crates/dispatch/src/dispatcher_reservations.rs
+++ b/crates/dispatch/src/dispatcher_reservations.rs
@@ -12,7 +12,7 @@
     RejectionCounts,
     StepKey,
     StepSpec,
-    WaitNote,
+    StepWait,
     WorkerKey,
     dispatcher_plan::fits_labels,
     placement_score::{
@@ -34,14 +34,14 @@
     /// Reserves as many workers as tasks of the step are missing, preferring those with the most
     /// free CPU, if the step is long-running or a gang. Otherwise small tasks would take each piece
     /// of capacity as it becomes free, and a large task would never fit.
-    pub(crate) fn reserve_workers(&mut self, step: StepKey, missing: usize, now: Duration) {
+    pub(crate) fn reserve_workers(&mut self, step: StepKey, missing_tasks: usize, now: Duration) {
         let limit = (self.workers.len() / MAX_RESERVED_WORKERS_DIVISOR).max(1);
         let left = limit.saturating_sub(self.reserved_workers.len());
         let Some(spec) = self.step_spec(step) else {
             return;
         };
-        let is_enabled = self.settings.switches.has(PolicyPart::RoomKept);
-        if !is_enabled || left == 0 || spec.filler || !(spec.lasting || spec.gang) {
+        let is_enabled = self.settings.switches.has(PolicyPart::CapacityReservation);
+        if !is_enabled || left == 0 || spec.filler || !(spec.long_running || spec.gang) {
             return;
         }
         let Some(rule) = self
@@ -72,7 +72,7 @@
             .map(|key| (self.worker(key).free_capacity().cpu_millis, key))
             .collect();
         candidates.sort_unstable_by(|left, right| right.cmp(left));
-        let chosen = candidates.into_iter().take(missing.min(left));
+        let chosen = candidates.into_iter().take(missing_tasks.min(left));
         self.reserved_workers.extend(chosen.map(|(_, key)| key));
     }
 }
@@ -83,9 +83,9 @@
     pub(crate) fn explain_wait(
         &mut self,
         step: StepKey,
-        missing: usize,
+        missing_tasks: usize,
         now: Duration,
-    ) -> Option<WaitNote> {
+    ) -> Option<StepWait> {
         let job = self.jobs.get(&step.job)?;
         let spec = self.step_spec(step)?;
         let rule = self.queue_rules.get(&job.queue)?;
@@ -96,7 +96,7 @@
         {
             return None;
         }
-        let mut reasons = RejectionCounts::default();
+        let mut rejections = RejectionCounts::default();
         let profile = FillerProfile::new(&self.interference, spec.image.as_ref());
         let context = self.placement_context(spec, &profile, now);
         for (place, worker) in self.workers.iter().enumerate() {
@@ -109,31 +109,31 @@
                     || !fits_labels(worker, spec)
                     || at_spread_limit =>
                 {
-                    &mut reasons.unfit
+                    &mut rejections.unsuitable
                 }
                 () if !worker.listed
                     || worker.record.draining
                     || worker.in_maintenance
                     || self.closed_domains.contains(&worker.record.domain) =>
                 {
-                    &mut reasons.leaving
+                    &mut rejections.leaving
                 }
                 () if !worker.has_owner_token
                     || worker.unanswered > 0
                     || !worker.clock.is_known() =>
                 {
-                    &mut reasons.silent
+                    &mut rejections.unanswered
                 }
-                () if !self.is_usable(worker, &rule.pool, now) => &mut reasons.set_aside,
-                () if size.cpu_millis > free.cpu_millis => &mut reasons.processors,
-                () if !size.fits_in(free) => &mut reasons.memory,
-                () if self.reserved_workers.contains(&key) => &mut reasons.kept,
+                () if !self.is_usable(worker, &rule.pool, now) => &mut rejections.quarantined,
+                () if size.cpu_millis > free.cpu_millis => &mut rejections.processors,
+                () if !size.fits_in(free) => &mut rejections.memory,
+                () if self.reserved_workers.contains(&key) => &mut rejections.reserved,
                 () => match PlacementScore::new(worker, context, true) {
-                    Err(PlacementRejection::Busy) => &mut reasons.busy,
-                    Err(PlacementRejection::Shielded) => &mut reasons.shielded,
-                    Err(PlacementRejection::Learning) => &mut reasons.learning,
-                    Err(PlacementRejection::Harm) => &mut reasons.harm,
-                    Ok(_) => &mut reasons.other,
+                    Err(PlacementRejection::Busy) => &mut rejections.busy,
+                    Err(PlacementRejection::Shielded) => &mut rejections.shielded,
+                    Err(PlacementRejection::Learning) => &mut rejections.learning,
+                    Err(PlacementRejection::Harm) => &mut rejections.interference,
+                    Ok(_) => &mut rejections.other,
                 },
             };
             *reason += 1;
@@ -143,10 +143,10 @@
         {
             state.wait_noted_at = Some(now);
         }
-        Some(WaitNote {
+        Some(StepWait {
             step,
-            missing,
-            reasons,
+            missing_tasks,
+            rejections,
         })
     }
 }
--- a/crates/dispatch/src/dispatcher_runs.rs
+++ b/crates/dispatch/src/dispatcher_runs.rs
@@ -69,12 +69,13 @@
         if matches!(state.phase, RunPhase::Sent) {
             state.phase = RunPhase::Running(now);
         }
-        let is_ready = state.target.is_some() && running.percent >= 100 && state.percent < 100;
-        if running.percent != state.percent {
-            state.percent = running.percent;
+        let is_ready =
+            state.target.is_some() && running.progress_percent >= 100 && state.percent < 100;
+        if running.progress_percent != state.percent {
+            state.percent = running.progress_percent;
             state.last_progress_at = now;
         }
-        state.metric = running.figure;
+        state.metric = running.metric;
         let filler = state.is_filler();
         let is_stuck = state.is_confirmed()
             && state.throttle_percent >= 100
@@ -115,15 +116,15 @@
         };
         self.open_occurrence(step.job, step.occurrence);
         let mut state = RunState::new(running.task, &spec, RunPhase::Running(now), now);
-        state.percent = running.percent;
-        state.metric = running.figure;
+        state.percent = running.progress_percent;
+        state.metric = running.metric;
         self.worker_mut(key).add_run(running.run, state);
         let mut is_surplus = over;
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(step_state) = job.step_mut(step.occurrence, step.step)
             && let Some(task) = step_state.tasks.get_mut(running.task.index as usize)
         {
-            is_surplus |= task.done || (!task.runs.is_empty() && !spec.copies);
+            is_surplus |= task.done || (!task.runs.is_empty() && !spec.allows_copies);
             task.runs.push((key, running.run));
             step_state.add_placed_task(key);
             job.add_run();
--- a/crates/dispatch/src/dispatcher_throttling.rs
+++ b/crates/dispatch/src/dispatcher_throttling.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::{
-    DecisionNote,
     Dispatcher,
+    FillerEviction,
     PolicyPart,
     RunNumber,
     TaskKey,
@@ -190,7 +190,7 @@
             .filter(|(_, _, effect)| *effect >= MIN_CAUSE_EFFECT)
             .map(|&(id, ..)| id)
             .collect();
-        if share >= MIN_THROTTLE_FACTOR && self.settings.switches.has(PolicyPart::Pacing) {
+        if share >= MIN_THROTTLE_FACTOR && self.settings.switches.has(PolicyPart::Throttling) {
             // CAST: A share between 0 and 1.
             let percent =
                 (share * PERCENT_PER_UNIT) as u32 / THROTTLE_STEP_PERCENT * THROTTLE_STEP_PERCENT;
@@ -264,7 +264,7 @@
         key: WorkerKey,
         service: (TaskKey, RunNumber),
         effects: Vec<FillerRunEffect>,
-        moved: usize,
+        evicted_count: usize,
         now: Duration,
     ) {
         let run = self.worker(key).runs.get(&service);
@@ -275,8 +275,8 @@
         let expected = run
             .and_then(|run| run.load)
             .map_or(0.0, |load| load.forecast(now, LOAD_FORECAST_HORIZON));
-        self.pending_notes.push(DecisionNote {
-            at: now,
+        self.pending_notes.push(FillerEviction {
+            evicted_at: now,
             worker: key,
             service: service.0,
             image: self.run_image(key, service),
@@ -286,7 +286,7 @@
                 .into_iter()
                 .map(|((task, _), image, effect)| (task, image, effect))
                 .collect(),
-            moved,
+            evicted_count,
         });
     }
 
@@ -340,7 +340,7 @@
             }
         }
         for (task, run, percent) in changed {
-            self.pending_orders.push(WorkerOrder::Pace {
+            self.pending_orders.push(WorkerOrder::Throttle {
                 worker: key,
                 task,
                 run,
@@ -350,7 +350,7 @@
     }
 
     /// Records that a throttle order may not be in effect, so that it is sent again.
-    pub fn pace_unsure(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
+    pub fn invalidate_throttle(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
         if let Some(state) = self.worker_mut(worker).runs.get_mut(&(task, run)) {
             state.throttle_percent = u32::MAX;
         }
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -9,10 +9,10 @@
     Dispatcher,
     EndedRun,
     FleetWorker,
-    HoldOrder,
-    HoldReport,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
     OrderRefusal,
+    RenewalReport,
     RunNumber,
     TaskKey,
     WorkerClock,
@@ -34,17 +34,17 @@
     /// Returns how long after a takeover workers may continue to execute a former owner's orders.
     /// Unless the former owner is known to be gone, it may itself have acted for a while after it
     /// was replaced.
-    pub fn inheritance(&self, former_is_gone: bool) -> Duration {
-        let lease = WorkerClock::longest(self.settings.lease);
+    pub fn inherited_orders_lifetime(&self, former_is_gone: bool) -> Duration {
+        let lease = WorkerClock::longest(self.settings.lease_duration);
         match former_is_gone {
             true => lease,
-            false => lease + self.settings.unconfirmed,
+            false => lease + self.settings.unconfirmed_grace,
         }
     }
 
     /// Sets the time until which workers that have not yet answered may continue to execute a
     /// former owner's orders.
-    pub fn extend_inheritance(&mut self, until: Duration) {
+    pub fn set_inherited_until(&mut self, until: Duration) {
         let inherited = self.workers.iter_mut();
         for worker in inherited.filter(|worker| worker.inherited_until.is_some()) {
             worker.inherited_until = Some(until);
@@ -53,7 +53,7 @@
 
     /// Adds or updates a worker that the registry lists. `inherited` is the time until which the
     /// worker may continue to execute a former owner's orders, if there was one.
-    pub fn list_worker(&mut self, record: FleetWorker, inherited: Option<Duration>) -> WorkerKey {
+    pub fn upsert_worker(&mut self, record: FleetWorker, inherited: Option<Duration>) -> WorkerKey {
         let key = match self.worker_keys.get(&record.id) {
             Some(&key) => {
                 self.update_record(key, record);
@@ -70,7 +70,7 @@
     }
 
     /// Returns whether a worker is already listed with an identical record.
-    pub fn lists_so(&self, record: &FleetWorker) -> bool {
+    pub fn is_listed_as(&self, record: &FleetWorker) -> bool {
         self.worker_key(&record.id).is_some_and(|key| {
             let known = self.worker(key);
             known.listed && known.record == *record
@@ -78,21 +78,21 @@
     }
 
     /// Marks a worker as no longer listed by the registry.
-    pub fn unlist_worker(&mut self, id: &str) {
+    pub fn mark_unlisted(&mut self, id: &str) {
         if let Some(&key) = self.worker_keys.get(id) {
             self.worker_mut(key).listed = false;
         }
     }
 
     /// Marks all workers as unlisted, before the registry is read again.
-    pub fn unlist_all(&mut self) {
+    pub fn mark_all_unlisted(&mut self) {
         for worker in &mut self.workers {
             worker.listed = false;
         }
     }
 
     /// Returns the workers whose leases are to be renewed.
-    pub fn attended_workers(&self) -> Vec<WorkerKey> {
+    pub fn workers_to_renew(&self) -> Vec<WorkerKey> {
         (0..self.workers.len())
             .map(WorkerKey::new)
             .filter(|key| !self.is_retired(*key))
@@ -114,12 +114,12 @@
     }
 
     /// Returns when a worker last answered, or `None` if it never did.
-    pub fn heard(&self, key: WorkerKey) -> Option<Duration> {
+    pub fn last_answer_at(&self, key: WorkerKey) -> Option<Duration> {
         self.worker(key).last_answer_at
     }
 
     /// Returns whether a completion of this number from a worker was processed already.
-    pub fn has_processed(&self, id: &str, number: u64) -> bool {
+    pub fn has_processed_completion(&self, id: &str, number: u64) -> bool {
         self.worker_key(id)
             .is_some_and(|key| number <= self.worker(key).last_processed)
     }
@@ -147,14 +147,14 @@
 
     /// Returns the next lease renewal for a worker, and records the lease as granted. An owner that
     /// is not `confirmed` only reads the worker's state and grants no lease.
-    pub fn hold_order(&mut self, key: WorkerKey, confirmed: bool, now: Duration) -> HoldOrder {
-        let lease = self.settings.lease;
-        let wait = self.renewal_wait(key);
+    pub fn next_renewal(&mut self, key: WorkerKey, confirmed: bool, now: Duration) -> LeaseRenewal {
+        let lease = self.settings.lease_duration;
+        let max_wait = self.renewal_wait(key);
         let worker = self.worker_mut(key);
         // A call that may not arrive grants no lease: otherwise an owner that keeps calling a dead
         // worker would extend the lease forever.
         let may_grant = confirmed && worker.unanswered == 0;
-        HoldOrder {
+        LeaseRenewal {
             deadline: may_grant.then(|| worker.clock.grant(lease, now)).flatten(),
             // After missed answers another incarnation may answer, whose completions use the same
             // numbers.
@@ -163,34 +163,35 @@
             } else {
                 0
             },
-            wait,
+            max_wait,
         }
     }
 
     /// Returns whether a worker has reported completions that are not on record yet; a renewal now
     /// would return the same completions at once.
-    pub fn owes_acknowledgement(&self, key: WorkerKey) -> bool {
+    pub fn has_pending_acknowledgements(&self, key: WorkerKey) -> bool {
         !self.worker(key).pending_acks.is_empty()
     }
 
     /// Returns the lease deadline, on the worker's clock, of an order sent at `now`; `None` while
     /// the worker's clock is unknown.
-    pub fn order_deadline(&mut self, key: WorkerKey, now: Duration) -> Option<Duration> {
-        let lease = self.settings.lease;
+    pub fn grant_order_deadline(&mut self, key: WorkerKey, now: Duration) -> Option<Duration> {
+        let lease = self.settings.lease_duration;
         self.worker_mut(key).clock.grant(lease, now)
     }
 
     /// Processes a worker's answer to a lease renewal that was sent at `sent`.
-    pub fn hold_answered(
+    pub fn handle_renewal_report(
         &mut self,
         key: WorkerKey,
         sent: Duration,
-        report: HoldReport,
+        report: RenewalReport,
         now: Duration,
     ) {
         let previous = self.worker(key).incarnation;
-        let lease = self.settings.lease;
-        let is_restarted = previous.is_some() && report.born.is_some() && previous != report.born;
+        let lease = self.settings.lease_duration;
+        let is_restarted =
+            previous.is_some() && report.incarnation.is_some() && previous != report.incarnation;
         let worker = self.worker_mut(key);
         if is_restarted {
             // A start sent a moment ago may run in the new incarnation, so the runs are not given
@@ -198,7 +199,7 @@
             // have.
             worker.reset_incarnation();
         }
-        worker.incarnation = report.born.or(worker.incarnation);
+        worker.incarnation = report.incarnation.or(worker.incarnation);
         worker.clock.hear(report.clock, now);
         if is_restarted {
             // Covers the lease that such a start has granted to the new incarnation.
@@ -209,8 +210,8 @@
         worker.connection_refused = false;
         worker.has_owner_token = true;
         worker.inherited_until = None;
-        let is_truncated = report.ended.len() >= MAX_COMPLETIONS_PER_REPORT;
-        for ended in report.ended {
+        let is_truncated = report.completions.len() >= MAX_COMPLETIONS_PER_REPORT;
+        for ended in report.completions {
             self.process_completion(key, ended, now);
         }
         let listed: Vec<(TaskKey, RunNumber)> = report
@@ -230,44 +231,44 @@
 
     /// Records that this process was suspended: its knowledge of the workers is stale, and any of
     /// them may have restarted without a failed call.
-    pub fn note_pause(&mut self) {
+    pub fn note_suspension(&mut self) {
         for worker in &mut self.workers {
             worker.unanswered = worker.unanswered.max(1);
         }
     }
 
     /// Records that a renewal failed.
-    pub fn hold_unanswered(&mut self, key: WorkerKey, end: OrderEnd) {
+    pub fn handle_renewal_failure(&mut self, key: WorkerKey, end: OrderOutcome) {
         let worker = self.worker_mut(key);
         worker.unanswered += 1;
-        worker.connection_refused = end == OrderEnd::Refused(OrderRefusal::Closed);
+        worker.connection_refused = end == OrderOutcome::Refused(OrderRefusal::Closed);
     }
 
     /// Records the outcome of a start order.
-    pub fn start_ended(
+    pub fn handle_start_outcome(
         &mut self,
         key: WorkerKey,
         task: TaskKey,
         run: RunNumber,
-        end: OrderEnd,
+        end: OrderOutcome,
         now: Duration,
     ) {
         self.order_window.record_answered();
         match end {
-            OrderEnd::Taken => {
+            OrderOutcome::Taken => {
                 if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run))
                     && state.phase == RunPhase::Sent
                 {
                     state.phase = RunPhase::Running(now);
                 }
             }
-            OrderEnd::Unknown => {
+            OrderOutcome::Unknown => {
                 if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run)) {
                     state.phase = RunPhase::Unsure;
                     self.stop_run(key, task, run);
                 }
             }
-            OrderEnd::Refused(refusal) => {
+            OrderOutcome::Refused(refusal) => {
                 self.handle_start_refusal(key, task, refusal, now);
                 self.release_run(key, task, run, now);
             }
@@ -275,18 +276,18 @@
     }
 
     /// Records the outcome of a stop order.
-    pub fn stop_ended(
+    pub fn handle_stop_outcome(
         &mut self,
         key: WorkerKey,
         task: TaskKey,
         run: RunNumber,
-        end: OrderEnd,
+        end: OrderOutcome,
         now: Duration,
     ) {
         self.order_window.record_answered();
         let answered_at = match end {
-            OrderEnd::Taken | OrderEnd::Refused(OrderRefusal::Old) => Some(now),
-            OrderEnd::Refused(_) | OrderEnd::Unknown => return,
+            OrderOutcome::Taken | OrderOutcome::Refused(OrderRefusal::Old) => Some(now),
+            OrderOutcome::Refused(_) | OrderOutcome::Unknown => return,
         };
         if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run)) {
             state.phase = RunPhase::Stopping(answered_at);
@@ -294,7 +295,7 @@
     }
 
     /// Gives up the runs of workers whose lease has certainly lapsed or that have left.
-    pub fn note_lapses(&mut self, now: Duration) {
+    pub fn expire_leases(&mut self, now: Duration) {
         for place in 0..self.workers.len() {
             let key = WorkerKey::new(place);
             // Checking a worker must not mark it as changed.
@@ -328,7 +329,10 @@
             .runs
             .keys()
             .copied()
-            .filter(|(task, _)| self.step_spec(task.step).is_some_and(|spec| spec.lasting))
+            .filter(|(task, _)| {
+                self.step_spec(task.step)
+                    .is_some_and(|spec| spec.long_running)
+            })
             .collect();
         for (task, run) in lasting {
             self.stop_run(key, task, run);
--- a/crates/dispatch/src/decision_note.rs
+++ b/crates/dispatch/src/filler_eviction.rs
@@ -12,9 +12,9 @@
 
 /// Log entry: fillers were evicted because a service answered too slowly.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DecisionNote {
+pub struct FillerEviction {
     /// When the fillers were evicted, on the owner's process clock.
-    pub at: Duration,
+    pub evicted_at: Duration,
     /// The worker that the service runs on.
     pub worker: WorkerKey,
     /// The service's task for whose sake the fillers were evicted.
@@ -28,5 +28,5 @@
     /// The worker's fillers, each with its image and its estimated effect on the service's load.
     pub fillers: Vec<(TaskKey, Option<Arc<str>>, f64)>,
     /// The number of fillers that were evicted.
-    pub moved: usize,
+    pub evicted_count: usize,
 }
--- a/crates/dispatch/src/fleet_worker.rs
+++ b/crates/dispatch/src/fleet_worker.rs
@@ -34,7 +34,8 @@
     /// Whether the worker is about to leave, so that nothing more may start on it.
     pub draining: bool,
     /// When the worker's incarnation began, since 1970, if known.
-    pub born: Option<Duration>,
+    #[serde(rename = "born")]
+    pub incarnation: Option<Duration>,
 }
 
 impl FleetWorker {
--- a/crates/dispatch/src/graph_error.rs
+++ b/crates/dispatch/src/graph_error.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum GraphError {
     /// The payload is too long.
-    #[display("the payload has {bytes} bytes, more than the limit of {MAX_PAYLOAD_BYTES}")]
+    #[display("the payload has {bytes} bytes, at most {MAX_PAYLOAD_BYTES} are taken")]
     Payload {
         /// The payload's length in bytes.
         bytes: usize,
     },
     /// The job has no steps, or too many.
-    #[display("the job has {count} steps, the limits are 1 and {MAX_STEPS}")]
+    #[display("a job has 1 to {MAX_STEPS} steps, not {count}")]
     Steps {
         /// The number of steps.
         count: usize,
@@ -30,13 +30,13 @@
         step: usize,
     },
     /// The job has too many tasks.
-    #[display("the job has {count} tasks, more than the limit of {MAX_TASKS}")]
+    #[display("a job has at most {MAX_TASKS} tasks, not {count}")]
     Tasks {
         /// The number of tasks.
         count: u64,
     },
     /// A step depends on a step that does not exist.
-    #[display("step {step} depends on step {before}, which does not exist")]
+    #[display("step {step} waits for step {before}, which is not there")]
     UnknownStep {
         /// The step's number, from 0.
         step: usize,
@@ -44,6 +44,6 @@
         before: u16,
     },
     /// The dependencies of the steps form a cycle.
-    #[display("the dependencies of the steps form a cycle")]
+    #[display("the steps wait for one another in a circle")]
     Cycle,
 }
--- a/crates/dispatch/src/job_graph.rs
+++ b/crates/dispatch/src/job_graph.rs
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// Returns the first [`GraphError`] found.
-    pub fn check(&self) -> Result<(), GraphError> {
+    pub fn validate(&self) -> Result<(), GraphError> {
         if self.payload.len() > MAX_PAYLOAD_BYTES {
             return Err(GraphError::Payload {
                 bytes: self.payload.len(),
@@ -67,8 +67,8 @@
     }
 
     /// Returns whether the job has a long-running step and so runs until it is cancelled.
-    pub fn lasts(&self) -> bool {
-        self.steps.iter().any(|step| step.lasting)
+    pub fn is_long_running(&self) -> bool {
+        self.steps.iter().any(|step| step.long_running)
     }
 
     /// Returns, for each step, the declared run time of the longest dependency chain that begins
@@ -76,7 +76,7 @@
     pub fn remaining_chains(&self) -> Vec<Duration> {
         let mut chains: Vec<Duration> = self.steps.iter().map(|step| step.estimate).collect();
         for number in self.ordered().into_iter().rev() {
-            for &before in &self.steps[number].after {
+            for &before in &self.steps[number].dependencies {
                 let before = usize::from(before);
                 let chain = self.steps[before].estimate + chains[number];
                 chains[before] = chains[before].max(chain);
@@ -99,7 +99,7 @@
 
     fn check_order(&self) -> Result<(), GraphError> {
         for (number, step) in self.steps.iter().enumerate() {
-            for &before in &step.after {
+            for &before in &step.dependencies {
                 if usize::from(before) >= self.steps.len() {
                     return Err(GraphError::UnknownStep {
                         step: number,
@@ -122,7 +122,10 @@
         loop {
             let before = order.len();
             for (number, step) in self.steps.iter().enumerate() {
-                let ready = step.after.iter().all(|&step| is_ordered[usize::from(step)]);
+                let ready = step
+                    .dependencies
+                    .iter()
+                    .all(|&step| is_ordered[usize::from(step)]);
                 if !is_ordered[number] && ready {
                     is_ordered[number] = true;
                     order.push(number);
--- a/crates/dispatch/src/job_key.rs
+++ b/crates/dispatch/src/job_key.rs
@@ -21,7 +21,7 @@
 
 /// Error for a text that is not a valid job identifier.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-#[display("a job identifier is 16 lower-case hexadecimal digits")]
+#[display("a job's identity is 16 hexadecimal digits in lower case")]
 pub struct JobKeyError;
 
 impl JobKey {
@@ -32,7 +32,7 @@
 
     /// Returns the partition of the job, from 0 to `count - 1`; jobs spread evenly over the
     /// partitions.
-    pub fn spread(self, count: u8) -> u8 {
+    pub fn partition(self, count: u8) -> u8 {
         // Fibonacci hashing: multiplying by an odd number near 2^64 over the golden ratio
         // carries every bit upwards.
         const MIX: u64 = 0x9e37_79b9_7f4a_7c15;
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -167,7 +167,7 @@
         let steps = graph.steps.iter().map(|spec| StepState {
             tasks: vec![TaskState::default(); spec.count as usize],
             done_count: 0,
-            open: spec.after.is_empty(),
+            open: spec.dependencies.is_empty(),
             inherited,
             first_rack: None,
             tasks_per_worker: IndexMap::new(),
@@ -189,7 +189,7 @@
     pub(crate) fn open_steps(&mut self, graph: &JobGraph, origin: StepOrigin) {
         for (number, spec) in graph.steps.iter().enumerate() {
             let ready = |&before: &u16| self.steps[usize::from(before)].is_done();
-            if !self.steps[number].open && spec.after.iter().all(ready) {
+            if !self.steps[number].open && spec.dependencies.iter().all(ready) {
                 self.steps[number].open = true;
                 self.steps[number].inherited &= origin == StepOrigin::Unknown;
             }
@@ -210,7 +210,7 @@
     /// Returns whether a worker already runs as many of the step's tasks as its spread allows.
     pub(crate) fn is_at_spread_limit(&self, worker: WorkerKey, spec: &StepSpec) -> bool {
         let held = self.tasks_per_worker.get(&worker).copied().unwrap_or(0);
-        spec.spread.is_some_and(|most| held >= most)
+        spec.max_per_worker.is_some_and(|most| held >= most)
     }
 
     /// Counts a task placed on a worker.
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -5,10 +5,9 @@
 //! the same orders.
 
 mod admission;
-mod advice_wish;
+mod advice_request;
 mod commit_tracker;
 mod decaying_sum;
-mod decision_note;
 mod dispatch_settings;
 mod dispatcher;
 mod dispatcher_admission;
@@ -23,10 +22,10 @@
 mod dispatcher_starvation;
 mod dispatcher_throttling;
 mod dispatcher_workers;
+mod filler_eviction;
 mod fleet_configuration;
 mod fleet_worker;
 mod graph_error;
-mod hold_report;
 mod interference_model;
 mod job_graph;
 mod job_key;
@@ -40,19 +39,20 @@
 mod policy_part;
 mod pool_demand;
 mod pool_rule;
-mod pool_use;
+mod pool_usage;
 mod progress_record;
 mod queue_rule;
-mod run_end;
+mod renewal_report;
 mod run_number;
+mod run_result;
 mod run_state;
 mod service_snapshot;
 mod short_demand;
 mod step_rank;
 mod step_spec;
+mod step_wait;
 mod task_key;
 mod unplaceable_demands;
-mod wait_note;
 mod worker_clock;
 mod worker_health;
 mod worker_key;
@@ -64,22 +64,17 @@
         Admission,
         CpuShortage, //
     },
-    advice_wish::AdviceWish,
-    decision_note::DecisionNote,
+    advice_request::AdviceRequest,
     dispatch_settings::DispatchSettings,
     dispatcher::{
         AcceptedJob,
         Dispatcher, //
     },
     dispatcher_plan::PlanOutcome,
+    filler_eviction::FillerEviction,
     fleet_configuration::FleetConfiguration,
     fleet_worker::FleetWorker,
     graph_error::GraphError,
-    hold_report::{
-        EndedRun,
-        HoldReport,
-        RunningTask, //
-    },
     job_graph::JobGraph,
     job_key::{
         JobKey,
@@ -98,12 +93,12 @@
     policy_part::{
         PolicyPart,
         PolicySwitches,
-        UnknownPart, //
+        UnknownPolicyPart, //
     },
     pool_rule::PoolRule,
-    pool_use::{
-        PoolUse,
-        WorkShare, //
+    pool_usage::{
+        CpuUsage,
+        PoolUsage, //
     },
     progress_record::{
         ProgressRecord,
@@ -113,26 +108,31 @@
         AdviceRule,
         QueueRule, //
     },
-    run_end::RunEnd,
+    renewal_report::{
+        EndedRun,
+        RenewalReport,
+        RunningTask, //
+    },
     run_number::RunNumber,
+    run_result::RunResult,
     step_spec::{
         StepSpec,
         WorkKind, //
     },
+    step_wait::{
+        RejectionCounts,
+        StepWait, //
+    },
     task_key::{
         StepKey,
         TaskKey,
         TaskKeyError, //
     },
-    wait_note::{
-        RejectionCounts,
-        WaitNote, //
-    },
     worker_clock::WorkerClock,
     worker_key::WorkerKey,
     worker_order::{
-        HoldOrder,
-        OrderEnd,
+        LeaseRenewal,
+        OrderOutcome,
         OrderRefusal,
         StartOrder,
         WorkerOrder, //
--- a/crates/dispatch/src/placement_score.rs
+++ b/crates/dispatch/src/placement_score.rs
@@ -98,7 +98,7 @@
             (None, false) => None,
         };
         let is_near = preferred_rack.is_none_or(|preferred_rack| rack == Some(preferred_rack));
-        let (low_interference, fit) = match (spec.filler, spec.target.is_some()) {
+        let (low_interference, fit) = match (spec.filler, spec.tail_target.is_some()) {
             (true, _) => filler_fit(worker, context)?,
             (false, true) => service_fit(worker, spec, context.interference),
             (false, false) => (0, -leftover(worker, spec)),
@@ -108,7 +108,7 @@
             true => -openness(worker, spec),
             false => 0,
         };
-        let image_affinity = match spec.target {
+        let image_affinity = match spec.tail_target {
             Some(_) if switches.has(PolicyPart::ServicesTogether) => {
                 -other_service_images(worker, spec)
             }
--- a/crates/dispatch/src/policy_part.rs
+++ b/crates/dispatch/src/policy_part.rs
@@ -34,7 +34,7 @@
     KeepHarmlessFillers,
     /// Fillers are throttled before they are evicted.
     #[display("pacing")]
-    Pacing,
+    Throttling,
     /// Services of one image are placed together.
     #[display("services-together")]
     ServicesTogether,
@@ -49,7 +49,7 @@
     LongRunningLast,
     /// Free capacity is reserved for large tasks that have waited.
     #[display("room-kept")]
-    RoomKept,
+    CapacityReservation,
     /// Demands for which no worker had capacity are cached.
     #[display("hopeless-demands")]
     UnplaceableDemandCache,
@@ -67,7 +67,7 @@
 /// Error for a name that is not a part of the policy.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("`{name}` is no part of the policy; there are {}", PolicyPart::names())]
-pub struct UnknownPart {
+pub struct UnknownPolicyPart {
     /// The unknown name.
     pub name: String,
 }
@@ -88,12 +88,12 @@
         Self::PlacementByRisk,
         Self::UnknownFillersSingly,
         Self::KeepHarmlessFillers,
-        Self::Pacing,
+        Self::Throttling,
         Self::ServicesTogether,
         Self::OpenWorkersLast,
         Self::StartedJobsFirst,
         Self::LongRunningLast,
-        Self::RoomKept,
+        Self::CapacityReservation,
         Self::UnplaceableDemandCache,
         Self::WorkerQuarantine,
         Self::LearnedStateRestore,
@@ -106,12 +106,12 @@
 }
 
 impl FromStr for PolicyPart {
-    type Err = UnknownPart;
+    type Err = UnknownPolicyPart;
 
     fn from_str(name: &str) -> Result<Self, Self::Err> {
         let mut parts = Self::ALL.into_iter();
         let part = parts.find(|part| part.to_string() == name);
-        part.ok_or_else(|| UnknownPart {
+        part.ok_or_else(|| UnknownPolicyPart {
             name: name.to_owned(),
         })
     }
@@ -132,7 +132,7 @@
     }
 
     /// Returns the parts that are switched off.
-    pub fn missing(self) -> impl Iterator<Item = PolicyPart> {
+    pub fn switched_off(self) -> impl Iterator<Item = PolicyPart> {
         let parts = PolicyPart::ALL.into_iter();
         parts.filter(move |part| !self.has(*part))
     }
--- a/crates/dispatch/src/pool_rule.rs
+++ b/crates/dispatch/src/pool_rule.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolRule {
     /// Whether the pool's workers reject a run that exceeds their capacity.
-    pub guards: bool,
+    pub rejects_overload: bool,
     /// Whether the pool's VMs are switched off until they are moved elsewhere.
     pub standby: bool,
 }
--- a/crates/dispatch/src/progress_record.rs
+++ b/crates/dispatch/src/progress_record.rs
@@ -28,7 +28,8 @@
     /// The step's number, from 0.
     pub step: u16,
     /// Whether all tasks of the step are done.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub all_done: bool,
     /// The numbers of the done tasks; empty if all are done.
     pub done: Vec<u32>,
     /// The runs that failed, each with its task's number.
--- a/crates/dispatch/src/queue_rule.rs
+++ b/crates/dispatch/src/queue_rule.rs
@@ -19,12 +19,12 @@
     /// The queue's priority: 0 is planned first.
     pub priority: u32,
     /// The number of failed runs of one task after which its job fails; 0 counts as 1.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// The factor by which a job's duration may exceed the declared run time of its longest
     /// dependency chain; below 1 counts as 1.
-    pub stretch: f64,
+    pub duration_factor: f64,
     /// The time added to that to yield the job's objective.
-    pub allowance: Duration,
+    pub duration_allowance: Duration,
     /// The timing of ticket requests, if the pool's workers require tickets.
     pub advice: Option<AdviceRule>,
 }
@@ -33,9 +33,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdviceRule {
     /// The base duration of a request.
-    pub decide: Duration,
+    pub base_duration: Duration,
     /// The additional duration for each worker in the request.
-    pub each: Duration,
+    pub per_worker_duration: Duration,
     /// The time for which a ticket is valid.
     pub validity: Duration,
 }
--- a/crates/dispatch/src/hold_report.rs
+++ b/crates/dispatch/src/renewal_report.rs
@@ -6,22 +6,22 @@
 };
 
 use crate::{
-    RunEnd,
     RunNumber,
+    RunResult,
     TaskKey, //
 };
 
 /// Worker's answer to a lease renewal.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct HoldReport {
+pub struct RenewalReport {
     /// The reading of the worker's clock.
     pub clock: Duration,
     /// When the worker's incarnation began, since 1970, if known.
-    pub born: Option<Duration>,
+    pub incarnation: Option<Duration>,
     /// The runs that are executing.
     pub running: Vec<RunningTask>,
     /// The completions that were not acknowledged yet, in the order of their numbers.
-    pub ended: Vec<EndedRun>,
+    pub completions: Vec<EndedRun>,
 }
 
 /// A run that is executing on a worker.
@@ -34,10 +34,10 @@
     /// The run's last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
     /// The run's progress, in percent.
-    pub percent: u32,
+    pub progress_percent: u32,
     /// The run's metric over about the last half second: for a task that serves requests its tail
     /// latency in milliseconds, for any other the CPU that it uses in millicores.
-    pub figure: Option<u64>,
+    pub metric: Option<u64>,
 }
 
 /// A completed run.
@@ -50,7 +50,7 @@
     /// The run's number.
     pub run: RunNumber,
     /// The run's result.
-    pub end: RunEnd,
+    pub result: RunResult,
     /// The run's last checkpoint, if any.
     pub checkpoint: Option<Arc<str>>,
 }
--- a/crates/dispatch/src/run_end.rs
+++ b/crates/dispatch/src/run_result.rs
@@ -4,7 +4,7 @@
 
 /// Result of a run as its worker reports it.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum RunEnd {
+pub enum RunResult {
     /// The task is done.
     #[display("done")]
     Done,
--- a/crates/dispatch/src/run_state.rs
+++ b/crates/dispatch/src/run_state.rs
@@ -72,7 +72,7 @@
             reserved: spec.reserved(),
             filler_cpu: if spec.filler { spec.size.cpu_millis } else { 0 },
             image: spec.image.clone(),
-            target: spec.target,
+            target: spec.tail_target,
             placed_at: now,
             percent: 0,
             last_progress_at: now,
--- a/crates/dispatch/src/step_rank.rs
+++ b/crates/dispatch/src/step_rank.rs
@@ -55,7 +55,7 @@
         let rule = self.queue_rules.get(&job.queue);
         let priority = rule.map_or(u32::MAX, |rule| rule.priority);
         let switches = self.settings.switches;
-        if job.graph.lasts() {
+        if job.graph.is_long_running() {
             let yields = switches.has(PolicyPart::LongRunningLast);
             let since = job.waiting_since(step.occurrence, step.step);
             let is_overdue = !yields || now >= since + LONG_RUNNING_YIELD_TIME;
@@ -76,7 +76,7 @@
             .copied()
             .unwrap_or_default();
         let objective = rule.map_or(longest, |rule| {
-            longest.mul_f64(rule.stretch.max(1.0)) + rule.allowance
+            longest.mul_f64(rule.duration_factor.max(1.0)) + rule.duration_allowance
         });
         let start = job.occurrence_start(step.occurrence, self.clock_origin);
         let remaining = job
--- a/crates/dispatch/src/step_spec.rs
+++ b/crates/dispatch/src/step_spec.rs
@@ -21,7 +21,8 @@
     /// The declared run time of a task; a rough value.
     pub estimate: Duration,
     /// The steps whose tasks must all be done before this step starts.
-    pub after: Vec<u16>,
+    #[serde(rename = "after")]
+    pub dependencies: Vec<u16>,
     /// Whether the tasks form a gang: they run only all together.
     pub gang: bool,
     /// Whether the tasks are slower when spread over more than one rack.
@@ -31,23 +32,28 @@
     /// The rack where the step's data is stored, if known.
     pub data_rack: Option<Arc<str>>,
     /// The maximum number of the step's tasks on one worker; `None` for no limit.
-    pub spread: Option<u32>,
+    #[serde(rename = "spread")]
+    pub max_per_worker: Option<u32>,
     /// Whether several runs of a task may execute at the same time.
-    pub copies: bool,
+    #[serde(rename = "copies")]
+    pub allows_copies: bool,
     /// Whether the tasks are long-running: they run until the job is cancelled.
-    pub lasting: bool,
+    #[serde(rename = "lasting")]
+    pub long_running: bool,
     /// Whether a task saves checkpoints, from which a later run resumes.
     pub checkpoints: bool,
     /// The image that the tasks run; tasks of one image are assumed to behave alike.
     pub image: Option<Arc<str>>,
     /// The tail latency that the tasks must stay below, if they serve requests.
-    pub target: Option<Duration>,
+    #[serde(rename = "target")]
+    pub tail_target: Option<Duration>,
     /// Whether the tasks are fillers: best-effort tasks that use only CPU that other tasks leave
     /// idle.
     pub filler: bool,
     /// The maximum number of the step's long-running tasks that the scheduler itself may make
     /// unavailable at a time.
-    pub may_miss: u32,
+    #[serde(rename = "may_miss")]
+    pub max_unavailable: u32,
 }
 
 /// How a step's tasks use their worker's CPU.
@@ -64,7 +70,7 @@
 impl StepSpec {
     /// Returns how the step's tasks use their worker's CPU.
     pub fn kind(&self) -> WorkKind {
-        match (self.filler, self.lasting) {
+        match (self.filler, self.long_running) {
             (true, _) => WorkKind::Filler,
             (false, true) => WorkKind::LongRunning,
             (false, false) => WorkKind::Short,
--- a/crates/dispatch/src/wait_note.rs
+++ b/crates/dispatch/src/step_wait.rs
@@ -12,14 +12,14 @@
     /// Workers that are draining, unlisted, in maintenance or in a closed failure domain.
     pub leaving: usize,
     /// Workers that did not answer the last call, or have not answered since the owner changed.
-    pub silent: usize,
+    pub unanswered: usize,
     /// Workers quarantined because runs failed or got stuck there.
-    pub set_aside: usize,
+    pub quarantined: usize,
     /// Workers of another pool, without the required label, or that already run as many of the
     /// step's tasks as its spread allows.
-    pub unfit: usize,
+    pub unsuitable: usize,
     /// Workers whose free capacity is reserved for steps that have waited longer.
-    pub kept: usize,
+    pub reserved: usize,
     /// Workers whose unreserved CPU is estimated to be in use by services or other fillers.
     pub busy: usize,
     /// Workers where a service was too slow a moment ago.
@@ -27,7 +27,7 @@
     /// Workers where the effect of another, recently placed filler is not visible yet.
     pub learning: usize,
     /// Workers where the filler would slow a service down too much.
-    pub harm: usize,
+    pub interference: usize,
     /// Workers with free capacity for which there is no ticket, or that were used for other tasks
     /// of the step.
     pub other: usize,
@@ -35,11 +35,11 @@
 
 /// A step that waits although it should have started.
 #[derive(Clone, Debug)]
-pub struct WaitNote {
+pub struct StepWait {
     /// The waiting step.
     pub step: StepKey,
     /// The number of its tasks for which no worker was found.
-    pub missing: usize,
+    pub missing_tasks: usize,
     /// The number of workers rejected for each reason.
-    pub reasons: RejectionCounts,
+    pub rejections: RejectionCounts,
 }
--- a/crates/dispatch/src/task_key.rs
+++ b/crates/dispatch/src/task_key.rs
@@ -30,7 +30,7 @@
 
 /// Error for a text that is not a valid task identifier.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-#[display("a task identifier has the form <job>.<occurrence>.<step>.<index>")]
+#[display("a task's identity is a job's and three numbers, with dots between")]
 pub struct TaskKeyError;
 
 impl StepKey {
--- a/crates/dispatch/src/unplaceable_demands.rs
+++ b/crates/dispatch/src/unplaceable_demands.rs
@@ -37,7 +37,7 @@
             reserved: spec.reserved(),
             filler: spec.filler.then(|| spec.image.clone()),
             cpu: spec.size.cpu_millis,
-            is_cacheable: spec.label.is_none() && spec.spread.is_none() && !needs_ticket,
+            is_cacheable: spec.label.is_none() && spec.max_per_worker.is_none() && !needs_ticket,
             needs_ticket,
         }
     }
--- a/crates/dispatch/src/worker_order.rs
+++ b/crates/dispatch/src/worker_order.rs
@@ -43,7 +43,7 @@
         run: RunNumber,
     },
     /// Throttles a run.
-    Pace {
+    Throttle {
         /// The worker that receives the order.
         worker: WorkerKey,
         /// The task of the run.
@@ -57,7 +57,7 @@
 
 /// Outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// The worker carried the order out.
     Taken,
     /// The order was refused and had no effect.
@@ -91,12 +91,12 @@
 
 /// Lease renewal sent to a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct HoldOrder {
+pub struct LeaseRenewal {
     /// The time until which the worker may execute its runs, on the worker's clock; `None` on the
     /// first contact, when that clock is unknown, and if no lease is granted.
     pub deadline: Option<Duration>,
     /// The number of the last completion that is on record; 0 for none.
     pub acknowledged: u64,
     /// The longest time that the worker waits for a completion before it answers.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
--- a/crates/dispatch/tests/common/fleet.rs
+++ b/crates/dispatch/tests/common/fleet.rs
@@ -16,7 +16,7 @@
     JobKey,
     JobProgress,
     ProgressRecord,
-    RunEnd,
+    RunResult,
     TaskKey,
     WorkerKey, //
 };
@@ -144,7 +144,7 @@
     pub(crate) fn with_attempts(mut self, attempts: u32) -> Self {
         self.attempts = attempts;
         let configuration = configuration(attempts);
-        self.owner().dispatcher.configure(configuration);
+        self.owner().dispatcher.set_configuration(configuration);
         self
     }
 
@@ -157,13 +157,13 @@
     pub(crate) fn replace_owner(&mut self) {
         let token = self.owners.len() as u64 + 1;
         let mut dispatcher = Dispatcher::new(token, DispatchSettings::default());
-        dispatcher.configure(configuration(self.attempts));
+        dispatcher.set_configuration(configuration(self.attempts));
         let keys: Vec<WorkerKey> = self
             .workers
             .iter()
             .map(|worker| {
-                let until = self.now + dispatcher.inheritance(false);
-                dispatcher.list_worker(worker.record().clone(), (token > 1).then_some(until))
+                let until = self.now + dispatcher.inherited_orders_lifetime(false);
+                dispatcher.upsert_worker(worker.record().clone(), (token > 1).then_some(until))
             })
             .collect();
         for (&key, (graph, cancelled)) in &self.jobs {
@@ -173,7 +173,7 @@
             }
         }
         for (&key, record) in &self.records {
-            dispatcher.restore(key, record);
+            dispatcher.restore_job(key, record);
         }
         self.owners.push(Owner {
             dispatcher,
@@ -270,7 +270,7 @@
                     let count = running.entry(*task).or_insert(1);
                     *count = count.saturating_sub(1);
                 }
-                WorkerDeed::Noted(task, RunEnd::Done) => {
+                WorkerDeed::Noted(task, RunResult::Done) => {
                     noted.entry(*task).or_insert(at);
                 }
                 WorkerDeed::Noted(..) => {}
--- a/crates/dispatch/tests/common/fleet_messages.rs
+++ b/crates/dispatch/tests/common/fleet_messages.rs
@@ -4,12 +4,12 @@
 
 use jasminebend_dispatch::{
     DispatchSettings,
-    HoldOrder,
-    HoldReport,
     JobKey,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
     OrderRefusal,
     ProgressRecord,
+    RenewalReport,
     WorkerKey,
     WorkerOrder, //
 };
@@ -33,9 +33,14 @@
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     Order(usize, WorkerOrder, Duration),
-    OrderAnswer(usize, WorkerOrder, OrderEnd),
-    Renewal(usize, WorkerKey, HoldOrder, Duration),
-    RenewalAnswer(usize, WorkerKey, Duration, Result<HoldReport, OrderEnd>),
+    OrderAnswer(usize, WorkerOrder, OrderOutcome),
+    Renewal(usize, WorkerKey, LeaseRenewal, Duration),
+    RenewalAnswer(
+        usize,
+        WorkerKey,
+        Duration,
+        Result<RenewalReport, OrderOutcome>,
+    ),
     CommitAnswer(usize, Vec<(JobKey, ProgressRecord)>, bool),
     RenewalDue(usize, WorkerKey),
 }
@@ -50,19 +55,19 @@
         }
         let state = &mut self.owners[owner];
         if now > state.last_acted_at + SUSPENSION_THRESHOLD {
-            state.dispatcher.note_pause();
+            state.dispatcher.note_suspension();
         }
         state.last_acted_at = now;
-        state.dispatcher.note_lapses(now);
+        state.dispatcher.expire_leases(now);
         // The simulated clock is also the wall clock.
-        state.dispatcher.begin_due(now, now);
+        state.dispatcher.open_due_occurrences(now, now);
         let outcome = state.dispatcher.plan(now);
         for order in outcome.orders {
             self.send(owner, order);
         }
         let state = &mut self.owners[owner];
         if !state.committing {
-            let records = state.dispatcher.take_commit(45);
+            let records = state.dispatcher.take_records_to_commit(45);
             if !records.is_empty() {
                 state.committing = true;
                 self.commit(owner, records);
@@ -79,7 +84,7 @@
         if current {
             state.last_confirmed_at = now;
         }
-        now < state.last_confirmed_at + DispatchSettings::default().unconfirmed
+        now < state.last_confirmed_at + DispatchSettings::default().unconfirmed_grace
     }
 
     /// Stores records, subject to faults; only the current owner's commits succeed.
@@ -103,11 +108,13 @@
         let now = self.now;
         let worker = worker_of(&order);
         let dispatcher = &mut self.owners[owner].dispatcher;
-        let deadline = dispatcher.order_deadline(worker, now).unwrap_or_default();
+        let deadline = dispatcher
+            .grant_order_deadline(worker, now)
+            .unwrap_or_default();
         if now < self.unreachable_until[worker.index()] || self.chance(self.faults.lost) {
             self.push(
                 CALL_TIMEOUT,
-                Event::OrderAnswer(owner, order, OrderEnd::Unknown),
+                Event::OrderAnswer(owner, order, OrderOutcome::Unknown),
             );
             return;
         }
@@ -115,7 +122,7 @@
             let later = ms(self.random.random_range(2000..12_000));
             self.push(
                 CALL_TIMEOUT,
-                Event::OrderAnswer(owner, order.clone(), OrderEnd::Unknown),
+                Event::OrderAnswer(owner, order.clone(), OrderOutcome::Unknown),
             );
             self.push(
                 later,
@@ -154,9 +161,9 @@
                 let is_unreachable = now < self.unreachable_until[key.index()];
                 let answer = match is_unreachable {
                     true if self.has_left[key.index()] => {
-                        Err(OrderEnd::Refused(OrderRefusal::Closed))
+                        Err(OrderOutcome::Refused(OrderRefusal::Closed))
                     }
-                    true => Err(OrderEnd::Unknown),
+                    true => Err(OrderOutcome::Unknown),
                     false => self.workers[key.index()].hold(now, owner as u64 + 1, order),
                 };
                 let wait = if is_unreachable {
@@ -173,8 +180,8 @@
                 let state = &mut self.owners[owner];
                 state.committing = false;
                 match known {
-                    true => state.dispatcher.note_committed(),
-                    false => state.dispatcher.note_uncommitted(),
+                    true => state.dispatcher.confirm_commit(),
+                    false => state.dispatcher.abort_commit(),
                 }
             }
         }
@@ -190,7 +197,7 @@
         };
         let place = worker_of(&order).index();
         // A delayed order is lost if its worker has restarted since it was sent.
-        if self.workers[place].record().born > Some(sent) {
+        if self.workers[place].record().incarnation > Some(sent) {
             return;
         }
         let work = self.work;
@@ -200,7 +207,7 @@
                 worker.start(now, token, start, deadline, work(start.task))
             }
             WorkerOrder::Stop { task, run, .. } => worker.stop(now, token, *task, *run),
-            WorkerOrder::Pace { .. } => OrderEnd::Taken,
+            WorkerOrder::Throttle { .. } => OrderOutcome::Taken,
         };
         let capacity = worker.record().capacity;
         if !worker.used().fits_in(capacity) {
@@ -214,26 +221,32 @@
         match self.chance(self.faults.unanswered) {
             true => self.push(
                 CALL_TIMEOUT,
-                Event::OrderAnswer(owner, order, OrderEnd::Unknown),
+                Event::OrderAnswer(owner, order, OrderOutcome::Unknown),
             ),
             false => self.push(MESSAGE_DELAY, Event::OrderAnswer(owner, order, end)),
         }
     }
 
-    fn handle_order_answer(&mut self, owner: usize, order: WorkerOrder, end: OrderEnd) {
+    fn handle_order_answer(&mut self, owner: usize, order: WorkerOrder, end: OrderOutcome) {
         let now = self.now;
         let state = &mut self.owners[owner];
-        state.deposed |= end == OrderEnd::Refused(OrderRefusal::Fenced);
+        state.deposed |= end == OrderOutcome::Refused(OrderRefusal::Fenced);
         match order {
             WorkerOrder::Start(start) => {
-                state
-                    .dispatcher
-                    .start_ended(start.worker, start.task, start.run, end, now);
+                state.dispatcher.handle_start_outcome(
+                    start.worker,
+                    start.task,
+                    start.run,
+                    end,
+                    now,
+                );
             }
             WorkerOrder::Stop { worker, task, run } => {
-                state.dispatcher.stop_ended(worker, task, run, end, now);
+                state
+                    .dispatcher
+                    .handle_stop_outcome(worker, task, run, end, now);
             }
-            WorkerOrder::Pace { .. } => {}
+            WorkerOrder::Throttle { .. } => {}
         }
     }
 
@@ -245,7 +258,7 @@
         let confirmed = self.confirm_ownership(owner);
         let order = self.owners[owner]
             .dispatcher
-            .hold_order(key, confirmed, now);
+            .next_renewal(key, confirmed, now);
         self.push(MESSAGE_DELAY, Event::Renewal(owner, key, order, now));
     }
 
@@ -254,18 +267,20 @@
         owner: usize,
         key: WorkerKey,
         sent: Duration,
-        answer: Result<HoldReport, OrderEnd>,
+        answer: Result<RenewalReport, OrderOutcome>,
     ) {
         let now = self.now;
         let state = &mut self.owners[owner];
         match answer {
             Ok(report) => {
-                state.dispatcher.hold_answered(key, sent, report, now);
+                state
+                    .dispatcher
+                    .handle_renewal_report(key, sent, report, now);
                 self.push(ms(50), Event::RenewalDue(owner, key));
             }
-            Err(OrderEnd::Refused(OrderRefusal::Fenced)) => state.deposed = true,
+            Err(OrderOutcome::Refused(OrderRefusal::Fenced)) => state.deposed = true,
             Err(end) => {
-                state.dispatcher.hold_unanswered(key, end);
+                state.dispatcher.handle_renewal_failure(key, end);
                 self.push(ms(200), Event::RenewalDue(owner, key));
             }
         }
@@ -286,7 +301,7 @@
 fn worker_of(order: &WorkerOrder) -> WorkerKey {
     match order {
         WorkerOrder::Start(start) => start.worker,
-        WorkerOrder::Stop { worker, .. } | WorkerOrder::Pace { worker, .. } => *worker,
+        WorkerOrder::Stop { worker, .. } | WorkerOrder::Throttle { worker, .. } => *worker,
     }
 }
 
--- a/crates/dispatch/tests/common/job_builders.rs
+++ b/crates/dispatch/tests/common/job_builders.rs
@@ -24,7 +24,7 @@
         count,
         size: ResourceAmount::new(1000, 100),
         estimate: ms(500),
-        after: after.to_vec(),
+        dependencies: after.to_vec(),
         ..StepSpec::default()
     }
 }
@@ -37,16 +37,16 @@
     }
 }
 
-pub(crate) fn configuration(attempts: u32) -> Arc<FleetConfiguration> {
+pub(crate) fn configuration(max_attempts: u32) -> Arc<FleetConfiguration> {
     let rule = QueueRule {
         name: "queue".into(),
         host: "host".to_owned(),
         prefix: "/queue/".to_owned(),
         pool: "pool".into(),
         priority: 0,
-        attempts,
-        stretch: 2.0,
-        allowance: ms(1000),
+        max_attempts,
+        duration_factor: 2.0,
+        duration_allowance: ms(1000),
         advice: None,
     };
     let mut queues = IndexMap::new();
--- a/crates/dispatch/tests/fillers.rs
+++ b/crates/dispatch/tests/fillers.rs
@@ -30,10 +30,10 @@
     DispatchSettings,
     Dispatcher,
     FleetWorker,
-    HoldReport,
     JobGraph,
     JobKey,
-    OrderEnd,
+    OrderOutcome,
+    RenewalReport,
     RunNumber,
     RunningTask,
     StartOrder,
@@ -63,7 +63,7 @@
 impl Pool {
     fn new(workers: usize, tail: fn(f64) -> u64) -> Self {
         let mut dispatcher = Dispatcher::new(1, DispatchSettings::default());
-        dispatcher.configure(configuration(3));
+        dispatcher.set_configuration(configuration(3));
         let workers = (0..workers)
             .map(|number| {
                 let record = FleetWorker {
@@ -75,9 +75,9 @@
                     labels: Vec::new(),
                     capacity: ResourceAmount::new(32_000, 128_000),
                     draining: false,
-                    born: None,
+                    incarnation: None,
                 };
-                dispatcher.list_worker(record, None)
+                dispatcher.upsert_worker(record, None)
             })
             .collect();
         let mut pool = Self {
@@ -132,10 +132,11 @@
                 WorkerOrder::Stop { worker, task, run } => {
                     self.running.swap_remove(&(worker, task, run));
                     self.stop_count += 1;
-                    let end = OrderEnd::Taken;
-                    self.dispatcher.stop_ended(worker, task, run, end, self.now);
+                    let end = OrderOutcome::Taken;
+                    self.dispatcher
+                        .handle_stop_outcome(worker, task, run, end, self.now);
                 }
-                WorkerOrder::Pace {
+                WorkerOrder::Throttle {
                     worker,
                     task,
                     run,
@@ -150,11 +151,11 @@
     fn start(&mut self, start: &StartOrder) {
         self.running
             .insert((start.worker, start.task, start.run), 100);
-        self.dispatcher.start_ended(
+        self.dispatcher.handle_start_outcome(
             start.worker,
             start.task,
             start.run,
-            OrderEnd::Taken,
+            OrderOutcome::Taken,
             self.now,
         );
     }
@@ -182,28 +183,28 @@
                 run,
                 checkpoint: None,
                 // Fillers make progress for as long as the test runs.
-                percent: if is_service(task) { 100 } else { progress },
-                figure: Some(if is_service(task) {
+                progress_percent: if is_service(task) { 100 } else { progress },
+                metric: Some(if is_service(task) {
                     self.tail(task, share)
                 } else {
                     self.filler_cpu_millis / 100 * u64::from(percent)
                 }),
             });
-            let report = HoldReport {
+            let report = RenewalReport {
                 clock: self.now,
-                born: None,
+                incarnation: None,
                 running: running.collect(),
-                ended: Vec::new(),
+                completions: Vec::new(),
             };
             self.dispatcher
-                .hold_answered(worker, self.now, report, self.now);
+                .handle_renewal_report(worker, self.now, report, self.now);
         }
     }
 
     /// Returns the learned effect of a filler image on the load of the only service image; 0 if
     /// none was observed.
     fn learned_effect(&self, image: &str) -> f32 {
-        let learned = self.dispatcher.learned();
+        let learned = self.dispatcher.learned_record();
         let pairs = &learned.services[0].fillers;
         let pair = pairs.iter().find(|(name, _)| name == image);
         pair.map_or(0.0, |(_, effect)| effect.mean)
@@ -237,8 +238,8 @@
 
 fn service(image: &str, count: u32) -> JobGraph {
     graph(vec![StepSpec {
-        lasting: true,
-        target: Some(ms(18)),
+        long_running: true,
+        tail_target: Some(ms(18)),
         image: Some(image.into()),
         size: ResourceAmount::new(6000, 12_000),
         ..step(count, &[])
@@ -384,9 +385,9 @@
     predecessor.submit(100, filler("harmless", 1));
     predecessor.run_for(ms(20_000));
     let mut pool = Pool::new(1, sensitive_queue_tail_ms);
-    let learned = predecessor.dispatcher.learned();
+    let learned = predecessor.dispatcher.learned_record();
     pool.dispatcher.restore_learned(&learned);
-    assert_eq!(pool.dispatcher.learned(), learned);
+    assert_eq!(pool.dispatcher.learned_record(), learned);
     pool.submit(1, service("service-a", 2));
     pool.run_for(ms(2000));
     pool.submit(10, filler("harmful", 2));
@@ -551,15 +552,15 @@
     pool.run_for(ms(3000));
     pool.submit(10, filler("harmful", 1));
     pool.run_for(ms(3000));
-    let learned = pool.dispatcher.learned();
+    let learned = pool.dispatcher.learned_record();
     pool.tail_by_task = Some(|_, _, _| 0);
     pool.run_for(ms(3000));
-    assert_eq!(pool.dispatcher.learned(), learned);
+    assert_eq!(pool.dispatcher.learned_record(), learned);
     pool.tail_by_task = None;
     for cpu_millis in [40_000, u64::MAX] {
         pool.filler_cpu_millis = cpu_millis;
         pool.run_for(ms(3000));
-        assert_eq!(pool.dispatcher.learned(), learned);
+        assert_eq!(pool.dispatcher.learned_record(), learned);
     }
 }
 
@@ -639,7 +640,7 @@
 #[test]
 fn harmful_filler_runs_while_most_of_the_pool_is_free() {
     let mut service_worker = service("service-a", 6);
-    service_worker.steps[0].spread = Some(2);
+    service_worker.steps[0].max_per_worker = Some(2);
     let pause = longest_pause_of_harmful_fillers(service_worker);
     assert!(pause < ms(3000), "{pause:?}");
 }
--- a/crates/dispatch/tests/job_graphs.rs
+++ b/crates/dispatch/tests/job_graphs.rs
@@ -17,7 +17,7 @@
 #[test]
 fn valid_graph_is_accepted() {
     let job = graph(vec![step(3, &[]), step(1, &[0]), step(2, &[0, 1])]);
-    assert_eq!(job.check(), Ok(()));
+    assert_eq!(job.validate(), Ok(()));
     assert_eq!(job.task_count(), 6);
 }
 
@@ -47,7 +47,7 @@
         ),
     ];
     for (job, error) in cases {
-        assert_eq!(job.check(), Err(error), "{error}");
+        assert_eq!(job.validate(), Err(error), "{error}");
     }
 }
 
--- a/crates/dispatch/tests/long_running_admission.rs
+++ b/crates/dispatch/tests/long_running_admission.rs
@@ -30,7 +30,7 @@
 
 fn long_running_job(count: u32) -> JobGraph {
     graph(vec![StepSpec {
-        lasting: true,
+        long_running: true,
         ..step(count, &[])
     }])
 }
@@ -246,8 +246,8 @@
     let Admission::Refused(shortage) = refused else {
         panic!("{refused:?}");
     };
-    assert_eq!((shortage.demand, shortage.room), (8000, 0));
-    let back = shortage.back.as_secs_f64();
+    assert_eq!((shortage.requested, shortage.available), (8000, 0));
+    let back = shortage.retry_after.as_secs_f64();
     assert!((6.0..20.0).contains(&back), "{shortage:?}");
 }
 
@@ -274,10 +274,10 @@
 #[test]
 fn jobs_of_absurd_size_do_not_affect_others() {
     let (mut fleet, _) = busy_fleet();
-    let huge = |lasting| {
+    let huge = |long_running| {
         graph(vec![StepSpec {
             size: ResourceAmount::new(u64::MAX, 100),
-            lasting,
+            long_running,
             ..step(20_000, &[])
         }])
     };
@@ -291,9 +291,9 @@
     fleet.run_for(ms(1500));
     let now = fleet.now;
     assert_eq!(
-        fleet.owner().dispatcher.pool_use(now)[0]
+        fleet.owner().dispatcher.pool_usage(now)[0]
             .long_running
-            .wanted,
+            .waiting,
         u64::MAX
     );
     assert_eq!(completed_count(&mut fleet, &jobs), jobs.len());
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -13,7 +13,7 @@
     step, //
 };
 use jasminebend_dispatch::{
-    OrderEnd,
+    OrderOutcome,
     StartOrder,
     WorkerOrder, //
 };
@@ -27,13 +27,16 @@
 }
 
 /// Reports the same outcome for all starts.
-fn answer_starts(fleet: &mut Fleet, orders: &[StartOrder], end: OrderEnd) {
+fn answer_starts(fleet: &mut Fleet, orders: &[StartOrder], end: OrderOutcome) {
     let now = fleet.now;
     for start in orders {
-        fleet
-            .owner()
-            .dispatcher
-            .start_ended(start.worker, start.task, start.run, end, now);
+        fleet.owner().dispatcher.handle_start_outcome(
+            start.worker,
+            start.task,
+            start.run,
+            end,
+            now,
+        );
     }
 }
 
@@ -41,7 +44,7 @@
 fn plan_starts(fleet: &mut Fleet, lag: Duration) -> Vec<StartOrder> {
     let now = fleet.now;
     let dispatcher = &mut fleet.owner().dispatcher;
-    dispatcher.note_lag(lag, now);
+    dispatcher.report_timer_lag(lag, now);
     start_orders(dispatcher.plan(now).orders)
 }
 
@@ -65,9 +68,9 @@
         1,
         "a larger window"
     );
-    assert!(!fleet.owner().dispatcher.holds_back());
-    answer_starts(&mut fleet, &first, OrderEnd::Taken);
-    assert!(fleet.owner().dispatcher.holds_back());
+    assert!(!fleet.owner().dispatcher.can_resume_starts());
+    answer_starts(&mut fleet, &first, OrderOutcome::Taken);
+    assert!(fleet.owner().dispatcher.can_resume_starts());
     assert!(plan_starts(&mut fleet, Duration::ZERO).len() >= first.len());
 }
 
@@ -77,14 +80,17 @@
     for _ in 0..10 {
         fleet.now += ms(200);
         let now = fleet.now;
-        fleet.owner().dispatcher.note_lag(ms(300), now);
+        fleet.owner().dispatcher.report_timer_lag(ms(300), now);
     }
     let small = plan_starts(&mut fleet, ms(300));
     assert_eq!(small.len(), 8);
-    answer_starts(&mut fleet, &small, OrderEnd::Taken);
+    answer_starts(&mut fleet, &small, OrderOutcome::Taken);
     for _ in 0..40 {
         let now = fleet.now;
-        fleet.owner().dispatcher.note_lag(Duration::ZERO, now);
+        fleet
+            .owner()
+            .dispatcher
+            .report_timer_lag(Duration::ZERO, now);
     }
     assert!(plan_starts(&mut fleet, Duration::ZERO).len() > 40);
 }
@@ -95,7 +101,7 @@
 fn lost_answers_do_not_shrink_the_order_window() {
     let mut fleet = fleet_with_backlog();
     let first = plan_starts(&mut fleet, Duration::ZERO);
-    answer_starts(&mut fleet, &first, OrderEnd::Unknown);
+    answer_starts(&mut fleet, &first, OrderOutcome::Unknown);
     // Each unanswered start is followed by a stop, and the stops use the same window.
     let now = fleet.now;
     let orders = fleet.owner().dispatcher.plan(now).orders;
@@ -123,11 +129,11 @@
         for order in &orders {
             if let WorkerOrder::Stop { worker, task, run } = *order {
                 sent += 1;
-                let end = OrderEnd::Unknown;
+                let end = OrderOutcome::Unknown;
                 fleet
                     .owner()
                     .dispatcher
-                    .stop_ended(worker, task, run, end, now);
+                    .handle_stop_outcome(worker, task, run, end, now);
             }
         }
         fleet.now += ms(400);
--- a/crates/dispatch/tests/placement.rs
+++ b/crates/dispatch/tests/placement.rs
@@ -127,8 +127,8 @@
     let mut leaving = fleet.workers[1].record().clone();
     leaving.draining = true;
     let dispatcher = &mut fleet.owner().dispatcher;
-    dispatcher.list_worker(moved, None);
-    dispatcher.list_worker(leaving, None);
+    dispatcher.upsert_worker(moved, None);
+    dispatcher.upsert_worker(leaving, None);
     dispatcher.close_domains(BTreeSet::from([DomainName::from("domain-b")]));
     let job = fleet.submit(1, graph(vec![step(12, &[])]));
     fleet.run_for(ms(4000));
@@ -145,13 +145,13 @@
     fleet.run_for(ms(100));
     let mut labelled = fleet.workers[2].record().clone();
     labelled.labels = vec!["b".into(), "rack-9".into()];
-    fleet.owner().dispatcher.list_worker(labelled, None);
+    fleet.owner().dispatcher.upsert_worker(labelled, None);
     let wanted = StepSpec {
         label: Some("b".into()),
         ..step(2, &[])
     };
     let spread = StepSpec {
-        spread: Some(1),
+        max_per_worker: Some(1),
         ..step(3, &[])
     };
     let near = StepSpec {
@@ -249,8 +249,8 @@
     fleet.submit(1, graph(vec![step(4, &[])]));
     fleet.run_for(ms(50));
     let lasting = StepSpec {
-        lasting: true,
-        target: Some(ms(20)),
+        long_running: true,
+        tail_target: Some(ms(20)),
         image: Some("service".into()),
         ..step(8, &[])
     };
@@ -273,18 +273,27 @@
         ..graph(vec![step(1, &[])])
     };
     let job = fleet.submit(1, repeated);
-    fleet.owner().dispatcher.begin_due(ms(4999), ms(4999));
+    fleet
+        .owner()
+        .dispatcher
+        .open_due_occurrences(ms(4999), ms(4999));
     fleet.run_for(ms(500));
     assert_eq!(fleet.begin_count(job), 0);
     assert_eq!(
         fleet.owner().dispatcher.next_occurrence_due(),
         Some(ms(5000))
     );
-    fleet.owner().dispatcher.begin_due(ms(5000), ms(5000));
+    fleet
+        .owner()
+        .dispatcher
+        .open_due_occurrences(ms(5000), ms(5000));
     fleet.run_for(ms(900));
     assert_eq!(fleet.begin_count(job), 1);
     assert_ne!(fleet.progress(job), COMPLETED);
-    fleet.owner().dispatcher.begin_due(ms(7000), ms(7000));
+    fleet
+        .owner()
+        .dispatcher
+        .open_due_occurrences(ms(7000), ms(7000));
     fleet.run_for(ms(900));
     assert_eq!(fleet.progress(job), COMPLETED);
 }
@@ -298,8 +307,8 @@
         ..one_minute_work(task)
     });
     let lasting = StepSpec {
-        lasting: true,
-        may_miss: 1,
+        long_running: true,
+        max_unavailable: 1,
         ..step(3, &[])
     };
     let service = fleet.submit(1, graph(vec![lasting]));
@@ -311,7 +320,7 @@
     assert_eq!(before, 3, "they fill one worker");
     let id = fleet.workers[busy].record().id.to_string();
     let now = fleet.now;
-    assert!(!fleet.owner().dispatcher.prepare_upkeep(&id, now));
+    assert!(!fleet.owner().dispatcher.prepare_maintenance(&id, now));
     fleet.run_for(ms(500));
     assert_eq!(fleet.begin_count(service), 4, "one of them has moved");
     assert_eq!(fleet.workers[busy].run_count(), 2);
@@ -330,7 +339,7 @@
     };
     fleet.submit(1, graph(vec![gang]));
     let lasting = StepSpec {
-        lasting: true,
+        long_running: true,
         size: ResourceAmount::new(2000, 200),
         ..step(2, &[])
     };
@@ -357,7 +366,7 @@
     let mut fleet = Fleet::new(2, 1);
     submit_small_jobs(&mut fleet, 6, ms(500));
     let lasting = StepSpec {
-        lasting: true,
+        long_running: true,
         size: ResourceAmount::new(3000, 300),
         ..step(1, &[])
     };
@@ -391,8 +400,8 @@
 fn no_worker_is_reserved_that_the_spread_excludes() {
     let mut fleet = Fleet::new(2, 1).with_work(one_minute_work);
     let spread = StepSpec {
-        lasting: true,
-        spread: Some(1),
+        long_running: true,
+        max_per_worker: Some(1),
         ..step(3, &[])
     };
     let first = fleet.submit(1, graph(vec![spread]));
--- a/crates/dispatch/tests/simulation.rs
+++ b/crates/dispatch/tests/simulation.rs
@@ -19,7 +19,7 @@
     JobOutcome,
     JobProgress,
     JobSchedule,
-    RunEnd,
+    RunResult,
     TaskKey, //
 };
 use jasminebend_standins::{
@@ -148,7 +148,7 @@
 fn completed_tasks(fleet: &Fleet, job: JobKey) -> usize {
     let deeds = fleet.workers.iter().flat_map(|worker| worker.deeds());
     let ended = deeds.filter_map(|(_, deed)| match deed {
-        WorkerDeed::Ended(task, _, RunEnd::Done) if task.job() == job => Some(*task),
+        WorkerDeed::Ended(task, _, RunResult::Done) if task.job() == job => Some(*task),
         _ => None,
     });
     ended.collect::<std::collections::BTreeSet<TaskKey>>().len()
--- a/crates/dispatch/tests/unreachable_workers.rs
+++ b/crates/dispatch/tests/unreachable_workers.rs
@@ -69,11 +69,11 @@
     fleet.run_for(ms(500));
     let mut leaving = fleet.workers[0].record().clone();
     leaving.draining = true;
-    fleet.owner().dispatcher.list_worker(leaving, None);
+    fleet.owner().dispatcher.upsert_worker(leaving, None);
     fleet.remove_worker(0);
     fleet.run_for(ms(500));
     assert_eq!(fleet.begin_count(job), 6, "its silence alone may be a cut");
-    fleet.owner().dispatcher.unlist_worker("worker-0");
+    fleet.owner().dispatcher.mark_unlisted("worker-0");
     fleet.run_for(ms(500));
     assert!(fleet.begin_count(job) > 6);
     fleet.run_for(ms(12_000));
@@ -97,7 +97,7 @@
         size: ResourceAmount::new(1000, 100),
     });
     let lasting = StepSpec {
-        lasting: true,
+        long_running: true,
         ..step(1, &[])
     };
     fleet.submit(1, graph(vec![lasting]));
--- a/crates/fleet/src/admission_check.rs
+++ b/crates/fleet/src/admission_check.rs
@@ -39,7 +39,7 @@
     queue: &str,
     graph: &JobGraph,
 ) -> Option<Duration> {
-    if !graph.lasts() {
+    if !graph.is_long_running() {
         return None;
     }
     let admission = match shared.owner_address() {
@@ -53,7 +53,7 @@
     };
     match admission? {
         Admission::Granted => None,
-        Admission::Refused(shortage) => Some(shortage.back),
+        Admission::Refused(shortage) => Some(shortage.retry_after),
     }
 }
 
@@ -80,10 +80,10 @@
             job: key.to_string(),
             queue,
             granted,
-            demand: shortage.map_or(0, |shortage| shortage.demand),
-            room: shortage.map_or(0, |shortage| shortage.room),
-            short_need: shortage.map_or(0, |shortage| shortage.short_need),
-            back_ms: shortage.map_or(0, |shortage| whole_millis(shortage.back)),
+            demand: shortage.map_or(0, |shortage| shortage.requested),
+            room: shortage.map_or(0, |shortage| shortage.available),
+            short_need: shortage.map_or(0, |shortage| shortage.short_task_need),
+            back_ms: shortage.map_or(0, |shortage| whole_millis(shortage.retry_after)),
             owner_token: term.token(),
         },
     );
--- a/crates/fleet/src/fleet_daemon.rs
+++ b/crates/fleet/src/fleet_daemon.rs
@@ -244,7 +244,10 @@
                 incarnation: self.shared.incarnation,
                 domain: self.shared.settings.domain.as_str(),
                 version: env!("CARGO_PKG_VERSION"),
-                without: switches.missing().map(|part| part.to_string()).collect(),
+                without: switches
+                    .switched_off()
+                    .map(|part| part.to_string())
+                    .collect(),
             },
         );
     }
--- a/crates/fleet/src/fleet_workers.rs
+++ b/crates/fleet/src/fleet_workers.rs
@@ -7,9 +7,9 @@
 
 use async_trait::async_trait;
 use jasminebend_dispatch::{
-    HoldOrder,
-    HoldReport,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
+    RenewalReport,
     RunNumber,
     StartOrder,
     StepKey,
@@ -34,12 +34,12 @@
     ///
     /// # Errors
     ///
-    /// The [`OrderEnd`] if there is no report: the worker refused the call or did not answer.
+    /// The [`OrderOutcome`] if there is no report: the worker refused the call or did not answer.
     async fn renew_lease(
         &self,
         worker: &WorkerAddress,
-        order: HoldOrder,
-    ) -> Result<HoldReport, OrderEnd>;
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome>;
 
     /// Starts a run. `deadline` is the end of the lease by the worker's clock.
     async fn start(
@@ -47,10 +47,10 @@
         worker: &WorkerAddress,
         order: &StartOrder,
         deadline: Duration,
-    ) -> OrderEnd;
+    ) -> OrderOutcome;
 
     /// Stops a run; a start order for it that arrives later is rejected.
-    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd;
+    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderOutcome;
 
     /// Throttles a run to `percent` of its full speed.
     async fn throttle(
@@ -59,7 +59,7 @@
         task: TaskKey,
         run: RunNumber,
         percent: u32,
-    ) -> OrderEnd;
+    ) -> OrderOutcome;
 
     /// Closes the idle connections to an address.
     fn close_idle_connections(&self, address: &str);
--- a/crates/fleet/src/job_api.rs
+++ b/crates/fleet/src/job_api.rs
@@ -188,7 +188,7 @@
             }
         };
         match &request.verb {
-            CallerVerb::Submit(graph) => match graph.check() {
+            CallerVerb::Submit(graph) => match graph.validate() {
                 Ok(()) => {
                     self.submit(key, &queue, graph.clone(), request, forwarding)
                         .await
@@ -390,7 +390,7 @@
         forwarding: Forwarding,
     ) -> CallerAnswer {
         if let Some(term) = self.shared.loaded_term() {
-            return CallerAnswer::Waiting(term.dispatcher.borrow().waiting(queue) as u64);
+            return CallerAnswer::Waiting(term.dispatcher.borrow().waiting_job_count(queue) as u64);
         }
         match self.read_from_peers(&request, forwarding).await {
             // Another daemon may not know yet a queue that this one knows.
--- a/crates/fleet/src/lease_renewal.rs
+++ b/crates/fleet/src/lease_renewal.rs
@@ -7,7 +7,7 @@
 
 use jasminebend_dispatch::{
     EndedRun,
-    OrderEnd,
+    OrderOutcome,
     OrderRefusal,
     WorkerKey, //
 };
@@ -58,7 +58,7 @@
         let order = term
             .dispatcher
             .borrow_mut()
-            .hold_order(key, confirmed, sent);
+            .next_renewal(key, confirmed, sent);
         metrics::counter!("jasminebend_fleet_holds_total").increment(1);
         let result = shared.workers.renew_lease(&address, order).await;
         if term.is_over() {
@@ -70,15 +70,15 @@
                     log_contact_change(&shared, &address.id, "regained", failures);
                 }
                 failures = 0;
-                log_run_ends(&shared, &term, &address.id, &report.ended);
+                log_run_ends(&shared, &term, &address.id, &report.completions);
                 let now = shared.now();
                 term.dispatcher
                     .borrow_mut()
-                    .hold_answered(key, sent, report, now);
+                    .handle_renewal_report(key, sent, report, now);
                 term.plan_wakeup.notify_one();
                 wait_for_commit(&term, key).await;
             }
-            Err(OrderEnd::Refused(OrderRefusal::Fenced)) => {
+            Err(OrderOutcome::Refused(OrderRefusal::Fenced)) => {
                 term.end();
                 return;
             }
@@ -87,7 +87,9 @@
                 if failures == 2 {
                     log_contact_change(&shared, &address.id, "lost", failures);
                 }
-                term.dispatcher.borrow_mut().hold_unanswered(key, end);
+                term.dispatcher
+                    .borrow_mut()
+                    .handle_renewal_failure(key, end);
                 if term.dispatcher.borrow().is_retired(key) {
                     term.renewed_workers.borrow_mut().remove(&key);
                     return;
@@ -101,7 +103,7 @@
 
 async fn wait_for_commit(term: &OwnerTerm, key: WorkerKey) {
     let mut committed = term.committed.subscribe();
-    if !term.dispatcher.borrow().owes_acknowledgement(key) {
+    if !term.dispatcher.borrow().has_pending_acknowledgements(key) {
         return;
     }
     term.commit_wakeup.notify_one();
@@ -111,10 +113,14 @@
 
 fn log_run_ends(shared: &SharedState, term: &OwnerTerm, worker: &str, ended: &[EndedRun]) {
     for end in ended {
-        if term.dispatcher.borrow().has_processed(worker, end.number) {
+        if term
+            .dispatcher
+            .borrow()
+            .has_processed_completion(worker, end.number)
+        {
             continue;
         }
-        metrics::counter!("jasminebend_fleet_ends_total", "end" => end.end.to_string())
+        metrics::counter!("jasminebend_fleet_ends_total", "end" => end.result.to_string())
             .increment(1);
         shared.log.line(
             LogEvent::End,
@@ -122,7 +128,7 @@
                 task: end.task.to_string(),
                 run: end.run.value(),
                 worker,
-                end: end.end.to_string(),
+                end: end.result.to_string(),
                 number: end.number,
                 owner_token: term.token(),
             },
--- a/crates/fleet/src/maintenance_waves.rs
+++ b/crates/fleet/src/maintenance_waves.rs
@@ -116,7 +116,7 @@
         }
         let ready = listed_vm.worker.as_ref().is_none_or(|worker| {
             let mut dispatcher = term.dispatcher.borrow_mut();
-            dispatcher.prepare_upkeep(worker, now)
+            dispatcher.prepare_maintenance(worker, now)
         });
         term.plan_wakeup.notify_one();
         if ready && shared.may_send_orders(term) {
--- a/crates/fleet/src/operator_watch.rs
+++ b/crates/fleet/src/operator_watch.rs
@@ -121,7 +121,7 @@
     let operator = shared.operator.borrow();
     let mut dispatcher = term.dispatcher.borrow_mut();
     if let Some(configuration) = &operator.configuration {
-        dispatcher.configure(configuration.clone());
+        dispatcher.set_configuration(configuration.clone());
     }
     dispatcher.close_domains(operator.closed.clone());
     term.plan_wakeup.notify_one();
--- a/crates/fleet/src/order_planning.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -6,12 +6,12 @@
 };
 
 use jasminebend_dispatch::{
-    AdviceWish,
-    DecisionNote,
-    OrderEnd,
+    AdviceRequest,
+    FillerEviction,
+    OrderOutcome,
     OrderRefusal,
     StartOrder,
-    WaitNote,
+    StepWait,
     WorkerKey,
     WorkerOrder, //
 };
@@ -100,7 +100,7 @@
         let now = shared.now();
         let lag = now.saturating_sub(woken_at + PLAN_DELAY);
         if now > planned + STALE_AFTER_PAUSE {
-            term.dispatcher.borrow_mut().note_pause();
+            term.dispatcher.borrow_mut().note_suspension();
         }
         planned = now;
         if !shared.may_send_orders(&term) {
@@ -108,28 +108,28 @@
         }
         let outcome = {
             let mut dispatcher = term.dispatcher.borrow_mut();
-            dispatcher.note_lag(lag, now);
-            dispatcher.note_lapses(now);
-            dispatcher.begin_due(shared.wall(), now);
+            dispatcher.report_timer_lag(lag, now);
+            dispatcher.expire_leases(now);
+            dispatcher.open_due_occurrences(shared.wall(), now);
             dispatcher.plan(now)
         };
         for order in outcome.orders {
             task::spawn_local(send_order(Rc::clone(&shared), Rc::clone(&term), order));
         }
-        for note in &outcome.notes {
+        for note in &outcome.evictions {
             log_filler_decision(&shared, &term, note);
         }
         for wait in &outcome.waits {
             log_wait(&shared, &term, wait, now);
         }
-        for request in outcome.advice {
+        for request in outcome.advice_requests {
             task::spawn_local(request_advice(
                 Rc::clone(&shared),
                 Rc::clone(&term),
                 request,
             ));
         }
-        if term.dispatcher.borrow().wants_commit() {
+        if term.dispatcher.borrow().has_changes_to_commit() {
             term.commit_wakeup.notify_one();
         }
     }
@@ -160,10 +160,10 @@
             let now = shared.now();
             term.dispatcher
                 .borrow_mut()
-                .stop_ended(*worker, *task, *run, outcome, now);
+                .handle_stop_outcome(*worker, *task, *run, outcome, now);
             outcome
         }
-        WorkerOrder::Pace {
+        WorkerOrder::Throttle {
             worker,
             task,
             run,
@@ -174,68 +174,72 @@
                 .workers
                 .throttle(&address, *task, *run, *percent)
                 .await;
-            if outcome != OrderEnd::Taken {
+            if outcome != OrderOutcome::Taken {
                 term.dispatcher
                     .borrow_mut()
-                    .pace_unsure(*worker, *task, *run);
+                    .invalidate_throttle(*worker, *task, *run);
             }
             outcome
         }
     };
     log_order(&shared, &term, &order, outcome);
-    if outcome == OrderEnd::Refused(OrderRefusal::Fenced) {
+    if outcome == OrderOutcome::Refused(OrderRefusal::Fenced) {
         term.end();
     }
-    if outcome != OrderEnd::Taken || term.dispatcher.borrow().holds_back() {
+    if outcome != OrderOutcome::Taken || term.dispatcher.borrow().can_resume_starts() {
         term.plan_wakeup.notify_one();
     }
 }
 
 fn is_still_wanted(term: &OwnerTerm, order: &WorkerOrder) -> bool {
     match order {
-        WorkerOrder::Start(start) => term.dispatcher.borrow().still_wants(start),
-        WorkerOrder::Stop { .. } | WorkerOrder::Pace { .. } => true,
+        WorkerOrder::Start(start) => term.dispatcher.borrow().is_start_still_valid(start),
+        WorkerOrder::Stop { .. } | WorkerOrder::Throttle { .. } => true,
     }
 }
 
 /// Reports to the dispatcher that an order was not sent.
 fn report_unsent(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder) {
-    let outcome = OrderEnd::Refused(OrderRefusal::Late);
+    let outcome = OrderOutcome::Refused(OrderRefusal::Late);
     let now = shared.now();
     let mut dispatcher = term.dispatcher.borrow_mut();
     match order {
         WorkerOrder::Start(start) => {
-            dispatcher.start_ended(start.worker, start.task, start.run, outcome, now);
+            dispatcher.handle_start_outcome(start.worker, start.task, start.run, outcome, now);
         }
         WorkerOrder::Stop { worker, task, run } => {
-            dispatcher.stop_ended(*worker, *task, *run, outcome, now);
+            dispatcher.handle_stop_outcome(*worker, *task, *run, outcome, now);
         }
-        WorkerOrder::Pace {
+        WorkerOrder::Throttle {
             worker, task, run, ..
         } => {
-            dispatcher.pace_unsure(*worker, *task, *run);
+            dispatcher.invalidate_throttle(*worker, *task, *run);
         }
     }
 }
 
-async fn send_start(shared: &SharedState, term: &OwnerTerm, start: &StartOrder) -> OrderEnd {
+async fn send_start(shared: &SharedState, term: &OwnerTerm, start: &StartOrder) -> OrderOutcome {
     let address = worker_address(term, start.worker);
     let deadline = term
         .dispatcher
         .borrow_mut()
-        .order_deadline(start.worker, shared.now());
+        .grant_order_deadline(start.worker, shared.now());
     let outcome = match deadline {
         Some(deadline) => shared.workers.start(&address, start, deadline).await,
-        None => OrderEnd::Refused(OrderRefusal::Unsent),
+        None => OrderOutcome::Refused(OrderRefusal::Unsent),
     };
     let now = shared.now();
-    term.dispatcher
-        .borrow_mut()
-        .start_ended(start.worker, start.task, start.run, outcome, now);
+    term.dispatcher.borrow_mut().handle_start_outcome(
+        start.worker,
+        start.task,
+        start.run,
+        outcome,
+        now,
+    );
     outcome
 }
 
-async fn request_advice(shared: Rc<SharedState>, term: Rc<OwnerTerm>, request: AdviceWish) {
+async fn request_advice(shared: Rc<SharedState>, term: Rc<OwnerTerm>, request: AdviceRequest) {
     let Some(advice) = &shared.advice else {
         return;
     };
@@ -245,15 +249,15 @@
     let until = shared.now() + answer.validity;
     term.dispatcher
         .borrow_mut()
-        .advice_answered(request.step, answer.tickets, until);
+        .store_tickets(request.step, answer.tickets, until);
     term.plan_wakeup.notify_one();
 }
 
-fn log_order(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder, outcome: OrderEnd) {
+fn log_order(shared: &SharedState, term: &OwnerTerm, order: &WorkerOrder, outcome: OrderOutcome) {
     let (name, worker, task, run) = match order {
         WorkerOrder::Start(start) => ("start", start.worker, start.task, start.run),
         WorkerOrder::Stop { worker, task, run } => ("stop", *worker, *task, *run),
-        WorkerOrder::Pace {
+        WorkerOrder::Throttle {
             worker, task, run, ..
         } => ("pace", *worker, *task, *run),
     };
@@ -261,7 +265,7 @@
         .increment(1);
     let now = shared.now();
     let dispatcher = term.dispatcher.borrow();
-    let heard = dispatcher.heard(worker);
+    let heard = dispatcher.last_answer_at(worker);
     shared.log.line(
         LogEvent::Order,
         OrderLine {
@@ -272,12 +276,12 @@
             outcome: format!("{outcome:?}"),
             owner_token: term.token(),
             worker_heard_ms: heard.map(|heard| whole_millis(now.saturating_sub(heard))),
-            job_age_ms: dispatcher.age(task.job(), now).map(whole_millis),
+            job_age_ms: dispatcher.job_age(task.job(), now).map(whole_millis),
         },
     );
 }
 
-fn log_filler_decision(shared: &SharedState, term: &OwnerTerm, note: &DecisionNote) {
+fn log_filler_decision(shared: &SharedState, term: &OwnerTerm, note: &FillerEviction) {
     let dispatcher = term.dispatcher.borrow();
     let fillers = note.fillers.iter();
     shared.log.line(
@@ -289,7 +293,7 @@
             image: note.image.as_deref(),
             tail_percent: note.tail_percent,
             expected_load: note.expected_load,
-            moved: note.moved,
+            moved: note.evicted_count,
             fillers: fillers
                 .map(|(task, image, effect)| (task.to_string(), image.as_deref(), *effect))
                 .collect(),
@@ -297,37 +301,37 @@
     );
 }
 
-fn log_wait(shared: &SharedState, term: &OwnerTerm, wait: &WaitNote, now: Duration) {
-    let reasons = wait.reasons;
-    let age = term.dispatcher.borrow().age(wait.step.job, now);
+fn log_wait(shared: &SharedState, term: &OwnerTerm, wait: &StepWait, now: Duration) {
+    let rejections = wait.rejections;
+    let age = term.dispatcher.borrow().job_age(wait.step.job, now);
     shared.log.line(
         LogEvent::Wait,
         WaitLine {
             step: wait.step.to_string(),
-            missing: wait.missing,
+            missing: wait.missing_tasks,
             job_age_ms: age.map(whole_millis),
             owner_token: term.token(),
-            processors: reasons.processors,
-            memory: reasons.memory,
-            leaving: reasons.leaving,
-            silent: reasons.silent,
-            set_aside: reasons.set_aside,
-            unfit: reasons.unfit,
-            kept: reasons.kept,
-            busy: reasons.busy,
-            shielded: reasons.shielded,
-            learning: reasons.learning,
-            harm: reasons.harm,
-            other: reasons.other,
+            processors: rejections.processors,
+            memory: rejections.memory,
+            leaving: rejections.leaving,
+            silent: rejections.unanswered,
+            set_aside: rejections.quarantined,
+            unfit: rejections.unsuitable,
+            kept: rejections.reserved,
+            busy: rejections.busy,
+            shielded: rejections.shielded,
+            learning: rejections.learning,
+            harm: rejections.interference,
+            other: rejections.other,
         },
     );
 }
 
-fn outcome_label(outcome: OrderEnd) -> &'static str {
+fn outcome_label(outcome: OrderOutcome) -> &'static str {
     match outcome {
-        OrderEnd::Taken => "taken",
-        OrderEnd::Refused(_) => "refused",
-        OrderEnd::Unknown => "unknown",
+        OrderOutcome::Taken => "taken",
+        OrderOutcome::Refused(_) => "refused",
+        OrderOutcome::Unknown => "unknown",
     }
 }
 
--- a/crates/fleet/src/owner_announcement.rs
+++ b/crates/fleet/src/owner_announcement.rs
@@ -124,9 +124,9 @@
     let now = shared.now();
     if is_known && !former_gone {
         term.former_owner_until
-            .set(now + shared.settings.dispatch.unconfirmed);
+            .set(now + shared.settings.dispatch.unconfirmed_grace);
     }
     let mut dispatcher = term.dispatcher.borrow_mut();
-    let until = now + dispatcher.inheritance(former_gone);
-    dispatcher.extend_inheritance(until);
+    let until = now + dispatcher.inherited_orders_lifetime(former_gone);
+    dispatcher.set_inherited_until(until);
 }
--- a/crates/fleet/src/ownership_takeover.rs
+++ b/crates/fleet/src/ownership_takeover.rs
@@ -98,7 +98,7 @@
                 former: &former,
                 former_gone,
                 took_ms: shared.now().saturating_sub(started_at).as_secs_f64() * 1000.0,
-                jobs: dispatcher.live_jobs(),
+                jobs: dispatcher.unfinished_job_count(),
                 workers: dispatcher.worker_count(),
             },
         );
@@ -174,22 +174,22 @@
     let (jobs, job_position) = read_jobs(shared).await?;
     let now = shared.now();
     let mut dispatcher = term.dispatcher.borrow_mut();
-    let until = now + dispatcher.inheritance(former_gone);
+    let until = now + dispatcher.inherited_orders_lifetime(former_gone);
     // The dispatcher learns the demand of short work, per pool, from the jobs read below; it needs the queues first.
     if let Some(configuration) = shared.configuration() {
-        dispatcher.configure(configuration);
+        dispatcher.set_configuration(configuration);
     }
     restore_learned(&mut dispatcher, &progress);
     let (recorded_workers, rows) = decode_workers(&progress);
     term.worker_row_count.set(rows);
     for worker in recorded_workers {
         let id = Arc::clone(&worker.id);
-        dispatcher.list_worker(worker, Some(until));
-        dispatcher.unlist_worker(&id);
+        dispatcher.upsert_worker(worker, Some(until));
+        dispatcher.mark_unlisted(&id);
     }
     for change in registry.items {
         if let RegistryChange::Listed(worker) = change {
-            dispatcher.list_worker(worker, (!is_first_owner).then_some(until));
+            dispatcher.upsert_worker(worker, (!is_first_owner).then_some(until));
         }
     }
     drop(dispatcher);
@@ -202,7 +202,7 @@
         let record = postcard::from_bytes::<ProgressRecord>(&row.value);
         if let (Ok(key), Ok(record)) = (row.key.parse::<JobKey>(), record) {
             versions.insert(key, row.version);
-            dispatcher.restore(key, &record);
+            dispatcher.restore_job(key, &record);
         }
     }
     Ok((job_position, registry.version))
@@ -242,7 +242,7 @@
             former: "",
             former_gone: false,
             took_ms: 0.0,
-            jobs: term.dispatcher.borrow().live_jobs(),
+            jobs: term.dispatcher.borrow().unfinished_job_count(),
             workers: term.dispatcher.borrow().worker_count(),
         },
     );
--- a/crates/fleet/src/pool_usage_log.rs
+++ b/crates/fleet/src/pool_usage_log.rs
@@ -6,8 +6,8 @@
 };
 
 use jasminebend_dispatch::{
-    PoolUse,
-    WorkShare, //
+    CpuUsage,
+    PoolUsage, //
 };
 use serde::Serialize;
 use tokio::time;
@@ -40,14 +40,14 @@
 pub(crate) async fn report_pool_usage(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     loop {
         time::sleep(REPORT_INTERVAL).await;
-        let pools = term.dispatcher.borrow().pool_use(shared.now());
+        let pools = term.dispatcher.borrow().pool_usage(shared.now());
         for pool in &pools {
             report_pool(&shared, &term, pool);
         }
     }
 }
 
-fn report_pool(shared: &SharedState, term: &OwnerTerm, pool: &PoolUse) {
+fn report_pool(shared: &SharedState, term: &OwnerTerm, pool: &PoolUsage) {
     set_gauges(pool, "long_running", pool.long_running);
     set_gauges(pool, "short", pool.short);
     set_gauges(pool, "filler", pool.filler);
@@ -58,22 +58,22 @@
             workers: pool.workers,
             capacity: pool.capacity,
             long_running: pool.long_running.held,
-            long_running_wanted: pool.long_running.wanted,
+            long_running_wanted: pool.long_running.waiting,
             short: pool.short.held,
-            short_wanted: pool.short.wanted,
+            short_wanted: pool.short.waiting,
             filler: pool.filler.held,
-            filler_wanted: pool.filler.wanted,
+            filler_wanted: pool.filler.waiting,
             owner_token: term.token(),
         },
     );
 }
 
-fn set_gauges(pool: &PoolUse, kind: &'static str, share: WorkShare) {
+fn set_gauges(pool: &PoolUsage, kind: &'static str, share: CpuUsage) {
     let name = pool.pool.to_string();
     // CAST: Exact up to 2^53 thousandths of a core.
     metrics::gauge!("jasminebend_fleet_pool_held_millis", "pool" => name.clone(), "kind" => kind)
         .set(share.held as f64);
     // CAST: As above.
     metrics::gauge!("jasminebend_fleet_pool_wanted_millis", "pool" => name, "kind" => kind)
-        .set(share.wanted as f64);
+        .set(share.waiting as f64);
 }
--- a/crates/fleet/src/progress_commits.rs
+++ b/crates/fleet/src/progress_commits.rs
@@ -51,7 +51,7 @@
         let records = term
             .dispatcher
             .borrow_mut()
-            .take_commit(MAX_JOBS_PER_COMMIT);
+            .take_records_to_commit(MAX_JOBS_PER_COMMIT);
         if records.is_empty() {
             continue;
         }
@@ -65,7 +65,7 @@
             Ok(CommitOutcome::Conflict(rows)) => handle_conflict(&shared, &term, &rows),
             Err(_) => {
                 // If the commit was applied after all, the next attempt conflicts with the versions that it wrote.
-                term.dispatcher.borrow_mut().note_uncommitted();
+                term.dispatcher.borrow_mut().abort_commit();
                 shared.store.wait_to_retry().await;
                 term.commit_wakeup.notify_one();
             }
@@ -100,13 +100,13 @@
     let mut versions = term.progress_versions.borrow_mut();
     let now = shared.now();
     let mut dispatcher = term.dispatcher.borrow_mut();
-    dispatcher.note_committed();
+    dispatcher.confirm_commit();
     for (key, record) in records {
         versions.insert(*key, version);
         let Some(outcome) = record.outcome else {
             continue;
         };
-        let age = dispatcher.age(*key, now);
+        let age = dispatcher.job_age(*key, now);
         if let Some(age) = age {
             metrics::histogram!("jasminebend_fleet_job_seconds").record(age.as_secs_f64());
         }
@@ -123,7 +123,7 @@
     }
     drop(dispatcher);
     term.committed.send_modify(|count| *count += 1);
-    if term.dispatcher.borrow().wants_commit() {
+    if term.dispatcher.borrow().has_changes_to_commit() {
         term.commit_wakeup.notify_one();
     }
 }
@@ -131,7 +131,7 @@
 /// Handles a guard that did not hold: another daemon has become the owner, or an earlier attempt of this daemon, whose
 /// outcome was unknown, was applied.
 fn handle_conflict(shared: &SharedState, term: &OwnerTerm, rows: &[StoreRow]) {
-    term.dispatcher.borrow_mut().note_uncommitted();
+    term.dispatcher.borrow_mut().abort_commit();
     let owner = rows.iter().find(|row| row.key == term.guard.key);
     let replaced = owner.is_none_or(|row| row.version != term.guard.version);
     if replaced {
--- a/crates/fleet/src/registry_watch.rs
+++ b/crates/fleet/src/registry_watch.rs
@@ -69,12 +69,12 @@
     let mut changed = is_full_read;
     let mut dispatcher = term.dispatcher.borrow_mut();
     if is_full_read {
-        dispatcher.unlist_all();
+        dispatcher.mark_all_unlisted();
     }
     for change in changes {
         match change {
             // Most entries are heartbeats.
-            RegistryChange::Listed(worker) if dispatcher.lists_so(&worker) => {}
+            RegistryChange::Listed(worker) if dispatcher.is_listed_as(&worker) => {}
             RegistryChange::Listed(worker) => {
                 changed = true;
                 shared.log.line(
@@ -89,7 +89,7 @@
                         domain: worker.domain.as_str(),
                     },
                 );
-                dispatcher.list_worker(worker, None);
+                dispatcher.upsert_worker(worker, None);
             }
             RegistryChange::Unlisted(id) => {
                 changed = true;
@@ -101,7 +101,7 @@
                         domain: "",
                     },
                 );
-                dispatcher.unlist_worker(&id);
+                dispatcher.mark_unlisted(&id);
             }
         }
     }
@@ -118,7 +118,7 @@
 
 /// Starts a lease renewal task for each worker that has none yet.
 fn start_lease_renewals(shared: &Rc<SharedState>, term: &Rc<OwnerTerm>, tasks: &mut JoinSet<()>) {
-    let wanted = term.dispatcher.borrow().attended_workers();
+    let wanted = term.dispatcher.borrow().workers_to_renew();
     for key in wanted {
         if !term.renewed_workers.borrow_mut().insert(key) {
             continue;
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -63,7 +63,7 @@
 /// Returns the parts that may hold a job's rows, in the order in which a write tries them: each later part takes the
 /// rows only while the earlier ones can't be written.
 pub(crate) fn job_row_parts(key: JobKey) -> [String; 3] {
-    let first = key.spread(JOB_PART_COUNT);
+    let first = key.partition(JOB_PART_COUNT);
     [0, 1, 2].map(|turn| part_name((first + turn * JOB_PART_STRIDE) % JOB_PART_COUNT))
 }
 
@@ -151,7 +151,7 @@
     /// Returns whether the owner may send orders: its term was confirmed recently enough.
     pub(crate) fn may_send_orders(&self, term: &OwnerTerm) -> bool {
         !term.is_over()
-            && term.time_since_confirmation(self.now()) < self.settings.dispatch.unconfirmed
+            && term.time_since_confirmation(self.now()) < self.settings.dispatch.unconfirmed_grace
     }
 
     /// Returns the owner's address if the owner is another daemon.
--- a/crates/fleet/src/takeover_records.rs
+++ b/crates/fleet/src/takeover_records.rs
@@ -107,7 +107,7 @@
 }
 
 fn learned_row(dispatcher: &Dispatcher) -> Option<StoreRow> {
-    let record = dispatcher.learned();
+    let record = dispatcher.learned_record();
     if record.services.is_empty() {
         return None;
     }
--- a/crates/fleet/tests/daemons/admission.rs
+++ b/crates/fleet/tests/daemons/admission.rs
@@ -30,7 +30,7 @@
 fn long_running(count: u32) -> JobGraph {
     let graph = job(&[(count, &[])]);
     let steps = graph.steps.into_iter().map(|step| StepSpec {
-        lasting: true,
+        long_running: true,
         ..step
     });
     JobGraph {
@@ -89,7 +89,7 @@
         };
         let key = JobKey::new(1);
         let value = postcard::to_stdvec(&record).unwrap();
-        let part = format!("j{}", key.spread(16));
+        let part = format!("j{}", key.partition(16));
         let row = StoreRow::new(StoreTable::Jobs, &part, key.to_string(), value);
         fleet.store.write(vec![row]);
         let answer = send_request(&daemon.job_api, 1, CallerVerb::Submit(graph)).await;
--- a/crates/fleet/tests/daemons/memory_store.rs
+++ b/crates/fleet/tests/daemons/memory_store.rs
@@ -457,9 +457,9 @@
         prefix: format!("/{name}/"),
         pool: "pool".into(),
         priority: 0,
-        attempts: 3,
-        stretch: 2.0,
-        allowance: Duration::from_secs(1),
+        max_attempts: 3,
+        duration_factor: 2.0,
+        duration_allowance: Duration::from_secs(1),
         advice: None,
     }
 }
--- a/crates/fleet/tests/daemons/partial_outage.rs
+++ b/crates/fleet/tests/daemons/partial_outage.rs
@@ -37,7 +37,7 @@
 
 /// Makes all calls to the first `count` parts for a job's rows fail with an unknown outcome.
 fn break_parts(daemon: &TestDaemon, number: u64, count: u8) {
-    let first = JobKey::new(number).spread(16);
+    let first = JobKey::new(number).partition(16);
     let parts = (0..count).map(|turn| format!("j{}", (first + turn * 5) % 16));
     daemon.store_client.failing_parts.borrow_mut().extend(parts);
 }
@@ -174,7 +174,7 @@
         submit(&daemon.job_api, 1, &job(&[(3, &[])])).await;
         daemon.kill();
         let key = JobKey::new(1);
-        let part = format!("j{}", (key.spread(16) + 5) % 16);
+        let part = format!("j{}", (key.partition(16) + 5) % 16);
         let row = StoreRow::new(StoreTable::Jobs, &part, format!("{key}.c"), Vec::new());
         fleet.store.write(vec![row]);
         let next = fleet.daemon();
--- a/crates/fleet/tests/daemons/takeover.rs
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -10,7 +10,7 @@
 use jasminebend_dispatch::{
     DispatchSettings,
     Dispatcher,
-    OrderEnd,
+    OrderOutcome,
     RunNumber,
     StartOrder, //
 };
@@ -48,7 +48,7 @@
         .with_worker(PARTITIONED_WORKER, |worker, now| {
             let mut former = Dispatcher::new(1, DispatchSettings::default());
             let order = StartOrder {
-                worker: former.list_worker(worker.record().clone(), None),
+                worker: former.upsert_worker(worker.record().clone(), None),
                 task: "0000000000000007.0.0.0".parse().expect("a task"),
                 run: RunNumber::new(1),
                 payload: "payload".into(),
@@ -62,7 +62,7 @@
             };
             worker.start(now, 1, &order, now * 2, work)
         });
-    assert_eq!(started, Some(OrderEnd::Taken));
+    assert_eq!(started, Some(OrderOutcome::Taken));
 }
 
 /// Lets a successor take over from a silent owner, with `silent_members` further silent members. One of the two workers
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -38,12 +38,12 @@
 };
 use jasminebend_dispatch::{
     DispatchSettings,
-    HoldOrder,
-    HoldReport,
     JobGraph,
     JobKey,
     JobProgress,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
+    RenewalReport,
     RunNumber,
     StartOrder,
     StepSpec,
@@ -157,10 +157,10 @@
     /// Renews a worker's lease as the owner with this token would.
     pub(crate) fn renew(&self, id: &str, token: u64) {
         self.with_worker(id, |worker, now| {
-            let order = HoldOrder {
+            let order = LeaseRenewal {
                 deadline: Some(now + Duration::from_secs(5)),
                 acknowledged: 0,
-                wait: Duration::ZERO,
+                max_wait: Duration::ZERO,
             };
             worker.hold(now, token, order).unwrap();
         });
@@ -176,22 +176,26 @@
         self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
-    fn renew_now(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+    fn renew_now(
+        &self,
+        worker: &WorkerAddress,
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome> {
         let report =
             self.with_reachable_worker(worker, |state, now| state.hold(now, worker.token, order));
         report.unwrap_or(Err(UNANSWERED))
     }
 
-    async fn wait_for_end(&self, worker: &WorkerAddress, order: &HoldOrder) {
+    async fn wait_for_end(&self, worker: &WorkerAddress, order: &LeaseRenewal) {
         // Without a deadline the order reads the report and renews nothing.
-        let report_request = HoldOrder {
+        let report_request = LeaseRenewal {
             deadline: None,
             ..*order
         };
-        let until = time::Instant::now() + order.wait;
+        let until = time::Instant::now() + order.max_wait;
         let nothing_ended = || {
             self.renew_now(worker, report_request)
-                .is_ok_and(|seen| seen.ended.is_empty())
+                .is_ok_and(|seen| seen.completions.is_empty())
         };
         while time::Instant::now() < until && nothing_ended() {
             time::sleep(POLL_INTERVAL).await;
@@ -217,19 +221,19 @@
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The outcome of a call to a worker that is partitioned or does not exist.
-const UNANSWERED: OrderEnd = OrderEnd::Unknown;
+const UNANSWERED: OrderOutcome = OrderOutcome::Unknown;
 
 #[async_trait(?Send)]
 impl FleetWorkers for MemoryWorkers {
     async fn renew_lease(
         &self,
         worker: &WorkerAddress,
-        order: HoldOrder,
-    ) -> Result<HoldReport, OrderEnd> {
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome> {
         let connection_losses = self.connection_losses.get();
-        let timeout = time::Instant::now() + order.wait + RENEWAL_TIMEOUT;
+        let timeout = time::Instant::now() + order.max_wait + RENEWAL_TIMEOUT;
         time::sleep(RENEWAL_LATENCY).await;
-        let mut answer = Err(OrderEnd::Unknown);
+        let mut answer = Err(OrderOutcome::Unknown);
         if self.connection_losses.get() == connection_losses {
             answer = self.renew_now(worker, order);
             if self.delays_answers.get() {
@@ -239,7 +243,7 @@
         }
         if self.connection_losses.get() != connection_losses {
             time::sleep_until(timeout).await;
-            return Err(OrderEnd::Unknown);
+            return Err(OrderOutcome::Unknown);
         }
         answer
     }
@@ -249,7 +253,7 @@
         worker: &WorkerAddress,
         order: &StartOrder,
         deadline: Duration,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         time::sleep(Duration::from_millis(1)).await;
         let work = TaskWork {
             lasts: self.run_time.get(),
@@ -262,7 +266,7 @@
         answer.unwrap_or(UNANSWERED)
     }
 
-    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd {
+    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderOutcome {
         let answer = self.with_reachable_worker(worker, |state, now| {
             state.stop(now, worker.token, task, run)
         });
@@ -275,8 +279,8 @@
         _task: TaskKey,
         _run: RunNumber,
         _percent: u32,
-    ) -> OrderEnd {
-        OrderEnd::Taken
+    ) -> OrderOutcome {
+        OrderOutcome::Taken
     }
 
     fn close_idle_connections(&self, _address: &str) {}
@@ -481,7 +485,7 @@
         count: *count,
         size: ResourceAmount::new(1000, 100),
         estimate: Duration::from_millis(150),
-        after: after.to_vec(),
+        dependencies: after.to_vec(),
         ..StepSpec::default()
     });
     JobGraph {
--- a/crates/fleet/tests/daemons/worker_silence.rs
+++ b/crates/fleet/tests/daemons/worker_silence.rs
@@ -28,8 +28,8 @@
             fleet.workers.run_time.set(Duration::from_secs(30));
             let owner = fleet.daemon();
             let mut service = job(&[(4, &[])]);
-            service.steps[0].lasting = true;
-            service.steps[0].target = Some(Duration::from_millis(100));
+            service.steps[0].long_running = true;
+            service.steps[0].tail_target = Some(Duration::from_millis(100));
             submit(&owner.job_api, 1, &service).await;
             time::sleep(Duration::from_secs(5) + Duration::from_millis(phase)).await;
             assert_eq!(fleet.workers.started_runs(), TASK_COUNT);
--- a/crates/jasminebend/src/usage_error.rs
+++ b/crates/jasminebend/src/usage_error.rs
@@ -4,7 +4,7 @@
     Display,
     Error, //
 };
-use jasminebend_dispatch::UnknownPart;
+use jasminebend_dispatch::UnknownPolicyPart;
 
 /// Why a command line is refused.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
@@ -23,7 +23,7 @@
     MissingFile,
     /// A part of the policy that does not exist is to be done without.
     #[display("{_0}")]
-    Part(#[error(not(source))] UnknownPart),
+    Part(#[error(not(source))] UnknownPolicyPart),
     /// An option is unknown, lacks its value or has a bad one.
     #[display("{reason}; see `jasminebend --help`")]
     Option {
@@ -32,8 +32,8 @@
     },
 }
 
-impl From<UnknownPart> for UsageError {
-    fn from(error: UnknownPart) -> Self {
+impl From<UnknownPolicyPart> for UsageError {
+    fn from(error: UnknownPolicyPart) -> Self {
         Self::Part(error)
     }
 }
--- a/crates/jasminebend/tests/command_line.rs
+++ b/crates/jasminebend/tests/command_line.rs
@@ -32,13 +32,13 @@
         let switches = PolicySwitches::default().without(part);
         assert_eq!(command, CommandLine::Fleet(switches));
         let others = PolicyPart::ALL.into_iter().filter(|other| *other != part);
-        assert_eq!(switches.missing().collect::<Vec<_>>(), vec![part]);
+        assert_eq!(switches.switched_off().collect::<Vec<_>>(), vec![part]);
         assert!(!switches.has(part) && others.into_iter().all(|other| switches.has(other)));
     }
     let two = parse("fleet --without pacing --without=room-kept").expect("both are parts");
     let switches = PolicySwitches::default()
-        .without(PolicyPart::Pacing)
-        .without(PolicyPart::RoomKept);
+        .without(PolicyPart::Throttling)
+        .without(PolicyPart::CapacityReservation);
     assert_eq!(two, CommandLine::Fleet(switches));
 }
 
--- a/crates/standins/src/step_worker.rs
+++ b/crates/standins/src/step_worker.rs
@@ -13,12 +13,12 @@
 use jasminebend_dispatch::{
     EndedRun,
     FleetWorker,
-    HoldOrder,
-    HoldReport,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
     OrderRefusal,
-    RunEnd,
+    RenewalReport,
     RunNumber,
+    RunResult,
     RunningTask,
     StartOrder,
     TaskKey, //
@@ -48,9 +48,9 @@
     /// A run began.
     Began(TaskKey, RunNumber),
     /// A run ended.
-    Ended(TaskKey, RunNumber, RunEnd),
+    Ended(TaskKey, RunNumber, RunResult),
     /// An end was acknowledged.
-    Noted(TaskKey, RunEnd),
+    Noted(TaskKey, RunResult),
 }
 
 #[derive(Clone, Debug)]
@@ -90,7 +90,7 @@
                 labels: vec!["a".into(), "rack-1".into()],
                 capacity,
                 draining: false,
-                born: Some(now),
+                incarnation: Some(now),
             },
             rate,
             booted: now,
@@ -135,11 +135,11 @@
     pub fn reboot(&mut self, now: Duration) {
         for (task, run) in self.runs.keys().copied().collect::<Vec<_>>() {
             self.deeds
-                .push((now, WorkerDeed::Ended(task, run, RunEnd::Lapsed)));
+                .push((now, WorkerDeed::Ended(task, run, RunResult::Lapsed)));
         }
         let mut fresh = Self::new("", self.record.capacity, self.rate, now);
         fresh.record = FleetWorker {
-            born: Some(now),
+            incarnation: Some(now),
             ..self.record.clone()
         };
         fresh.deeds = std::mem::take(&mut self.deeds);
@@ -154,21 +154,21 @@
         order: &StartOrder,
         deadline: Duration,
         work: TaskWork,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         self.settle(now);
         if let Some(refusal) = self.refuse_token(token) {
             return refusal;
         }
         let key = (order.task, order.run);
         if self.runs.contains_key(&key) {
-            return OrderEnd::Taken;
+            return OrderOutcome::Taken;
         }
         if self.clock(now) > deadline {
-            return OrderEnd::Refused(OrderRefusal::Late);
+            return OrderOutcome::Refused(OrderRefusal::Late);
         }
         self.extend(now, deadline);
         if self.highest.get(&order.task) >= Some(&order.run) {
-            return OrderEnd::Refused(OrderRefusal::Old);
+            return OrderOutcome::Refused(OrderRefusal::Old);
         }
         self.deeds
             .push((now, WorkerDeed::Began(order.task, order.run)));
@@ -178,11 +178,17 @@
             stops: None,
         };
         self.runs.insert(key, run);
-        OrderEnd::Taken
+        OrderOutcome::Taken
     }
 
     /// Stops a run.
-    pub fn stop(&mut self, now: Duration, token: u64, task: TaskKey, run: RunNumber) -> OrderEnd {
+    pub fn stop(
+        &mut self,
+        now: Duration,
+        token: u64,
+        task: TaskKey,
+        run: RunNumber,
+    ) -> OrderOutcome {
         self.settle(now);
         if let Some(refusal) = self.refuse_token(token) {
             return refusal;
@@ -191,7 +197,7 @@
             Some(state) => drop(state.stops.get_or_insert(now + STOP)),
             None => self.note_highest(task, run),
         }
-        OrderEnd::Taken
+        OrderOutcome::Taken
     }
 
     /// Renews the lease and tells what runs and has ended.
@@ -203,8 +209,8 @@
         &mut self,
         now: Duration,
         token: u64,
-        order: HoldOrder,
-    ) -> Result<HoldReport, OrderEnd> {
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome> {
         self.settle(now);
         if let Some(refusal) = self.refuse_token(token) {
             return Err(refusal);
@@ -215,38 +221,38 @@
         let noted = self
             .ended
             .extract_if(.., |end| end.number <= order.acknowledged);
-        let noted = noted.map(|end| (now, WorkerDeed::Noted(end.task, end.end)));
+        let noted = noted.map(|end| (now, WorkerDeed::Noted(end.task, end.result)));
         self.deeds.extend(noted);
         let running = self.runs.iter().map(|(&(task, run), state)| RunningTask {
             task,
             run,
             checkpoint: None,
-            percent: percent(state, now),
-            figure: None,
+            progress_percent: percent(state, now),
+            metric: None,
         });
-        Ok(HoldReport {
+        Ok(RenewalReport {
             clock: self.clock(now),
-            born: self.record.born,
+            incarnation: self.record.incarnation,
             running: running.collect(),
-            ended: self.ended.iter().take(ENDS_AT_A_TIME).cloned().collect(),
+            completions: self.ended.iter().take(ENDS_AT_A_TIME).cloned().collect(),
         })
     }
 
     /// Brings its runs up to `now`.
     pub fn settle(&mut self, now: Duration) {
         let lapse = self.true_time(self.lease);
-        let mut over: Vec<(Duration, (TaskKey, RunNumber), RunEnd)> = Vec::new();
+        let mut over: Vec<(Duration, (TaskKey, RunNumber), RunResult)> = Vec::new();
         for (&key, run) in &self.runs {
             let natural = run.began.saturating_add(run.work.lasts);
             let how = if run.work.fails {
-                RunEnd::Failed
+                RunResult::Failed
             } else {
-                RunEnd::Done
+                RunResult::Done
             };
             let ends = [
                 (natural, how),
-                (run.stops.unwrap_or(Duration::MAX), RunEnd::Stopped),
-                (lapse, RunEnd::Lapsed),
+                (run.stops.unwrap_or(Duration::MAX), RunResult::Stopped),
+                (lapse, RunResult::Lapsed),
             ];
             let first = ends.into_iter().min_by_key(|(at, _)| *at);
             if let Some((at, how)) = first
@@ -261,7 +267,7 @@
         }
     }
 
-    fn end(&mut self, at: Duration, task: TaskKey, run: RunNumber, end: RunEnd) {
+    fn end(&mut self, at: Duration, task: TaskKey, run: RunNumber, result: RunResult) {
         self.runs.swap_remove(&(task, run));
         self.note_highest(task, run);
         self.ends += 1;
@@ -269,15 +275,15 @@
             number: self.ends,
             task,
             run,
-            end,
+            result,
             checkpoint: None::<Arc<str>>,
         });
-        self.deeds.push((at, WorkerDeed::Ended(task, run, end)));
+        self.deeds.push((at, WorkerDeed::Ended(task, run, result)));
     }
 
-    fn refuse_token(&mut self, token: u64) -> Option<OrderEnd> {
+    fn refuse_token(&mut self, token: u64) -> Option<OrderOutcome> {
         if token < self.token {
-            return Some(OrderEnd::Refused(OrderRefusal::Fenced));
+            return Some(OrderOutcome::Refused(OrderRefusal::Fenced));
         }
         self.token = token;
         None
