--- a/crates/gateway/src/body_fault.rs
+++ b/crates/gateway/src/body_error.rs
@@ -7,7 +7,7 @@
 
 /// Why a body was cut, in either direction. Whoever reads the body must see it end in an error.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
-pub(crate) enum BodyFault {
+pub(crate) enum BodyError {
     /// The caller's body is larger than allowed.
     #[display("the request's body is larger than allowed")]
     TooLarge,
--- a/crates/gateway/src/caller_server.rs
+++ b/crates/gateway/src/caller_server.rs
@@ -41,19 +41,19 @@
 
 use crate::{
     caller_stream::CallerStream,
-    class_metrics::CALLERS,
-    gateway_shared::GatewayShared,
+    class_metrics::CALLERS_METRIC,
+    gateway_state::GatewayState,
     request_handler::{
-        CallerView,
-        handle, //
+        CallerInfo,
+        handle_request, //
     },
 };
 
 /// The least that hyper takes.
-const LEAST_BUFFER_BYTES: usize = 8 * 1024;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-const REFUSAL_PATIENCE: Duration = Duration::from_secs(1);
-const TOO_MANY_CALLERS: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+const REFUSAL_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+const TOO_MANY_CALLERS_RESPONSE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\n\
     content-length: 0\r\n\
     connection: close\r\n\
     retry-after: 1\r\n\
@@ -62,11 +62,11 @@
 
 /// Serves callers until `stop` says so and every request in progress is answered.
 pub(crate) async fn serve_callers(
-    shared: Arc<GatewayShared>,
+    shared: Arc<GatewayState>,
     listener: TcpListener,
     mut stop: watch::Receiver<bool>,
 ) {
-    let places = Arc::new(Semaphore::new(shared.settings.most_callers));
+    let connection_permits = Arc::new(Semaphore::new(shared.settings.max_callers));
     let mut callers = JoinSet::new();
     loop {
         let accepted = tokio::select! {
@@ -77,14 +77,14 @@
         let Ok((stream, address)) = accepted else {
             // Too many open files, most likely: accepting again at once would only spin.
             warn!("[gateway] Cannot accept callers for now.");
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        match Arc::clone(&places).try_acquire_owned() {
-            Ok(place) => {
+        match Arc::clone(&connection_permits).try_acquire_owned() {
+            Ok(permit) => {
                 let shared = Arc::clone(&shared);
                 let stop = stop.clone();
-                callers.spawn(serve_caller(shared, stream, address, stop, place));
+                callers.spawn(serve_caller(shared, stream, address, stop, permit));
             }
             Err(_) => {
                 tokio::spawn(refuse_caller(stream));
@@ -96,32 +96,32 @@
 }
 
 async fn serve_caller(
-    shared: Arc<GatewayShared>,
+    shared: Arc<GatewayState>,
     stream: TcpStream,
     address: SocketAddr,
     mut stop: watch::Receiver<bool>,
-    _place: OwnedSemaphorePermit,
+    _permit: OwnedSemaphorePermit,
 ) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    gauge!(CALLERS).increment(1.0);
+    gauge!(CALLERS_METRIC).increment(1.0);
     let settings = Arc::clone(&shared.settings);
     let stream = CallerStream::new(stream, &settings);
-    let two_lengths = stream.two_lengths();
+    let ambiguous_length = stream.ambiguous_length();
     let service = service_fn(move |request| {
         let shared = Arc::clone(&shared);
-        let caller = CallerView {
+        let caller = CallerInfo {
             address: address.ip(),
-            two_lengths: two_lengths.load(Ordering::Relaxed),
+            ambiguous_length: ambiguous_length.load(Ordering::Relaxed),
         };
         // Boxed, since hyper keeps room for it in every connection: idle ones need none.
-        Box::pin(async move { Ok::<_, Infallible>(handle(shared, request, caller).await) })
+        Box::pin(async move { Ok::<_, Infallible>(handle_request(shared, request, caller).await) })
     });
     let connection = Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(settings.caller_idle)
-        .max_buf_size(settings.most_head_bytes.max(LEAST_BUFFER_BYTES))
+        .header_read_timeout(settings.caller_idle_timeout)
+        .max_buf_size(settings.max_head_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let stopped = tokio::select! {
@@ -133,13 +133,13 @@
         connection.as_mut().graceful_shutdown();
         connection.await.ok();
     }
-    gauge!(CALLERS).decrement(1.0);
+    gauge!(CALLERS_METRIC).decrement(1.0);
 }
 
 async fn refuse_caller(mut stream: TcpStream) {
     // A caller that takes no refusal gets none.
-    timeout(REFUSAL_PATIENCE, async {
-        stream.write_all(TOO_MANY_CALLERS).await?;
+    timeout(REFUSAL_WRITE_TIMEOUT, async {
+        stream.write_all(TOO_MANY_CALLERS_RESPONSE).await?;
         stream.shutdown().await
     })
     .await
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -32,10 +32,10 @@
 };
 
 use crate::{
-    class_metrics::REFUSALS,
+    class_metrics::REFUSALS_METRIC,
     gateway_settings::GatewaySettings,
-    head_fault::HeadFault,
-    head_watch::HeadWatch, //
+    head_error::HeadError,
+    request_head_scanner::RequestHeadScanner, //
 };
 
 /// A caller's connection as bytes. A caller that takes nothing of its answer for too long is cut
@@ -45,12 +45,12 @@
 /// requests is long, and must not be what a caller can take over each request's head.
 pub(crate) struct CallerStream {
     stream: TcpStream,
-    stall: Duration,
-    timer: Option<Pin<Box<Sleep>>>,
+    stall_timeout: Duration,
+    write_timer: Option<Pin<Box<Sleep>>>,
     head_timeout: Duration,
     head_timer: Option<Pin<Box<Sleep>>>,
-    watch: HeadWatch,
-    two_lengths: Arc<AtomicBool>,
+    head_scanner: RequestHeadScanner,
+    ambiguous_length: Arc<AtomicBool>,
 }
 
 impl CallerStream {
@@ -58,26 +58,26 @@
     pub(crate) fn new(stream: TcpStream, settings: &GatewaySettings) -> Self {
         Self {
             stream,
-            stall: settings.body_stall,
-            timer: None,
+            stall_timeout: settings.body_stall_timeout,
+            write_timer: None,
             head_timeout: settings.head_timeout,
             head_timer: None,
-            watch: HeadWatch::new(settings.most_head_bytes),
-            two_lengths: Arc::default(),
+            head_scanner: RequestHeadScanner::new(settings.max_head_bytes),
+            ambiguous_length: Arc::default(),
         }
     }
 
     /// Returns what tells whether a request with two lengths came.
-    pub(crate) fn two_lengths(&self) -> Arc<AtomicBool> {
-        Arc::clone(&self.two_lengths)
+    pub(crate) fn ambiguous_length(&self) -> Arc<AtomicBool> {
+        Arc::clone(&self.ambiguous_length)
     }
 
-    fn took(&mut self, bytes: &[u8]) {
-        self.watch.feed(bytes);
-        if self.watch.has_two_lengths() {
-            self.two_lengths.store(true, Ordering::Relaxed);
+    fn record_read(&mut self, bytes: &[u8]) {
+        self.head_scanner.scan(bytes);
+        if self.head_scanner.has_ambiguous_length() {
+            self.ambiguous_length.store(true, Ordering::Relaxed);
         }
-        if !self.watch.is_in_head() {
+        if !self.head_scanner.is_within_head() {
             self.head_timer = None;
         }
     }
@@ -86,39 +86,41 @@
     ///
     /// hyper would answer it without saying that nothing was run. Nothing has been sent on this
     /// connection, so that the answer cannot get before another, and fits the socket's buffer.
-    fn refuse(&self, fault: HeadFault) -> io::Error {
-        counter!(REFUSALS, "reason" => fault.reason()).increment(1);
+    fn refuse_head(&self, error: HeadError) -> io::Error {
+        counter!(REFUSALS_METRIC, "reason" => error.reason()).increment(1);
         // A caller that is gone gets no answer.
-        self.stream.try_write(fault.answer()).ok();
+        self.stream.try_write(error.response_bytes()).ok();
         io::ErrorKind::InvalidData.into()
     }
 
     fn poll_head_timer(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.watch.is_in_head() {
+        if !self.head_scanner.is_within_head() {
             return Poll::Pending;
         }
         let limit = self.head_timeout;
-        let timer = self
+        let write_timer = self
             .head_timer
             .get_or_insert_with(|| Box::pin(sleep(limit)));
-        match timer.as_mut().poll(context) {
+        match write_timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
     }
 
-    fn guard<Value>(
+    fn enforce_write_timeout<Value>(
         &mut self,
         context: &mut Context<'_>,
         outcome: Poll<io::Result<Value>>,
     ) -> Poll<io::Result<Value>> {
         if outcome.is_ready() {
-            self.timer = None;
+            self.write_timer = None;
             return outcome;
         }
-        let stall = self.stall;
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(stall)));
-        match timer.as_mut().poll(context) {
+        let stall_timeout = self.stall_timeout;
+        let write_timer = self
+            .write_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall_timeout)));
+        match write_timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -131,12 +133,12 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let had = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         match Pin::new(&mut self.stream).poll_read(context, buffer) {
             Poll::Ready(Ok(())) => {
-                self.took(&buffer.filled()[had..]);
-                match self.watch.first_fault() {
-                    Some(fault) => Poll::Ready(Err(self.refuse(fault))),
+                self.record_read(&buffer.filled()[filled_before..]);
+                match self.head_scanner.first_head_error() {
+                    Some(error) => Poll::Ready(Err(self.refuse_head(error))),
                     None => Poll::Ready(Ok(())),
                 }
             }
@@ -153,7 +155,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.guard(context, outcome)
+        self.enforce_write_timeout(context, outcome)
     }
 
     fn poll_write_vectored(
@@ -162,7 +164,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let outcome = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.guard(context, outcome)
+        self.enforce_write_timeout(context, outcome)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/gateway/src/class_metrics.rs
+++ b/crates/gateway/src/class_metrics.rs
@@ -9,17 +9,17 @@
 };
 
 /// Connections to endpoints that were found silent, by service.
-pub(crate) const SILENT_CONNECTIONS: &str = "jasminebend_gateway_silent_connections_total";
+pub(crate) const SILENT_CONNECTIONS_METRIC: &str = "jasminebend_gateway_silent_connections_total";
 /// Requests that the gateway answered itself, by class and reason.
-pub(crate) const REFUSALS: &str = "jasminebend_gateway_refusals_total";
+pub(crate) const REFUSALS_METRIC: &str = "jasminebend_gateway_refusals_total";
 /// Callers' connections that are open.
-pub(crate) const CALLERS: &str = "jasminebend_gateway_callers";
+pub(crate) const CALLERS_METRIC: &str = "jasminebend_gateway_callers";
 /// Slots that serve, by service.
-pub(crate) const SERVING_SLOTS: &str = "jasminebend_gateway_serving_slots";
+pub(crate) const SERVING_SLOTS_METRIC: &str = "jasminebend_gateway_serving_slots";
 /// Slots whose last request's fate is not known, by service.
-pub(crate) const UNKNOWN_SLOTS: &str = "jasminebend_gateway_unknown_slots";
+pub(crate) const UNKNOWN_SLOTS_METRIC: &str = "jasminebend_gateway_unknown_slots";
 /// Requests that wait for a slot, by service.
-pub(crate) const WAITING: &str = "jasminebend_gateway_waiting_requests";
+pub(crate) const WAITING_REQUESTS_METRIC: &str = "jasminebend_gateway_waiting_requests";
 
 /// A class's metrics, looked up once.
 #[derive(Clone)]
--- a/crates/gateway/src/delivery.rs
+++ b/crates/gateway/src/delivery.rs
@@ -18,13 +18,13 @@
     exchange::{
         AttemptError,
         AttemptPlan,
-        EndpointAnswer,
         EndpointRequest,
+        EndpointResponse,
         attempt, //
     },
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     header_names::EXECUTED,
-    pending_exchange::drain,
+    pending_exchange::drain_response,
     refusal::Refusal,
     request_body::RequestBody,
     request_trace::RequestTrace,
@@ -34,32 +34,32 @@
 };
 
 /// How often a request may be sent.
-const MOST_SENT: u32 = 3;
+const MAX_SENDS: u32 = 3;
 /// How often an endpoint may be tried for a request, those included that could not be connected to.
-const MOST_TRIED: u32 = 8;
-const LEAST_SAMPLES: u64 = 100;
+const MAX_ATTEMPTS: u32 = 8;
+const MIN_LATENCY_SAMPLES: u64 = 100;
 /// Until enough was learned, the second attempt waits for this part of the target.
-const UNLEARNED_DIVISOR: u32 = 4;
-const LEAST_HEDGE_DELAY: Duration = Duration::from_millis(2);
+const DEFAULT_HEDGE_DELAY_DIVISOR: u32 = 4;
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(2);
 /// No second attempt goes out before this part of the target is used up: answers that come well
 /// within the target need none, and a pause of this machine would make one for each of them.
-const HEDGE_DIVISOR: u32 = 20;
+const MIN_HEDGE_DELAY_DIVISOR: u32 = 20;
 
 /// Has a request answered, with as many attempts as it may have.
 pub(crate) struct Delivery<'a> {
-    shared: &'a GatewayShared,
+    shared: &'a GatewayState,
     class: &'a RequestClass,
     plan: AttemptPlan,
     demand: SlotDemand,
     trace: Option<&'a RequestTrace>,
-    sent: u32,
-    maybe_run: bool,
+    send_count: u32,
+    may_have_run: bool,
 }
 
 impl<'a> Delivery<'a> {
     /// Creates the delivery of a request that is ready to be sent.
     pub(crate) fn new(
-        shared: &'a GatewayShared,
+        shared: &'a GatewayState,
         class: &'a RequestClass,
         plan: AttemptPlan,
         demand: SlotDemand,
@@ -71,8 +71,8 @@
             plan,
             demand,
             trace,
-            sent: 1,
-            maybe_run: false,
+            send_count: 1,
+            may_have_run: false,
         }
     }
 
@@ -80,8 +80,8 @@
     pub(crate) async fn run(
         mut self,
         request: Box<EndpointRequest>,
-    ) -> Result<EndpointAnswer, Refusal> {
-        let queue = self.trace.map(RequestTrace::queue);
+    ) -> Result<EndpointResponse, Refusal> {
+        let queue = self.trace.map(RequestTrace::start_queue_span);
         let lease = self.class.pool.acquire(self.demand).await?;
         drop(queue);
         let waited = self
@@ -98,33 +98,40 @@
             let taken = self.shared.clock.monotonic().saturating_sub(sent_at);
             self.class.latency().observe(taken);
         }
-        if self.maybe_run && outcome.as_ref().is_ok_and(says_not_run) {
+        if self.may_have_run && outcome.as_ref().is_ok_and(is_reported_not_run) {
             // The endpoint speaks for its own attempt alone.
             return Err(Refusal::EndpointFailed);
         }
         // Once an attempt may have run, no later refusal may say that the request was not run.
-        outcome.map_err(|refusal| match self.maybe_run && refusal.surely_not_run() {
-            true => Refusal::EndpointFailed,
-            false => refusal,
-        })
+        outcome.map_err(
+            |refusal| match self.may_have_run && refusal.surely_not_run() {
+                true => Refusal::EndpointFailed,
+                false => refusal,
+            },
+        )
     }
 
     async fn deliver(
         &mut self,
         mut lease: SlotLease,
         mut request: Box<EndpointRequest>,
-    ) -> Result<EndpointAnswer, Refusal> {
+    ) -> Result<EndpointResponse, Refusal> {
         let mut reason = Refusal::Unconnected;
-        for _ in 0..MOST_TRIED {
+        for _ in 0..MAX_ATTEMPTS {
             self.demand.avoid = Some(lease.address);
-            let copy = copy_of(&request);
+            let copy = buffered_copy(&request);
             let outcome = self.attempt_hedged(lease, request).await;
             (lease, request) = match outcome {
-                Ok(answer) => match self.after_answer(&answer, copy) {
+                Ok(answer) => match self.retry_after_response(&answer, copy) {
                     Some(next) => {
                         let latency = answer.latency;
                         let connection = Some(answer.connection);
-                        tokio::spawn(drain(answer.response, answer.lease, connection, latency));
+                        tokio::spawn(drain_response(
+                            answer.response,
+                            answer.lease,
+                            connection,
+                            latency,
+                        ));
                         next
                     }
                     None => return Ok(answer),
@@ -134,8 +141,8 @@
                     (self.class.pool.acquire(self.demand).await?, request)
                 }
                 Err(AttemptError::Unknown(refusal)) => {
-                    self.maybe_run = true;
-                    self.after_unknown(copy).ok_or(refusal)?
+                    self.may_have_run = true;
+                    self.retry_after_unknown(copy).ok_or(refusal)?
                 }
             };
         }
@@ -147,28 +154,28 @@
         &mut self,
         lease: SlotLease,
         request: Box<EndpointRequest>,
-    ) -> Result<EndpointAnswer, AttemptError> {
-        let hop = self.hop();
+    ) -> Result<EndpointResponse, AttemptError> {
+        let attempt_context = self.attempt_context();
         let delay = self.hedge_delay();
-        let copy = delay.and_then(|_| copy_of(&request));
-        let mut first = pin!(attempt_traced(hop, lease, request));
+        let copy = delay.and_then(|_| buffered_copy(&request));
+        let mut first = pin!(attempt_traced(attempt_context, lease, request));
         let (Some(delay), Some(copy)) = (delay, copy) else {
             return first.await;
         };
         if let Ok(outcome) = timeout(delay, first.as_mut()).await {
             return outcome;
         }
-        let Some((lease, copy)) = self.again(copy) else {
+        let Some((lease, copy)) = self.reserve_retry(copy) else {
             return first.await;
         };
         self.class.metrics.hedges.increment(1);
-        self.maybe_run = true;
-        let second = pin!(attempt_traced(hop, lease, copy));
-        first_answer(first, second).await
+        self.may_have_run = true;
+        let second = pin!(attempt_traced(attempt_context, lease, copy));
+        first_success(first, second).await
     }
 
-    fn hop(&self) -> AttemptHop<'a> {
-        AttemptHop {
+    fn attempt_context(&self) -> AttemptContext<'a> {
+        AttemptContext {
             shared: self.shared,
             trace: self.trace,
             plan: self.plan,
@@ -181,20 +188,24 @@
         }
         let latency = self.class.latency();
         let target = self.class.entry.latency_target;
-        let usual = match latency.samples() >= LEAST_SAMPLES {
+        let usual = match latency.samples() >= MIN_LATENCY_SAMPLES {
             true => latency.quantile(),
-            false => target / UNLEARNED_DIVISOR,
+            false => target / DEFAULT_HEDGE_DELAY_DIVISOR,
         };
-        Some(usual.max(target / HEDGE_DIVISOR).max(LEAST_HEDGE_DELAY))
+        Some(
+            usual
+                .max(target / MIN_HEDGE_DELAY_DIVISOR)
+                .max(MIN_HEDGE_DELAY),
+        )
     }
 
-    fn after_answer(
+    fn retry_after_response(
         &mut self,
-        answer: &EndpointAnswer,
+        answer: &EndpointResponse,
         copy: Option<Box<EndpointRequest>>,
     ) -> Option<(SlotLease, Box<EndpointRequest>)> {
         let status = answer.response.status();
-        let not_run = says_not_run(answer);
+        let not_run = is_reported_not_run(answer);
         let failed = matches!(
             status,
             StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
@@ -202,66 +213,69 @@
         if !(not_run || self.plan.idempotent && failed) {
             return None;
         }
-        self.maybe_run |= !not_run;
-        self.again(copy?)
+        self.may_have_run |= !not_run;
+        self.reserve_retry(copy?)
             .inspect(|_| self.class.metrics.retries.increment(1))
     }
 
-    fn after_unknown(
+    fn retry_after_unknown(
         &mut self,
         copy: Option<Box<EndpointRequest>>,
     ) -> Option<(SlotLease, Box<EndpointRequest>)> {
-        if !self.plan.idempotent || self.shared.clock.monotonic() >= self.plan.give_up {
+        if !self.plan.idempotent || self.shared.clock.monotonic() >= self.plan.give_up_at {
             return None;
         }
-        self.again(copy?)
+        self.reserve_retry(copy?)
             .inspect(|_| self.class.metrics.retries.increment(1))
     }
 
     /// Takes a slot for one more attempt, if one is free and the budget allows it.
-    fn again(&mut self, copy: Box<EndpointRequest>) -> Option<(SlotLease, Box<EndpointRequest>)> {
-        if self.sent >= MOST_SENT {
+    fn reserve_retry(
+        &mut self,
+        copy: Box<EndpointRequest>,
+    ) -> Option<(SlotLease, Box<EndpointRequest>)> {
+        if self.send_count >= MAX_SENDS {
             return None;
         }
         let pool = &self.class.pool;
         let lease = pool.try_acquire(self.demand.avoid)?;
-        if !pool.lock().budget.try_withdraw() {
+        if !pool.lock().retry_budget.try_withdraw() {
             return None;
         }
-        self.sent += 1;
+        self.send_count += 1;
         Some((lease, copy))
     }
 }
 
 /// What each attempt of a request is made with.
 #[derive(Clone, Copy)]
-struct AttemptHop<'a> {
-    shared: &'a GatewayShared,
+struct AttemptContext<'a> {
+    shared: &'a GatewayState,
     trace: Option<&'a RequestTrace>,
     plan: AttemptPlan,
 }
 
 async fn attempt_traced(
-    hop: AttemptHop<'_>,
+    attempt_context: AttemptContext<'_>,
     lease: SlotLease,
     mut request: Box<EndpointRequest>,
-) -> Result<EndpointAnswer, AttemptError> {
+) -> Result<EndpointResponse, AttemptError> {
     let address = lease.address;
     // The span ends when it is dropped, also if another attempt was faster.
-    let _span = hop
+    let _span = attempt_context
         .trace
-        .map(|trace| trace.attempt(address.to_string(), request.headers_mut()));
-    attempt(hop.shared, lease, request, hop.plan).await
+        .map(|trace| trace.start_attempt_span(address.to_string(), request.headers_mut()));
+    attempt(attempt_context.shared, lease, request, attempt_context.plan).await
 }
 
 /// Returns the first answer; an attempt that fails leaves the matter to the other one.
-async fn first_answer<First, Second>(
+async fn first_success<First, Second>(
     mut first: Pin<&mut First>,
     mut second: Pin<&mut Second>,
-) -> Result<EndpointAnswer, AttemptError>
+) -> Result<EndpointResponse, AttemptError>
 where
-    First: Future<Output = Result<EndpointAnswer, AttemptError>>,
-    Second: Future<Output = Result<EndpointAnswer, AttemptError>>,
+    First: Future<Output = Result<EndpointResponse, AttemptError>>,
+    Second: Future<Output = Result<EndpointResponse, AttemptError>>,
 {
     tokio::select! {
         outcome = first.as_mut() => match outcome {
@@ -276,7 +290,7 @@
 }
 
 /// Tells whether the endpoint itself says that it did not run the request.
-pub(crate) fn says_not_run(answer: &EndpointAnswer) -> bool {
+pub(crate) fn is_reported_not_run(answer: &EndpointResponse) -> bool {
     let executed = answer.response.headers().get(&EXECUTED);
     let refused = matches!(
         answer.response.status(),
@@ -285,11 +299,11 @@
     refused && executed.is_some_and(|value| value.as_bytes() == b"no")
 }
 
-fn copy_of(request: &EndpointRequest) -> Option<Box<EndpointRequest>> {
-    let RequestBody::Whole(body) = request.body() else {
+fn buffered_copy(request: &EndpointRequest) -> Option<Box<EndpointRequest>> {
+    let RequestBody::Buffered(body) = request.body() else {
         return None;
     };
-    let mut copy = Request::new(RequestBody::Whole(body.clone()));
+    let mut copy = Request::new(RequestBody::Buffered(body.clone()));
     *copy.method_mut() = request.method().clone();
     *copy.uri_mut() = request.uri().clone();
     *copy.headers_mut() = request.headers().clone();
--- a/crates/gateway/src/endpoint_entry.rs
+++ b/crates/gateway/src/endpoint_entry.rs
@@ -25,7 +25,7 @@
     /// A request has it.
     Busy,
     /// A request that was given up has it, and its answer may still come.
-    Stray,
+    Abandoned,
     /// Its last request's fate is not known: the endpoint may be working on it until then.
     Unknown {
         /// When the longest request there may be is over.
@@ -44,11 +44,11 @@
     /// Whether this daemon may use its share now, as of the last refresh.
     pub(crate) held: bool,
     /// Whether it stands in the pool's list of free slots.
-    pub(crate) listed: bool,
+    pub(crate) in_free_list: bool,
     /// Its idle connection.
     pub(crate) connection: Option<EndpointConnection>,
     /// Until when connections that were given up may still count at the endpoint.
-    pub(crate) lingering: Vec<Duration>,
+    pub(crate) lingering_until: Vec<Duration>,
 }
 
 /// An endpoint as its pool keeps it.
@@ -62,11 +62,11 @@
     /// Whether the VM list and the failure domains let it take requests.
     pub(crate) open: bool,
     /// Whether it ever kept a connection open after an answer.
-    pub(crate) keeps_open: bool,
+    pub(crate) keeps_connections_open: bool,
     /// Left alone since it refused.
-    pub(crate) refusing: EndpointBackoff,
+    pub(crate) refusal_backoff: EndpointBackoff,
     /// Left alone since it announced its end.
-    pub(crate) leaving: EndpointBackoff,
+    pub(crate) leaving_backoff: EndpointBackoff,
     declared_slots: u16,
     /// The connections that each slot may have at the endpoint, those given up included.
     pub(crate) connections_per_slot: usize,
@@ -84,9 +84,9 @@
             score: EndpointScore::new(),
             slots,
             open: false,
-            keeps_open: false,
-            refusing: EndpointBackoff::new(),
-            leaving: EndpointBackoff::new(),
+            keeps_connections_open: false,
+            refusal_backoff: EndpointBackoff::new(),
+            leaving_backoff: EndpointBackoff::new(),
             declared_slots,
             connections_per_slot: 1,
         };
@@ -128,9 +128,9 @@
     }
 
     /// Tells whether the endpoint may take requests now.
-    pub(crate) fn is_usable(&self, now: Duration, heed_leaving: bool) -> bool {
-        let leaves = heed_leaving && self.leaving.is_active(now);
-        self.open && !leaves && !self.refusing.is_active(now)
+    pub(crate) fn is_usable(&self, now: Duration, honor_leaving: bool) -> bool {
+        let leaves = honor_leaving && self.leaving_backoff.is_active(now);
+        self.open && !leaves && !self.refusal_backoff.is_active(now)
     }
 
     /// Tells whether none of its slots is in use.
@@ -146,9 +146,9 @@
             epoch: OwnerEpoch::default(),
             phase: SlotPhase::Idle,
             held: false,
-            listed: false,
+            in_free_list: false,
             connection: None,
-            lingering: Vec::new(),
+            lingering_until: Vec::new(),
         }
     }
 
@@ -156,14 +156,19 @@
     /// between the two ends may have lost track of it, and the endpoint then counts it until its
     /// own time-out. Without this count, replacing silent connections again and again would take
     /// more connections than the endpoint has.
-    pub(crate) fn linger(&mut self, until: Duration) {
-        self.lingering.push(until);
+    pub(crate) fn add_lingering_connection(&mut self, until: Duration) {
+        self.lingering_until.push(until);
     }
 
     /// Tells whether one more connection fits into what the endpoint can hold, besides `giving_up`
     /// ones that are about to be given up.
-    pub(crate) fn may_dial(&mut self, now: Duration, most: usize, giving_up: usize) -> bool {
-        self.lingering.retain(|until| *until > now);
-        self.lingering.len() + giving_up < most
+    pub(crate) fn may_connect(
+        &mut self,
+        now: Duration,
+        max_connections: usize,
+        giving_up: usize,
+    ) -> bool {
+        self.lingering_until.retain(|until| *until > now);
+        self.lingering_until.len() + giving_up < max_connections
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -15,8 +15,8 @@
 
 use crate::{
     endpoint_connection::EndpointConnection,
-    exchange_end::ExchangeEnd,
-    gateway_shared::GatewayShared,
+    exchange_outcome::ExchangeOutcome,
+    gateway_state::GatewayState,
     pending_exchange::PendingExchange,
     pool_refresh::refresh_pool,
     refusal::Refusal,
@@ -24,8 +24,8 @@
     slot_lease::SlotLease, //
 };
 
-const MOST_CONNECTIONS_TRIED: usize = 2;
-const READY_PATIENCE: Duration = Duration::from_millis(50);
+const MAX_CONNECTIONS_TRIED: usize = 2;
+const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// A request on its way to an endpoint.
 pub(crate) type EndpointRequest = Request<RequestBody>;
@@ -34,16 +34,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
     /// When the request is given up.
-    pub(crate) give_up: Duration,
+    pub(crate) give_up_at: Duration,
     /// How long a connection may take to open: a part of the target, so that there is time for
     /// another endpoint when a VM is gone and answers nothing.
-    pub(crate) connect: Duration,
+    pub(crate) connect_timeout: Duration,
     /// Whether the request may run twice.
     pub(crate) idempotent: bool,
 }
 
 /// An answer whose body is still to come.
-pub(crate) struct EndpointAnswer {
+pub(crate) struct EndpointResponse {
     /// The answer.
     pub(crate) response: Response<Incoming>,
     /// The slot that it came through.
@@ -69,16 +69,16 @@
 
 /// Sends a request through a slot and waits for the head of its answer.
 pub(crate) async fn attempt(
-    shared: &GatewayShared,
+    shared: &GatewayState,
     mut lease: SlotLease,
     mut request: Box<EndpointRequest>,
     plan: AttemptPlan,
-) -> Result<EndpointAnswer, AttemptError> {
-    for _ in 0..MOST_CONNECTIONS_TRIED {
-        let connection = match open(shared, &mut lease, plan).await {
+) -> Result<EndpointResponse, AttemptError> {
+    for _ in 0..MAX_CONNECTIONS_TRIED {
+        let connection = match connection_for(shared, &mut lease, plan).await {
             Some(connection) => connection,
             None => {
-                lease.end(ExchangeEnd::Unconnected);
+                lease.release(ExchangeOutcome::Unconnected);
                 let refusal = Refusal::Unconnected;
                 return Err(AttemptError::NotRun { refusal, request });
             }
@@ -88,7 +88,7 @@
         if shared.ownership.may_act(lease.grant.0) != Some(lease.grant.1) {
             lease.connection = Some(connection);
             // The next pick must not meet the other slots of what was lost.
-            shared.outdated.store(true, Ordering::Relaxed);
+            shared.refresh_requested.store(true, Ordering::Relaxed);
             let held = shared.held_shares();
             refresh_pool(lease.pool(), &held, shared.clock.monotonic());
             let refusal = Refusal::NoEndpoint;
@@ -97,7 +97,9 @@
         match send(shared, lease, connection, request, plan).await {
             Ok(answer) => return Ok(answer),
             Err(SendError::Unknown(refusal)) => return Err(AttemptError::Unknown(refusal)),
-            Err(SendError::Unsent(own, back)) => (lease, request) = (own, back),
+            Err(SendError::Unsent(returned_lease, returned_request)) => {
+                (lease, request) = (returned_lease, returned_request)
+            }
         }
     }
     let refusal = Refusal::Unconnected;
@@ -110,25 +112,25 @@
 }
 
 async fn send(
-    shared: &GatewayShared,
+    shared: &GatewayState,
     mut lease: SlotLease,
     mut connection: EndpointConnection,
     request: Box<EndpointRequest>,
     plan: AttemptPlan,
-) -> Result<EndpointAnswer, SendError> {
+) -> Result<EndpointResponse, SendError> {
     lease.sent = true;
     let sent_at = shared.clock.monotonic();
     let answer = Box::pin(connection.sender.try_send_request(*request));
     let pending = PendingExchange::new(answer, lease, connection, sent_at);
-    let left = plan.give_up.saturating_sub(sent_at);
+    let left = plan.give_up_at.saturating_sub(sent_at);
     let Some((outcome, mut lease, mut connection)) = pending.wait(left).await else {
         return Err(SendError::Unknown(Refusal::EndpointTimeout));
     };
     match outcome {
         Ok(response) => {
-            connection.last_heard = shared.clock.monotonic();
-            let latency = connection.last_heard.saturating_sub(sent_at);
-            Ok(EndpointAnswer {
+            connection.last_received_at = shared.clock.monotonic();
+            let latency = connection.last_received_at.saturating_sub(sent_at);
+            Ok(EndpointResponse {
                 response,
                 lease,
                 connection,
@@ -140,13 +142,13 @@
                 lease.sent = false;
                 Err(SendError::Unsent(lease, Box::new(request)))
             }
-            None => Err(SendError::Unknown(refusal_of(error.error()))),
+            None => Err(SendError::Unknown(refusal_for(error.error()))),
         },
     }
 }
 
 /// Tells a fault of the caller's body from one of the endpoint.
-fn refusal_of(error: &hyper::Error) -> Refusal {
+fn refusal_for(error: &hyper::Error) -> Refusal {
     let fault = error.source().and_then(|cause| cause.downcast_ref());
     match fault {
         Some(fault) => Refusal::BodyFailed(*fault),
@@ -155,21 +157,21 @@
 }
 
 /// Returns the slot's connection, or a new one where it has none that can be trusted.
-async fn open(
-    shared: &GatewayShared,
+async fn connection_for(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
-    if let Some(mut connection) = trusted(shared, lease, plan) {
+    if let Some(mut connection) = trusted_connection(shared, lease, plan) {
         if connection.sender.is_ready() {
             return Some(connection);
         }
-        let ready = timeout(READY_PATIENCE, connection.sender.ready()).await;
+        let ready = timeout(CONNECTION_READY_TIMEOUT, connection.sender.ready()).await;
         if matches!(ready, Ok(Ok(()))) {
             return Some(connection);
         }
     }
-    dial(shared, lease, plan).await
+    connect(shared, lease, plan).await
 }
 
 /// Returns the slot's connection if it can be trusted with the request.
@@ -178,8 +180,8 @@
 /// vanishes, and a request that must not run twice could only be answered "unknown". So such a
 /// request goes out only where the endpoint was heard from a moment ago, and none goes out on a
 /// connection that was quiet since before another one was found silent.
-fn trusted(
-    shared: &GatewayShared,
+fn trusted_connection(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
@@ -188,39 +190,39 @@
         .take()
         .filter(EndpointConnection::is_open)?;
     let now = shared.clock.monotonic();
-    let quiet = now.saturating_sub(connection.last_heard);
-    let most_quiet = match plan.idempotent {
-        true => shared.settings.endpoint_idle,
-        false => shared.settings.trusted_silence,
+    let silent_for = now.saturating_sub(connection.last_received_at);
+    let max_silence = match plan.idempotent {
+        true => shared.settings.endpoint_idle_timeout,
+        false => shared.settings.max_connection_silence,
     };
-    let suspect = lease.pool().is_suspect(connection.last_heard);
-    if quiet <= most_quiet && !suspect {
+    let is_suspect = lease.pool().is_suspect(connection.last_received_at);
+    if silent_for <= max_silence && !is_suspect {
         return Some(connection);
     }
     let mut state = lease.pool().lock();
     // A connection that is merely quiet is better than none: at a low rate each booking finds its
     // slot's connection quiet, and the endpoint may not have seen the ends of those before it.
-    if !suspect && !state.may_dial(lease.key(), now, 1) {
+    if !is_suspect && !state.may_connect(lease.key(), now, 1) {
         return Some(connection);
     }
     state
         .slot(lease.key())
-        .linger(now + shared.settings.longest_request);
+        .add_lingering_connection(now + shared.settings.longest_request);
     None
 }
 
-async fn dial(
-    shared: &GatewayShared,
+async fn connect(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
     let now = shared.clock.monotonic();
-    if !lease.pool().lock().may_dial(lease.key(), now, 0) {
+    if !lease.pool().lock().may_connect(lease.key(), now, 0) {
         return None;
     }
-    let left = plan.give_up.saturating_sub(now);
-    let patience = plan.connect.min(left);
-    EndpointConnection::dial(lease.address, patience, now)
+    let left = plan.give_up_at.saturating_sub(now);
+    let time_limit = plan.connect_timeout.min(left);
+    EndpointConnection::connect(lease.address, time_limit, now)
         .await
         .ok()
 }
--- a/crates/gateway/src/exchange_end.rs
+++ b/crates/gateway/src/exchange_outcome.rs
@@ -5,9 +5,9 @@
 use crate::endpoint_connection::EndpointConnection;
 
 /// What became of a slot's exchange.
-pub(crate) enum ExchangeEnd {
+pub(crate) enum ExchangeOutcome {
     /// Nothing was sent.
-    Unused {
+    NotSent {
         /// The connection that the slot had, if it may be used again.
         connection: Option<EndpointConnection>,
     },
@@ -18,19 +18,19 @@
         /// From sending to the answer's head.
         latency: Duration,
         /// What the answer says of the endpoint.
-        verdict: AnswerVerdict,
+        verdict: ResponseVerdict,
         /// The connection, if it may be used again.
         connection: Option<EndpointConnection>,
     },
     /// No answer came, but the longest request there may be is over.
-    Over,
+    TimedOut,
     /// The endpoint may still be working on it.
     Unknown,
 }
 
 /// What an answer says of its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum AnswerVerdict {
+pub(crate) enum ResponseVerdict {
     /// It does its work.
     Good,
     /// It answered that it failed.
@@ -38,7 +38,7 @@
     /// It takes no more for this long (503).
     Refusing {
         /// What its `Retry-After` asks for.
-        asked: Duration,
+        requested: Duration,
     },
     /// It closes its connection, which announces its end if it is not its habit.
     Closing,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -33,76 +33,77 @@
     caller_server::serve_callers,
     gateway_edges::GatewayEdges,
     gateway_settings::GatewaySettings,
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     key_sweeper::sweep_keys,
-    peer_directory::keep_directory,
-    pool_keeper::{
-        KeeperMessage,
-        KeeperState,
-        PoolKeeper, //
-    },
+    peer_directory::run_peer_directory,
     pool_refresh::HeldShares,
+    pool_updater::{
+        PoolUpdater, //
+        PoolUpdaterMessage,
+        PoolUpdaterState,
+    },
 };
 
-const KEEPER_PAUSE: Duration = Duration::from_secs(1);
+const POOL_UPDATER_RESTART_DELAY: Duration = Duration::from_secs(1);
 
 /// The gateway: takes callers' requests and has endpoints answer them.
 pub struct Gateway {
-    shared: Arc<GatewayShared>,
-    keeper: Mutex<Option<ActorRef<KeeperMessage>>>,
+    shared: Arc<GatewayState>,
+    pool_updater: Mutex<Option<ActorRef<PoolUpdaterMessage>>>,
     stop: watch::Sender<bool>,
-    served: watch::Sender<usize>,
-    sweeper: AbortHandle,
-    directory: AbortHandle,
+    open_listeners: watch::Sender<usize>,
+    key_sweeper_task: AbortHandle,
+    peer_directory_task: AbortHandle,
 }
 
 impl Gateway {
     /// Creates a gateway that follows the configuration, the VM list and the held shares from now
     /// on. To be called within a tokio runtime.
     pub fn new(settings: GatewaySettings, edges: GatewayEdges) -> Arc<Self> {
-        let shared = Arc::new(GatewayShared::new(settings, &edges));
-        let mut state = KeeperState {
+        let shared = Arc::new(GatewayState::new(settings, &edges));
+        let mut state = PoolUpdaterState {
             shared: Arc::clone(&shared),
             configuration: edges.configuration,
             vms: edges.vms,
-            seen: HeldShares::new(),
-            looked_at: Duration::ZERO,
+            last_held_shares: HeldShares::new(),
+            last_full_refresh: Duration::ZERO,
         };
         state.set_routes();
         state.set_endpoints();
         state.refresh();
         let sweep = sweep_keys(Arc::clone(&shared), Arc::clone(&shared.keys));
-        let sweeper = tokio::spawn(sweep).abort_handle();
-        let directory = tokio::spawn(keep_directory(Arc::clone(&shared))).abort_handle();
+        let key_sweeper_task = tokio::spawn(sweep).abort_handle();
+        let peer_directory_task =
+            tokio::spawn(run_peer_directory(Arc::clone(&shared))).abort_handle();
         let gateway = Arc::new(Self {
             shared,
-            keeper: Mutex::new(None),
+            pool_updater: Mutex::new(None),
             stop: watch::Sender::new(false),
-            served: watch::Sender::new(0),
-            sweeper,
-            directory,
+            open_listeners: watch::Sender::new(0),
+            key_sweeper_task,
+            peer_directory_task,
         });
-        tokio::spawn(run_keeper(Arc::downgrade(&gateway), state));
+        tokio::spawn(supervise_pool_updater(Arc::downgrade(&gateway), state));
         gateway
     }
 
     /// Serves callers on a listener; returns once drained.
     pub async fn serve(self: Arc<Self>, listener: TcpListener) {
-        self.served.send_modify(|count| *count += 1);
+        self.open_listeners.send_modify(|count| *count += 1);
         let stop = self.stop.subscribe();
         serve_callers(Arc::clone(&self.shared), listener, stop).await;
-        self.served.send_modify(|count| *count -= 1);
+        self.open_listeners.send_modify(|count| *count -= 1);
     }
 
     /// Stops taking connections, and waits until every request in progress is answered.
     pub async fn drain(&self) {
         info!("[gateway] Draining.");
-        self.directory.abort();
+        self.peer_directory_task.abort();
         self.shared.peers.withdraw().await;
         self.stop.send_replace(true);
-        let mut served = self.served.subscribe();
+        let mut open_listeners = self.open_listeners.subscribe();
         // The sender is this gateway's own, so that the wait ends only as it should.
-        served.wait_for(|count| *count == 0).await.ok();
+        open_listeners.wait_for(|count| *count == 0).await.ok();
         self.shared
             .keys
             .flush(self.shared.settings.longest_request)
@@ -110,55 +111,62 @@
         info!("[gateway] Drained.");
     }
 
-    fn set_keeper(&self, keeper: ActorRef<KeeperMessage>) -> Option<ActorRef<KeeperMessage>> {
-        let mut own = self.keeper.lock().unwrap_or_else(PoisonError::into_inner);
-        own.replace(keeper)
+    fn set_pool_updater(
+        &self,
+        pool_updater: ActorRef<PoolUpdaterMessage>,
+    ) -> Option<ActorRef<PoolUpdaterMessage>> {
+        let mut current = self
+            .pool_updater
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        current.replace(pool_updater)
     }
 
-    fn uses(&self, resource: ResourceId) -> bool {
+    fn is_share_in_use(&self, resource: ResourceId) -> bool {
         self.shared
             .pools()
             .iter()
-            .any(|pool| pool.lock().uses(resource))
+            .any(|pool| pool.lock().is_share_in_use(resource))
     }
 }
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        let keeper = self
-            .keeper
+        let pool_updater = self
+            .pool_updater
             .get_mut()
             .unwrap_or_else(PoisonError::into_inner);
-        if let Some(keeper) = keeper.take() {
-            keeper.stop(None);
+        if let Some(pool_updater) = pool_updater.take() {
+            pool_updater.stop(None);
         }
-        self.sweeper.abort();
-        self.directory.abort();
-        self.shared.keys.stop();
+        self.key_sweeper_task.abort();
+        self.peer_directory_task.abort();
+        self.shared.keys.stop_writer();
     }
 }
 
 /// Runs the keeper for as long as the gateway lives. Without it no change of the endpoints or shares
 /// would be followed, so that one which ends before its time is started anew.
-async fn run_keeper(gateway: Weak<Gateway>, state: KeeperState) {
+async fn supervise_pool_updater(gateway: Weak<Gateway>, state: PoolUpdaterState) {
     loop {
-        let Ok((keeper, ended)) = Actor::spawn(None, PoolKeeper, state.clone()).await else {
+        let Ok((pool_updater, completion)) = Actor::spawn(None, PoolUpdater, state.clone()).await
+        else {
             error!("[gateway] The keeper of the pools did not start.");
-            sleep(KEEPER_PAUSE).await;
+            sleep(POOL_UPDATER_RESTART_DELAY).await;
             continue;
         };
-        let Some(own) = gateway.upgrade() else {
-            return keeper.stop(None);
+        let Some(strong) = gateway.upgrade() else {
+            return pool_updater.stop(None);
         };
-        let former = own.set_keeper(keeper);
-        drop((own, former));
+        let previous = strong.set_pool_updater(pool_updater);
+        drop((strong, previous));
         // How it ended is told by the line below.
-        ended.await.ok();
+        completion.await.ok();
         if gateway.strong_count() == 0 {
             return;
         }
         error!("[gateway] The keeper of the pools ended early and starts anew.");
-        sleep(KEEPER_PAUSE).await;
+        sleep(POOL_UPDATER_RESTART_DELAY).await;
     }
 }
 
@@ -166,13 +174,13 @@
 impl ResourceUser for Gateway {
     async fn wait_idle(&self, resource: ResourceId) {
         loop {
-            let mut idle = pin!(self.shared.idle.notified());
+            let mut slot_idle = pin!(self.shared.slot_idle.notified());
             // Registered before the look, so that a slot that falls idle in between is not missed.
-            idle.as_mut().enable();
-            if !self.uses(resource) {
+            slot_idle.as_mut().enable();
+            if !self.is_share_in_use(resource) {
                 break;
             }
-            idle.await;
+            slot_idle.await;
         }
         for pool in self.shared.pools() {
             pool.lock().close_idle(resource);
--- a/crates/gateway/src/gateway_settings.rs
+++ b/crates/gateway/src/gateway_settings.rs
@@ -7,7 +7,7 @@
 
 use jasminebend_base::DomainName;
 
-const LEAST_CONNECT: Duration = Duration::from_millis(20);
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// How the gateway is set; [`GatewaySettings::new`] gives defaults that fit today's sizes.
 #[derive(Clone, Debug)]
@@ -15,29 +15,29 @@
     pub(crate) domain: DomainName,
     pub(crate) slot_shares: u16,
     pub(crate) longest_request: Duration,
-    pub(crate) target_multiple: u32,
-    pub(crate) least_patience: Duration,
+    pub(crate) timeout_target_multiple: u32,
+    pub(crate) min_request_timeout: Duration,
     pub(crate) connect_timeout: Duration,
-    pub(crate) trusted_silence: Duration,
-    pub(crate) endpoint_idle: Duration,
-    pub(crate) caller_idle: Duration,
+    pub(crate) max_connection_silence: Duration,
+    pub(crate) endpoint_idle_timeout: Duration,
+    pub(crate) caller_idle_timeout: Duration,
     pub(crate) head_timeout: Duration,
-    pub(crate) body_stall: Duration,
-    pub(crate) most_callers: usize,
-    pub(crate) most_waiting: usize,
-    pub(crate) most_head_bytes: usize,
-    pub(crate) most_body_bytes: u64,
-    pub(crate) buffered_body_bytes: u64,
-    pub(crate) most_held_bytes: usize,
-    pub(crate) domain_distance: Duration,
-    pub(crate) refresh_every: Duration,
-    pub(crate) leaving_hold: Duration,
-    pub(crate) refusal_hold: Duration,
+    pub(crate) body_stall_timeout: Duration,
+    pub(crate) max_callers: usize,
+    pub(crate) max_waiting_requests: usize,
+    pub(crate) max_head_bytes: usize,
+    pub(crate) max_body_bytes: u64,
+    pub(crate) max_buffered_body_bytes: u64,
+    pub(crate) max_total_buffered_bytes: usize,
+    pub(crate) cross_domain_round_trip_time: Duration,
+    pub(crate) refresh_interval: Duration,
+    pub(crate) leaving_backoff: Duration,
+    pub(crate) refusal_backoff: Duration,
     pub(crate) retry_ratio: f64,
     pub(crate) key_retention: Duration,
     /// How often expired idempotency keys are looked for.
-    pub(crate) key_sweep_every: Duration,
-    pub(crate) traces: bool,
+    pub(crate) key_sweep_interval: Duration,
+    pub(crate) traces_enabled: bool,
     pub(crate) peer_address: Option<SocketAddr>,
 }
 
@@ -49,44 +49,44 @@
             domain,
             slot_shares,
             longest_request: Duration::from_secs(30),
-            target_multiple: 4,
-            least_patience: Duration::from_secs(1),
+            timeout_target_multiple: 4,
+            min_request_timeout: Duration::from_secs(1),
             connect_timeout: Duration::from_millis(500),
-            trusted_silence: Duration::from_secs(2),
-            endpoint_idle: Duration::from_secs(30),
-            caller_idle: Duration::from_secs(75),
+            max_connection_silence: Duration::from_secs(2),
+            endpoint_idle_timeout: Duration::from_secs(30),
+            caller_idle_timeout: Duration::from_secs(75),
             head_timeout: Duration::from_secs(10),
-            body_stall: Duration::from_secs(10),
-            most_callers: 12_000,
-            most_waiting: 1_000,
-            most_head_bytes: 16 * 1024,
-            most_body_bytes: 16 * 1024 * 1024,
-            buffered_body_bytes: 64 * 1024,
-            most_held_bytes: 64 * 1024 * 1024,
-            domain_distance: Duration::from_millis(2),
-            refresh_every: Duration::from_millis(50),
-            leaving_hold: Duration::from_secs(30),
-            refusal_hold: Duration::from_secs(2),
+            body_stall_timeout: Duration::from_secs(10),
+            max_callers: 12_000,
+            max_waiting_requests: 1_000,
+            max_head_bytes: 16 * 1024,
+            max_body_bytes: 16 * 1024 * 1024,
+            max_buffered_body_bytes: 64 * 1024,
+            max_total_buffered_bytes: 64 * 1024 * 1024,
+            cross_domain_round_trip_time: Duration::from_millis(2),
+            refresh_interval: Duration::from_millis(50),
+            leaving_backoff: Duration::from_secs(30),
+            refusal_backoff: Duration::from_secs(2),
             retry_ratio: 0.1,
             key_retention: Duration::from_secs(24 * 60 * 60),
-            key_sweep_every: Duration::from_secs(600),
-            traces: false,
+            key_sweep_interval: Duration::from_secs(600),
+            traces_enabled: false,
             peer_address: None,
         }
     }
 
     /// Sets the longest time that an endpoint may work on one request. A slot whose request's fate
     /// is not known stays empty for this long; the cluster's idle time of a share must not be less.
-    pub fn with_longest_request(mut self, longest: Duration) -> Self {
-        self.longest_request = longest;
+    pub fn with_longest_request(mut self, duration: Duration) -> Self {
+        self.longest_request = duration;
         self
     }
 
     /// Sets how long a request may go unanswered: so many times its class's target, but at least
     /// this long.
-    pub fn with_patience(mut self, target_multiple: u32, least: Duration) -> Self {
-        self.target_multiple = target_multiple;
-        self.least_patience = least;
+    pub fn with_request_timeout(mut self, target_multiple: u32, min_timeout: Duration) -> Self {
+        self.timeout_target_multiple = target_multiple;
+        self.min_request_timeout = min_timeout;
         self
     }
 
@@ -98,63 +98,63 @@
 
     /// Sets how long ago a connection may last have been heard from to carry a request that must
     /// not run twice; an older one is replaced first.
-    pub fn with_trusted_silence(mut self, silence: Duration) -> Self {
-        self.trusted_silence = silence;
+    pub fn with_max_connection_silence(mut self, silence: Duration) -> Self {
+        self.max_connection_silence = silence;
         self
     }
 
     /// Sets how long a caller's connection may be idle, and how long a request's head may take.
     pub fn with_caller_timeouts(mut self, idle: Duration, head: Duration) -> Self {
-        self.caller_idle = idle;
+        self.caller_idle_timeout = idle;
         self.head_timeout = head;
         self
     }
 
     /// Sets how often the held shares and the clock are looked at, besides each change of the
     /// configuration and the VM list.
-    pub fn with_refresh(mut self, every: Duration) -> Self {
-        self.refresh_every = every;
+    pub fn with_refresh_interval(mut self, interval: Duration) -> Self {
+        self.refresh_interval = interval;
         self
     }
 
     /// Sets how long a body may stand still, in either direction.
-    pub fn with_body_stall(mut self, stall: Duration) -> Self {
-        self.body_stall = stall;
+    pub fn with_body_stall_timeout(mut self, timeout: Duration) -> Self {
+        self.body_stall_timeout = timeout;
         self
     }
 
     /// Sets how many callers may be connected, and how many requests of a service may wait.
     pub fn with_bounds(mut self, callers: usize, waiting: usize) -> Self {
-        self.most_callers = callers;
-        self.most_waiting = waiting;
+        self.max_callers = callers;
+        self.max_waiting_requests = waiting;
         self
     }
 
     /// Sets the largest head and body of a request, and the body up to which it is taken in whole
     /// before a slot is taken for it; in bytes.
-    pub fn with_sizes(mut self, head: usize, body: u64, buffered: u64) -> Self {
-        self.most_head_bytes = head;
-        self.most_body_bytes = body;
-        self.buffered_body_bytes = buffered;
+    pub fn with_sizes(mut self, max_head: usize, max_body: u64, max_buffered_body: u64) -> Self {
+        self.max_head_bytes = max_head;
+        self.max_body_bytes = max_body;
+        self.max_buffered_body_bytes = max_buffered_body;
         self
     }
 
     /// Sets how many bytes of bodies may be held in memory at once, for all requests together.
-    pub fn with_held_bytes(mut self, most: usize) -> Self {
-        self.most_held_bytes = most;
+    pub fn with_max_buffered_bytes(mut self, max_bytes: usize) -> Self {
+        self.max_total_buffered_bytes = max_bytes;
         self
     }
 
     /// Sets the round trip to an endpoint in another failure domain.
-    pub fn with_domain_distance(mut self, distance: Duration) -> Self {
-        self.domain_distance = distance;
+    pub fn with_cross_domain_round_trip_time(mut self, round_trip_time: Duration) -> Self {
+        self.cross_domain_round_trip_time = round_trip_time;
         self
     }
 
     /// Sets how long an endpoint that announced its end, and one that refused, is left alone.
-    pub fn with_holds(mut self, leaving: Duration, refusal: Duration) -> Self {
-        self.leaving_hold = leaving;
-        self.refusal_hold = refusal;
+    pub fn with_backoffs(mut self, leaving: Duration, refusal: Duration) -> Self {
+        self.leaving_backoff = leaving;
+        self.refusal_backoff = refusal;
         self
     }
 
@@ -171,8 +171,8 @@
     }
 
     /// Sets how often expired idempotency keys are looked for.
-    pub fn with_key_sweep_every(mut self, pause: Duration) -> Self {
-        self.key_sweep_every = pause;
+    pub fn with_key_sweep_interval(mut self, interval: Duration) -> Self {
+        self.key_sweep_interval = interval;
         self
     }
 
@@ -184,18 +184,21 @@
     }
 
     /// Makes a span for each hop of a request.
-    pub fn with_traces(mut self, traces: bool) -> Self {
-        self.traces = traces;
+    pub fn with_traces(mut self, enabled: bool) -> Self {
+        self.traces_enabled = enabled;
         self
     }
 
-    pub(crate) fn connect_patience(&self, target: Duration) -> Duration {
-        (target / 2).clamp(LEAST_CONNECT, self.connect_timeout.max(LEAST_CONNECT))
+    pub(crate) fn connect_timeout_for(&self, target: Duration) -> Duration {
+        (target / 2).clamp(
+            MIN_CONNECT_TIMEOUT,
+            self.connect_timeout.max(MIN_CONNECT_TIMEOUT),
+        )
     }
 
-    pub(crate) fn patience(&self, target: Duration) -> Duration {
-        (target * self.target_multiple)
-            .max(self.least_patience)
+    pub(crate) fn timeout_for(&self, target: Duration) -> Duration {
+        (target * self.timeout_target_multiple)
+            .max(self.min_request_timeout)
             .min(self.longest_request)
     }
 }
--- a/crates/gateway/src/gateway_shared.rs
+++ b/crates/gateway/src/gateway_state.rs
@@ -29,7 +29,7 @@
 };
 
 /// What the gateway's parts share.
-pub(crate) struct GatewayShared {
+pub(crate) struct GatewayState {
     /// The settings.
     pub(crate) settings: Arc<GatewaySettings>,
     /// The slot shares that this daemon holds.
@@ -43,16 +43,16 @@
     /// The seed of the random picks.
     pub(crate) seed: u64,
     /// Told whenever a slot falls idle.
-    pub(crate) idle: Arc<Notify>,
+    pub(crate) slot_idle: Arc<Notify>,
     /// Whether a request found the keeper's last look at the shares outdated.
-    pub(crate) outdated: AtomicBool,
+    pub(crate) refresh_requested: AtomicBool,
     /// The bytes of bodies that may still be held in memory.
-    pub(crate) held_bytes: Arc<Semaphore>,
+    pub(crate) buffered_body_permits: Arc<Semaphore>,
     routes: RwLock<Arc<RouteSnapshot>>,
     pools: RwLock<IndexMap<ServiceName, Arc<ServicePool>>>,
 }
 
-impl GatewayShared {
+impl GatewayState {
     /// Creates a gateway without routes.
     pub(crate) fn new(settings: GatewaySettings, edges: &GatewayEdges) -> Self {
         let keys = KeyStore::new(
@@ -60,7 +60,7 @@
             Arc::clone(&edges.clock),
             settings.key_retention,
         );
-        let held_bytes = Arc::new(Semaphore::new(settings.most_held_bytes));
+        let buffered_body_permits = Arc::new(Semaphore::new(settings.max_total_buffered_bytes));
         Self {
             settings: Arc::new(settings),
             ownership: Arc::clone(&edges.ownership),
@@ -68,9 +68,9 @@
             keys: Arc::new(keys),
             peers: PeerDirectory::new(Arc::clone(&edges.table)),
             seed: edges.seed,
-            idle: Arc::new(Notify::new()),
-            outdated: AtomicBool::new(false),
-            held_bytes,
+            slot_idle: Arc::new(Notify::new()),
+            refresh_requested: AtomicBool::new(false),
+            buffered_body_permits,
             routes: RwLock::default(),
             pools: RwLock::default(),
         }
@@ -92,8 +92,8 @@
 
     /// Puts routes in force.
     pub(crate) fn set_routes(&self, routes: RouteSnapshot) {
-        let mut own = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        *own = Arc::new(routes);
+        let mut current = self.routes.write().unwrap_or_else(PoisonError::into_inner);
+        *current = Arc::new(routes);
     }
 
     /// Returns all pools.
@@ -111,12 +111,12 @@
         let pool = pools.entry(service.clone()).or_insert_with(|| {
             let settings = Arc::clone(&self.settings);
             let clock = Arc::clone(&self.clock);
-            let idle = Arc::clone(&self.idle);
+            let slot_idle = Arc::clone(&self.slot_idle);
             Arc::new(ServicePool::new(
                 service.clone(),
                 settings,
                 clock,
-                idle,
+                slot_idle,
                 seed,
             ))
         });
--- a/crates/gateway/src/header_rules.rs
+++ b/crates/gateway/src/header_rules.rs
@@ -34,8 +34,8 @@
     refusal::Refusal,
 };
 
-const VIA_SELF: HeaderValue = HeaderValue::from_static("1.1 jasminebend");
-const MOST_CONNECTION_OPTIONS: usize = 16;
+const VIA_VALUE: HeaderValue = HeaderValue::from_static("1.1 jasminebend");
+const MAX_CONNECTION_OPTIONS: usize = 16;
 
 /// Checks a request's head for what must not go further.
 ///
@@ -126,7 +126,7 @@
 }
 
 /// Turns a caller's head into the one that goes to the endpoint.
-pub(crate) fn prepare_request(uri: &mut Uri, headers: &mut HeaderMap, caller: IpAddr) {
+pub(crate) fn prepare_request_head(uri: &mut Uri, headers: &mut HeaderMap, caller: IpAddr) {
     if let Some(authority) = uri.authority()
         && let Ok(host) = HeaderValue::from_str(authority.as_str())
     {
@@ -139,14 +139,14 @@
     headers.remove(EXPECT);
     headers.remove(TE);
     headers.remove(&FORWARDED);
-    headers.append(VIA, VIA_SELF);
+    headers.append(VIA, VIA_VALUE);
     add_forwarded(headers, caller);
 }
 
 /// Turns an endpoint's head into the one that goes to the caller.
-pub(crate) fn prepare_answer(headers: &mut HeaderMap) {
+pub(crate) fn prepare_response_head(headers: &mut HeaderMap) {
     remove_hop_headers(headers);
-    headers.append(VIA, VIA_SELF);
+    headers.append(VIA, VIA_VALUE);
 }
 
 fn origin_form(uri: &Uri) -> Uri {
@@ -179,7 +179,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .filter(|name| *name != CONTENT_LENGTH && *name != HOST)
-        .take(MOST_CONNECTION_OPTIONS)
+        .take(MAX_CONNECTION_OPTIONS)
         .collect()
 }
 
--- a/crates/gateway/src/key_record.rs
+++ b/crates/gateway/src/key_record.rs
@@ -14,8 +14,8 @@
 };
 
 use crate::{
-    answer_body::AnswerBody,
     header_names::REPLAYED, //
+    response_body::ResponseBody,
 };
 
 /// What the table keeps of an idempotency key.
@@ -49,14 +49,14 @@
     /// It may have been run.
     Unknown,
     /// It was answered.
-    Answered(KeptAnswer),
+    Answered(StoredResponse),
     /// It was answered, and the answer was too large to be kept.
     AnsweredLarge,
 }
 
 /// An answer as the table keeps it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(crate) struct KeptAnswer {
+pub(crate) struct StoredResponse {
     status: u16,
     headers: Vec<(String, Vec<u8>)>,
     body: Bytes,
@@ -64,7 +64,7 @@
 
 impl KeyState {
     /// Leaves out the answer, for a table that does not take a row of its size.
-    pub(crate) fn without_answer(self) -> Self {
+    pub(crate) fn without_response(self) -> Self {
         match self {
             Self::Answered(_) => Self::AnsweredLarge,
             other => other,
@@ -72,9 +72,9 @@
     }
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Returns about how many bytes it takes.
-    pub(crate) fn size(&self) -> usize {
+    pub(crate) fn encoded_size_estimate(&self) -> usize {
         let headers = self.headers.iter();
         let headers: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
         headers + self.body.len()
@@ -94,8 +94,8 @@
     }
 
     /// Returns the answer once more, marked as a repetition.
-    pub(crate) fn into_answer(self) -> Response<AnswerBody> {
-        let mut answer = Response::new(AnswerBody::whole(self.body));
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
+        let mut answer = Response::new(ResponseBody::buffered(self.body));
         *answer.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
         for (name, value) in self.headers {
             let name = HeaderName::try_from(name);
--- a/crates/gateway/src/key_row.rs
+++ b/crates/gateway/src/key_row.rs
@@ -16,7 +16,7 @@
 /// Where the rows that list keys by their hour of expiry begin.
 pub(crate) const INDEX_PREFIX: &str = "request-keys/by-expiry/";
 const ROW_PREFIX: &str = "request-keys/by-key/";
-const MOST_KEY_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 
 /// Returns the row of a class's idempotency key.
 pub(crate) fn key_row(class: &ClassName, key: &[u8]) -> RowKey {
@@ -28,19 +28,19 @@
 }
 
 /// Returns the row that lists the keys which one transaction reserved.
-pub(crate) fn index_row(hour: u64, write: WriteId) -> RowKey {
+pub(crate) fn expiry_index_row(hour: u64, write: WriteId) -> RowKey {
     RowKey::from(format!("{INDEX_PREFIX}{hour:012}/{write}"))
 }
 
 /// Returns the hour of expiry that an index row is under.
-pub(crate) fn index_hour(row: &RowKey) -> Option<u64> {
+pub(crate) fn expiry_index_hour(row: &RowKey) -> Option<u64> {
     let rest = row.as_str().strip_prefix(INDEX_PREFIX)?;
     rest.split('/').next()?.parse().ok()
 }
 
 /// Tells whether a key is one: 1 to 255 visible ASCII characters.
-pub(crate) fn is_key(key: &[u8]) -> bool {
-    let fits = (1..=MOST_KEY_BYTES).contains(&key.len());
+pub(crate) fn is_valid_key(key: &[u8]) -> bool {
+    let fits = (1..=MAX_KEY_BYTES).contains(&key.len());
     fits && key.iter().all(u8::is_ascii_graphic)
 }
 
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -39,16 +39,16 @@
 };
 
 use crate::{
-    key_hours::KeyHours,
+    hour_counter::HourCounter,
     key_record::{
-        KeptAnswer,
         KeyRecord,
         KeyState, //
+        StoredResponse,
     },
     key_write::{
-        KeyPurpose,
         KeyWrite,
         ReserveOutcome, //
+        WritePurpose,
     },
     key_writer::{
         KeyWriter,
@@ -58,7 +58,7 @@
     refusal::Refusal,
 };
 
-const FLUSH_PATIENCE: Duration = Duration::from_secs(5);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reserves idempotency keys and keeps what became of their requests.
 pub(crate) struct KeyStore {
@@ -67,19 +67,19 @@
     /// The clock.
     pub(crate) clock: Arc<dyn ClockSource>,
     /// The hours by which keys are kept.
-    pub(crate) hours: KeyHours,
+    pub(crate) hour_counter: HourCounter,
     retention: Duration,
-    running: Arc<watch::Sender<usize>>,
+    running_requests: Arc<watch::Sender<usize>>,
     writer: Mutex<Option<ActorRef<WriterMessage>>>,
-    source: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
 }
 
 /// What a request with a key is to do.
-pub(crate) enum KeyGrant {
+pub(crate) enum KeyDecision {
     /// Run: the key is its own.
     Run(KeyReservation),
     /// Answer as before.
-    Replay(KeptAnswer),
+    Replay(StoredResponse),
 }
 
 /// A key that is reserved for a request. Dropping it keeps the outcome as unknown, so that no way
@@ -90,7 +90,7 @@
     record: KeyRecord,
     version: RowVersion,
     settled: bool,
-    running: Arc<watch::Sender<usize>>,
+    running_requests: Arc<watch::Sender<usize>>,
 }
 
 impl KeyStore {
@@ -104,15 +104,15 @@
         clock: Arc<dyn ClockSource>,
         retention: Duration,
     ) -> Self {
-        let hours = KeyHours::new(Arc::clone(&table), Arc::clone(&clock));
+        let hour_counter = HourCounter::new(Arc::clone(&table), Arc::clone(&clock));
         Self {
-            hours,
+            hour_counter,
             table,
             clock,
             retention,
-            running: Arc::new(watch::Sender::new(0)),
+            running_requests: Arc::new(watch::Sender::new(0)),
             writer: Mutex::new(None),
-            source: Mutex::new(rand::make_rng()),
+            rng: Mutex::new(rand::make_rng()),
         }
     }
 
@@ -121,13 +121,13 @@
         &self,
         row: RowKey,
         fingerprint: [u8; 16],
-        give_up: Duration,
-    ) -> Result<KeyGrant, Refusal> {
+        give_up_at: Duration,
+    ) -> Result<KeyDecision, Refusal> {
         let writer = self.writer().await?;
         let record = KeyRecord {
             fingerprint,
-            reservation: self.draw(),
-            expiry_hour: self.expiry_hour(give_up).await?,
+            reservation: self.new_reservation_id(),
+            expiry_hour: self.expiry_hour(give_up_at).await?,
             state: KeyState::Reserved,
         };
         let (reply, outcome) = oneshot::channel();
@@ -135,28 +135,28 @@
             row: row.clone(),
             record: record.clone(),
             expected: RowExpectation::Absent,
-            purpose: KeyPurpose::Reserve { reply, give_up },
+            purpose: WritePurpose::Reserve { reply, give_up_at },
         };
         writer
             .cast(WriterMessage::Write(write))
             .map_err(|_| Refusal::KeyUnreserved)?;
-        let left = give_up.saturating_sub(self.clock.monotonic());
+        let left = give_up_at.saturating_sub(self.clock.monotonic());
         let outcome = timeout(left, outcome)
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)?;
         match outcome {
             ReserveOutcome::Refused(refusal) => Err(refusal),
-            ReserveOutcome::Replay(answer) => Ok(KeyGrant::Replay(answer)),
+            ReserveOutcome::Replay(answer) => Ok(KeyDecision::Replay(answer)),
             ReserveOutcome::Granted(version) => {
-                self.running.send_modify(|count| *count += 1);
-                Ok(KeyGrant::Run(KeyReservation {
+                self.running_requests.send_modify(|count| *count += 1);
+                Ok(KeyDecision::Run(KeyReservation {
                     writer,
                     row,
                     record,
                     version,
                     settled: false,
-                    running: Arc::clone(&self.running),
+                    running_requests: Arc::clone(&self.running_requests),
                 }))
             }
         }
@@ -165,24 +165,22 @@
     /// Waits until every request with a key is over, its caller's presence or not, and until what is
     /// known is written, within bounds: the table may be away.
     pub(crate) async fn flush(&self, longest: Duration) {
-        let mut running = self.running.subscribe();
-        let over = running.wait_for(|count| *count == 0);
+        let mut running_requests = self.running_requests.subscribe();
+        let over = running_requests.wait_for(|count| *count == 0);
         if timeout(longest, over).await.is_err() {
             warn!("[gateway] Requests with idempotency keys are still running at the end.");
         }
         let Some(writer) = self.live_writer() else {
             return;
         };
-        let flushed = writer
-            .call(WriterMessage::Flush, Some(FLUSH_PATIENCE))
-            .await;
+        let flushed = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
         if !matches!(flushed, Ok(CallResult::Success(()))) {
             error!("[gateway] Some requests' outcomes were not kept before the end.");
         }
     }
 
     /// Ends the writer.
-    pub(crate) fn stop(&self) {
+    pub(crate) fn stop_writer(&self) {
         if let Some(writer) = self.live_writer() {
             writer.stop(None);
         }
@@ -197,23 +195,23 @@
         let state = WriterState::new(Arc::clone(&self.table), Arc::clone(&self.clock));
         let started = Actor::spawn(None, KeyWriter, state).await;
         let (writer, _) = started.map_err(|_| Refusal::KeyUnreserved)?;
-        let mut own = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut current = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         // Two may have started one at once: the first to get here stays.
-        match own.as_ref().filter(|own| is_live(own)) {
+        match current.as_ref().filter(|current| is_live(current)) {
             Some(first) => {
                 writer.stop(None);
                 Ok(first.clone())
             }
             None => {
-                *own = Some(writer.clone());
+                *current = Some(writer.clone());
                 Ok(writer)
             }
         }
     }
 
-    async fn expiry_hour(&self, give_up: Duration) -> Result<u64, Refusal> {
-        let left = give_up.saturating_sub(self.clock.monotonic());
-        timeout(left, self.hours.expiry_after(self.retention))
+    async fn expiry_hour(&self, give_up_at: Duration) -> Result<u64, Refusal> {
+        let left = give_up_at.saturating_sub(self.clock.monotonic());
+        timeout(left, self.hour_counter.expiry_hour_for(self.retention))
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)
@@ -224,9 +222,9 @@
         writer.as_ref().filter(|writer| is_live(writer)).cloned()
     }
 
-    fn draw(&self) -> u64 {
-        let mut source = self.source.lock().unwrap_or_else(PoisonError::into_inner);
-        source.random()
+    fn new_reservation_id(&self) -> u64 {
+        let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
+        rng.random()
     }
 }
 
@@ -236,7 +234,7 @@
 
 impl KeyReservation {
     /// Keeps what became of the request.
-    pub(crate) fn settle(mut self, state: KeyState) {
+    pub(crate) fn complete(mut self, state: KeyState) {
         self.write(state);
     }
 
@@ -246,7 +244,7 @@
             row: self.row.clone(),
             record: self.record.clone().with_state(state),
             expected: RowExpectation::Version(self.version),
-            purpose: KeyPurpose::Settle,
+            purpose: WritePurpose::RecordOutcome,
         };
         // Without a writer the key stays reserved, which never runs its request twice.
         self.writer.cast(WriterMessage::Write(write)).ok();
@@ -258,6 +256,6 @@
         if !self.settled {
             self.write(KeyState::Unknown);
         }
-        self.running.send_modify(|count| *count -= 1);
+        self.running_requests.send_modify(|count| *count -= 1);
     }
 }
--- a/crates/gateway/src/key_sweeper.rs
+++ b/crates/gateway/src/key_sweeper.rs
@@ -19,31 +19,31 @@
 use tokio::time::sleep;
 
 use crate::{
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     key_record::KeyRecord,
     key_row::{
         INDEX_PREFIX,
-        index_hour, //
+        expiry_index_hour, //
     },
     key_store::KeyStore,
 };
 
 const SWEEPER_SHARE: ResourceId = ResourceId::Slots(0);
-const ROWS_AT_ONCE: usize = 50;
-const BUSY_PAUSE: Duration = Duration::from_millis(200);
+const REMOVAL_BATCH_ROWS: usize = 50;
+const BUSY_SWEEP_DELAY: Duration = Duration::from_millis(200);
 
 /// Removes idempotency keys whose retention is over, for as long as the gateway lives. The daemon
 /// that holds the first slot share does it, to spare the table; two at once would do no harm.
-pub(crate) async fn sweep_keys(shared: Arc<GatewayShared>, store: Arc<KeyStore>) {
-    let idle_pause = shared.settings.key_sweep_every;
-    let mut source: StdRng = rand::make_rng();
+pub(crate) async fn sweep_keys(shared: Arc<GatewayState>, store: Arc<KeyStore>) {
+    let idle_pause = shared.settings.key_sweep_interval;
+    let mut rng: StdRng = rand::make_rng();
     loop {
-        let pause = match shared.ownership.may_act(SWEEPER_SHARE) {
-            Some(_) => sweep_once(&store, &mut source).await,
+        let outcome = match shared.ownership.may_act(SWEEPER_SHARE) {
+            Some(_) => sweep_once(&store, &mut rng).await,
             None => Ok(false),
         };
-        let pause = match pause {
-            Ok(true) => BUSY_PAUSE,
+        let pause = match outcome {
+            Ok(true) => BUSY_SWEEP_DELAY,
             Ok(false) => idle_pause,
             Err(error) => {
                 warn!(
@@ -58,48 +58,45 @@
 }
 
 /// Removes the keys of one index row; tells whether more may be due.
-pub(crate) async fn sweep_once(store: &KeyStore, source: &mut StdRng) -> Result<bool, TableError> {
-    let now = store.hours.count(source).await?;
+pub(crate) async fn sweep_once(store: &KeyStore, rng: &mut StdRng) -> Result<bool, TableError> {
+    let now = store.hour_counter.advance(rng).await?;
     let prefix = RowKey::from(INDEX_PREFIX);
     let rows = store.table.scan(&prefix, None, 1).await?;
     let Some(index) = rows.into_iter().next() else {
         return Ok(false);
     };
-    let due = index_hour(&index.key).is_some_and(|hour| hour < now);
+    let due = expiry_index_hour(&index.key).is_some_and(|hour| hour < now);
     if !due {
         return Ok(false);
     }
-    remove_listed(store, source, &index).await?;
+    remove_listed(store, rng, &index).await?;
     Ok(true)
 }
 
 async fn remove_listed(
     store: &KeyStore,
-    source: &mut StdRng,
+    rng: &mut StdRng,
     index: &TableRow,
 ) -> Result<(), TableError> {
     let rows: Vec<RowKey> = postcard::from_bytes(&index.value).unwrap_or_default();
-    let hour = index_hour(&index.key).unwrap_or_default();
-    for part in rows.chunks(ROWS_AT_ONCE) {
+    let hour = expiry_index_hour(&index.key).unwrap_or_default();
+    for part in rows.chunks(REMOVAL_BATCH_ROWS) {
         let mut changes = Vec::new();
         for row in part {
-            changes.extend(removal(store, row, hour).await?);
+            changes.extend(removal_change(store, row, hour).await?);
         }
         if !changes.is_empty() {
-            store.table.commit(WriteId::new(source), changes).await?;
+            store.table.commit(WriteId::new(rng), changes).await?;
         }
     }
     let change = RowChange::delete(index.key.clone(), RowExpectation::Any);
-    store
-        .table
-        .commit(WriteId::new(source), vec![change])
-        .await?;
+    store.table.commit(WriteId::new(rng), vec![change]).await?;
     Ok(())
 }
 
 /// Returns the removal of a row, if it is as old as its index row says. It names the version read:
 /// a key that was removed and reserved anew in between must stay.
-async fn removal(
+async fn removal_change(
     store: &KeyStore,
     row: &RowKey,
     hour: u64,
--- a/crates/gateway/src/key_write.rs
+++ b/crates/gateway/src/key_write.rs
@@ -14,37 +14,37 @@
 
 use crate::{
     key_record::{
-        KeptAnswer,
         KeyRecord,
         KeyState, //
+        StoredResponse,
     },
     refusal::Refusal,
 };
 
 /// About what a row takes without an answer.
-const ROW_BYTES: usize = 200;
+const ROW_OVERHEAD_BYTES: usize = 200;
 
 /// What became of a reservation.
 pub(crate) enum ReserveOutcome {
     /// The key is this request's; its row has this version.
     Granted(RowVersion),
     /// The request was answered before.
-    Replay(KeptAnswer),
+    Replay(StoredResponse),
     /// The request is not to be run.
     Refused(Refusal),
 }
 
 /// Why a row is written.
-pub(crate) enum KeyPurpose {
+pub(crate) enum WritePurpose {
     /// To reserve the key.
     Reserve {
         /// Where the outcome goes.
         reply: oneshot::Sender<ReserveOutcome>,
         /// When the request is given up.
-        give_up: Duration,
+        give_up_at: Duration,
     },
     /// To keep what became of the request.
-    Settle,
+    RecordOutcome,
 }
 
 /// One write of an idempotency key's row.
@@ -56,7 +56,7 @@
     /// What must hold beforehand.
     pub(crate) expected: RowExpectation,
     /// Why it is written.
-    pub(crate) purpose: KeyPurpose,
+    pub(crate) purpose: WritePurpose,
 }
 
 impl KeyWrite {
@@ -68,17 +68,17 @@
     }
 
     /// Returns about how many bytes the write takes.
-    pub(crate) fn size(&self) -> usize {
+    pub(crate) fn encoded_size_estimate(&self) -> usize {
         match &self.record.state {
-            KeyState::Answered(answer) => ROW_BYTES + answer.size(),
-            _ => ROW_BYTES,
+            KeyState::Answered(answer) => ROW_OVERHEAD_BYTES + answer.encoded_size_estimate(),
+            _ => ROW_OVERHEAD_BYTES,
         }
     }
 
     /// Takes in that the write took effect. What comes back is still to be written: the release of
     /// a key whose request is gone.
-    pub(crate) fn committed(self, version: RowVersion) -> Option<Self> {
-        let KeyPurpose::Reserve { reply, .. } = self.purpose else {
+    pub(crate) fn on_committed(self, version: RowVersion) -> Option<Self> {
+        let WritePurpose::Reserve { reply, .. } = self.purpose else {
             return None;
         };
         match reply.send(ReserveOutcome::Granted(version)) {
@@ -87,13 +87,13 @@
                 row: self.row,
                 record: self.record.with_state(KeyState::NotRun),
                 expected: RowExpectation::Version(version),
-                purpose: KeyPurpose::Settle,
+                purpose: WritePurpose::RecordOutcome,
             }),
         }
     }
 
     /// Takes in that the row was not as expected. What comes back is to be written again.
-    pub(crate) fn conflicted(mut self, found: Option<TableRow>) -> Option<Self> {
+    pub(crate) fn on_conflict(mut self, found: Option<TableRow>) -> Option<Self> {
         let Some(row) = found else {
             self.expected = RowExpectation::Absent;
             return Some(self);
@@ -102,22 +102,22 @@
             return self.refuse(Refusal::KeyInUse);
         };
         if present.reservation == self.record.reservation {
-            return self.own_found(&present, row.version);
+            return self.on_own_row_found(&present, row.version);
         }
-        self.other_found(present, row.version)
+        self.on_other_row_found(present, row.version)
     }
 
     /// The row holds this reservation: an earlier write whose answer was lost took effect.
-    fn own_found(mut self, present: &KeyRecord, version: RowVersion) -> Option<Self> {
+    fn on_own_row_found(mut self, present: &KeyRecord, version: RowVersion) -> Option<Self> {
         if *present == self.record {
-            return self.committed(version);
+            return self.on_committed(version);
         }
         self.expected = RowExpectation::Version(version);
         Some(self)
     }
 
-    fn other_found(mut self, present: KeyRecord, version: RowVersion) -> Option<Self> {
-        if matches!(self.purpose, KeyPurpose::Settle) {
+    fn on_other_row_found(mut self, present: KeyRecord, version: RowVersion) -> Option<Self> {
+        if matches!(self.purpose, WritePurpose::RecordOutcome) {
             return None;
         }
         if present.state == KeyState::NotRun {
@@ -140,16 +140,16 @@
     /// lost write, should it arrive late, and this one exclude each other, and the number tells
     /// that the row found is its own. When its request's time is over the key is released in the
     /// same way, so that a repetition is not refused for a request that never ran.
-    pub(crate) fn unanswered(mut self, error: TableError, now: Duration) -> Option<Self> {
+    pub(crate) fn on_error(mut self, error: TableError, now: Duration) -> Option<Self> {
         let surely_not_run = error.surely_not_run();
-        let KeyPurpose::Reserve { reply, give_up } = self.purpose else {
+        let WritePurpose::Reserve { reply, give_up_at } = self.purpose else {
             if error == TableError::TooLarge {
-                self.record.state = self.record.state.without_answer();
+                self.record.state = self.record.state.without_response();
             }
             return Some(self);
         };
-        if !surely_not_run && now < give_up && !reply.is_closed() {
-            let purpose = KeyPurpose::Reserve { reply, give_up };
+        if !surely_not_run && now < give_up_at && !reply.is_closed() {
+            let purpose = WritePurpose::Reserve { reply, give_up_at };
             return Some(Self { purpose, ..self });
         }
         // A caller that left needs no answer.
@@ -160,7 +160,7 @@
             row: self.row,
             record: self.record.with_state(KeyState::NotRun),
             expected: self.expected,
-            purpose: KeyPurpose::Settle,
+            purpose: WritePurpose::RecordOutcome,
         })
     }
 
@@ -169,7 +169,7 @@
     }
 
     fn reply(self, outcome: ReserveOutcome) -> Option<Self> {
-        if let KeyPurpose::Reserve { reply, .. } = self.purpose {
+        if let WritePurpose::Reserve { reply, .. } = self.purpose {
             // A caller that left needs no answer.
             reply.send(outcome).ok();
         }
--- a/crates/gateway/src/key_writer.rs
+++ b/crates/gateway/src/key_writer.rs
@@ -30,19 +30,19 @@
 };
 
 use crate::{
-    key_row::index_row,
+    key_row::expiry_index_row,
     key_write::{
-        KeyPurpose,
         KeyWrite, //
+        WritePurpose,
     },
 };
 
-const MOST_IN_BATCH: usize = 64;
+const MAX_BATCH_WRITES: usize = 64;
 /// The largest transaction, by the values in it: the table may refuse larger ones.
-const MOST_BATCH_BYTES: usize = 128 * 1024;
+const MAX_BATCH_BYTES: usize = 128 * 1024;
 /// Outcomes come from requests that held a slot, so that a table's outage leaves far fewer.
-const MOST_PENDING: usize = 4_000;
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
+const MAX_PENDING_WRITES: usize = 4_000;
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What the writer is told.
 pub(crate) enum WriterMessage {
@@ -69,7 +69,7 @@
 pub(crate) struct WriterState {
     table: Arc<dyn TableService>,
     clock: Arc<dyn ClockSource>,
-    source: StdRng,
+    rng: StdRng,
     pending: VecDeque<KeyWrite>,
     in_flight: bool,
     flushes: Vec<RpcReplyPort<()>>,
@@ -81,25 +81,25 @@
         Self {
             table,
             clock,
-            source: rand::make_rng(),
+            rng: rand::make_rng(),
             pending: VecDeque::new(),
             in_flight: false,
             flushes: Vec::new(),
         }
     }
 
-    fn push(&mut self, write: KeyWrite) {
-        if self.pending.len() < MOST_PENDING {
+    fn enqueue(&mut self, write: KeyWrite) {
+        if self.pending.len() < MAX_PENDING_WRITES {
             self.pending.push_back(write);
             return;
         }
         // The table has been away for long: reservations are refused, and outcomes beyond the
         // bound are given up, which leaves their keys reserved and so never runs them twice.
         match write.purpose {
-            KeyPurpose::Reserve { .. } => {
-                drop(write.unanswered(TableError::Refused, Duration::MAX))
+            WritePurpose::Reserve { .. } => {
+                drop(write.on_error(TableError::Refused, Duration::MAX))
             }
-            KeyPurpose::Settle => error!("[gateway] Gave up keeping a request's outcome."),
+            WritePurpose::RecordOutcome => error!("[gateway] Gave up keeping a request's outcome."),
         }
     }
 
@@ -113,9 +113,9 @@
                 later.push_back(write);
                 continue;
             }
-            bytes += write.size();
+            bytes += write.encoded_size_estimate();
             batch.push(write);
-            if batch.len() >= MOST_IN_BATCH || bytes >= MOST_BATCH_BYTES {
+            if batch.len() >= MAX_BATCH_WRITES || bytes >= MAX_BATCH_BYTES {
                 break;
             }
         }
@@ -124,18 +124,18 @@
         batch
     }
 
-    fn start(&mut self, myself: &ActorRef<WriterMessage>) {
+    fn start_next_batch(&mut self, myself: &ActorRef<WriterMessage>) {
         if self.in_flight {
             return;
         }
         if self.pending.is_empty() {
-            return self.flushed();
+            return self.reply_to_flushes();
         }
         self.in_flight = true;
         let batch = self.next_batch();
-        let write = WriteId::new(&mut self.source);
+        let write = WriteId::new(&mut self.rng);
         let mut changes: Vec<_> = batch.iter().map(KeyWrite::change).collect();
-        changes.extend(index_change(&batch, write));
+        changes.extend(expiry_index_change(&batch, write));
         let table = Arc::clone(&self.table);
         let myself = myself.clone();
         tokio::spawn(async move {
@@ -145,7 +145,7 @@
         });
     }
 
-    fn finished(
+    fn on_batch_finished(
         &mut self,
         batch: Vec<KeyWrite>,
         outcome: Result<CommitOutcome, TableError>,
@@ -153,38 +153,38 @@
     ) {
         match outcome {
             Ok(CommitOutcome::Committed(version)) => {
-                self.again(batch, |write| write.committed(version));
+                self.requeue(batch, |write| write.on_committed(version));
             }
             Ok(CommitOutcome::Conflict { key, found }) => {
                 let mut found = Some(found);
-                self.again(batch, |write| match write.row == key {
-                    true => write.conflicted(found.take().flatten()),
+                self.requeue(batch, |write| match write.row == key {
+                    true => write.on_conflict(found.take().flatten()),
                     false => Some(write),
                 });
             }
             Err(error) => {
                 warn!("[gateway] Idempotency keys were not written: {}.", error);
                 let now = self.clock.monotonic();
-                self.again(batch, |write| write.unanswered(error, now));
-                myself.send_after(RETRY_PAUSE, || WriterMessage::Resume);
+                self.requeue(batch, |write| write.on_error(error, now));
+                myself.send_after(RETRY_DELAY, || WriterMessage::Resume);
                 return;
             }
         }
         self.in_flight = false;
-        self.start(myself);
+        self.start_next_batch(myself);
     }
 
-    fn again<Judge>(&mut self, batch: Vec<KeyWrite>, judge: Judge)
+    fn requeue<Handle>(&mut self, batch: Vec<KeyWrite>, handle: Handle)
     where
-        Judge: FnMut(KeyWrite) -> Option<KeyWrite>,
+        Handle: FnMut(KeyWrite) -> Option<KeyWrite>,
     {
-        let left: Vec<_> = batch.into_iter().filter_map(judge).collect();
+        let left: Vec<_> = batch.into_iter().filter_map(handle).collect();
         for write in left.into_iter().rev() {
             self.pending.push_front(write);
         }
     }
 
-    fn flushed(&mut self) {
+    fn reply_to_flushes(&mut self) {
         for flush in self.flushes.drain(..) {
             // Whoever asked may have stopped waiting.
             flush.send(()).ok();
@@ -194,10 +194,10 @@
 
 /// Lists a batch's new rows under their hour of expiry, in the same transaction, so that they are
 /// found again without a scan of all keys.
-fn index_change(batch: &[KeyWrite], write: WriteId) -> Option<RowChange> {
+fn expiry_index_change(batch: &[KeyWrite], write: WriteId) -> Option<RowChange> {
     let rows: Vec<&RowKey> = batch
         .iter()
-        .filter(|write| matches!(write.purpose, KeyPurpose::Reserve { .. }))
+        .filter(|write| matches!(write.purpose, WritePurpose::Reserve { .. }))
         .map(|write| &write.row)
         .collect();
     let hour = batch.iter().map(|write| write.record.expiry_hour).max()?;
@@ -205,7 +205,7 @@
         return None;
     }
     let value = postcard::to_allocvec(&rows).unwrap_or_default();
-    let row = index_row(hour, write);
+    let row = expiry_index_row(hour, write);
     Some(RowChange::put(row, RowExpectation::Any, value))
 }
 
@@ -229,14 +229,14 @@
         state: &mut WriterState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            WriterMessage::Write(write) => state.push(write),
+            WriterMessage::Write(write) => state.enqueue(write),
             WriterMessage::Finished { batch, outcome } => {
-                state.finished(batch, outcome, &myself);
+                state.on_batch_finished(batch, outcome, &myself);
             }
             WriterMessage::Resume => state.in_flight = false,
             WriterMessage::Flush(reply) => state.flushes.push(reply),
         }
-        state.start(&myself);
+        state.start_next_batch(&myself);
         Ok(())
     }
 }
--- a/crates/gateway/src/keyed_delivery.rs
+++ b/crates/gateway/src/keyed_delivery.rs
@@ -12,31 +12,31 @@
 use spdlog::warn;
 
 use crate::{
-    answer_body::AnswerBody,
     header_names::EXECUTED,
     key_record::{
-        KeptAnswer,
         KeyState, //
+        StoredResponse,
     },
     key_store::KeyReservation,
     refusal::Refusal,
+    response_body::ResponseBody,
 };
 
 /// The largest answer that is kept.
-pub(crate) const MOST_KEPT_BYTES: usize = 32 * 1024;
+pub(crate) const MAX_STORED_BODY_BYTES: usize = 32 * 1024;
 
 /// Keeps what became of a request, and returns its answer.
 ///
 /// A small answer is taken in whole first: it is then kept even if the caller is gone, and the
 /// caller that asks again gets it.
-pub(crate) async fn keep(
+pub(crate) async fn record_outcome(
     reservation: KeyReservation,
-    outcome: Result<Response<AnswerBody>, Refusal>,
-) -> Result<Response<AnswerBody>, Refusal> {
+    outcome: Result<Response<ResponseBody>, Refusal>,
+) -> Result<Response<ResponseBody>, Refusal> {
     let answer = match outcome {
         Ok(answer) => answer,
         Err(refusal) => {
-            reservation.settle(match refusal.surely_not_run() {
+            reservation.complete(match refusal.surely_not_run() {
                 true => KeyState::NotRun,
                 false => KeyState::Unknown,
             });
@@ -45,42 +45,44 @@
     };
     if answer.headers().contains_key(&EXECUTED) {
         // The endpoint itself said that the request was not run.
-        reservation.settle(KeyState::NotRun);
+        reservation.complete(KeyState::NotRun);
         return Ok(answer);
     }
-    if !is_small(&answer) {
-        reservation.settle(KeyState::AnsweredLarge);
+    if !is_storable(&answer) {
+        reservation.complete(KeyState::AnsweredLarge);
         return Ok(answer);
     }
-    keep_small(reservation, answer).await
+    record_small_response(reservation, answer).await
 }
 
-fn is_small(answer: &Response<AnswerBody>) -> bool {
+fn is_storable(answer: &Response<ResponseBody>) -> bool {
     let length = answer.headers().get(CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
     let ended = http_body::Body::is_end_stream(answer.body());
-    ended || length.is_some_and(|length| length <= MOST_KEPT_BYTES)
+    ended || length.is_some_and(|length| length <= MAX_STORED_BODY_BYTES)
 }
 
-async fn keep_small(
+async fn record_small_response(
     reservation: KeyReservation,
-    answer: Response<AnswerBody>,
-) -> Result<Response<AnswerBody>, Refusal> {
+    answer: Response<ResponseBody>,
+) -> Result<Response<ResponseBody>, Refusal> {
     let (head, body) = answer.into_parts();
-    let Ok(whole) = Limited::new(body, MOST_KEPT_BYTES).collect().await else {
-        reservation.settle(KeyState::Unknown);
+    let Ok(whole) = Limited::new(body, MAX_STORED_BODY_BYTES).collect().await else {
+        reservation.complete(KeyState::Unknown);
         return Err(Refusal::EndpointFailed);
     };
     let whole: Bytes = whole.to_bytes();
-    let kept = KeptAnswer::new(head.status, &head.headers, whole.clone());
-    reservation.settle(KeyState::Answered(kept));
-    Ok(Response::from_parts(head, AnswerBody::whole(whole)))
+    let kept = StoredResponse::new(head.status, &head.headers, whole.clone());
+    reservation.complete(KeyState::Answered(kept));
+    Ok(Response::from_parts(head, ResponseBody::buffered(whole)))
 }
 
 /// Runs a delivery to its end even if the caller leaves meanwhile, so that its outcome is kept.
-pub(crate) async fn detached<Delivery>(delivery: Delivery) -> Result<Response<AnswerBody>, Refusal>
+pub(crate) async fn run_detached<Delivery>(
+    delivery: Delivery,
+) -> Result<Response<ResponseBody>, Refusal>
 where
-    Delivery: Future<Output = Result<Response<AnswerBody>, Refusal>> + Send + 'static,
+    Delivery: Future<Output = Result<Response<ResponseBody>, Refusal>> + Send + 'static,
 {
     tokio::spawn(delivery).await.unwrap_or_else(|_| {
         warn!("[gateway] A request's task ended early.");
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,6 @@
 //! The request path: takes callers' requests over HTTP/1.1 and has an endpoint answer each.
 
-mod answer_body;
-mod answer_rules;
-mod body_fault;
+mod body_error;
 mod caller_server;
 mod caller_stream;
 mod class_metrics;
@@ -10,16 +8,15 @@
 mod endpoint_connection;
 mod endpoint_entry;
 mod exchange;
-mod exchange_end;
+mod exchange_outcome;
 mod gateway;
 mod gateway_edges;
 mod gateway_settings;
-mod gateway_shared;
-mod head_fault;
-mod head_watch;
+mod gateway_state;
+mod head_error;
 mod header_names;
 mod header_rules;
-mod key_hours;
+mod hour_counter;
 mod key_record;
 mod key_row;
 mod key_store;
@@ -30,19 +27,22 @@
 mod peer_directory;
 mod peer_forward;
 mod pending_exchange;
-mod pool_keeper;
+mod pool_outcome;
 mod pool_refresh;
-mod pool_settlement;
 mod pool_state;
+mod pool_updater;
+mod prepared_request;
 mod refusal;
 mod request_body;
 mod request_handler;
+mod request_head_scanner;
 mod request_trace;
+mod response_body;
+mod response_rules;
 mod route_snapshot;
 mod service_pool;
 mod slot_key;
 mod slot_lease;
-mod taken_request;
 
 pub use self::{
     gateway::Gateway,
--- a/crates/gateway/src/peer_directory.rs
+++ b/crates/gateway/src/peer_directory.rs
@@ -33,14 +33,14 @@
 };
 use tokio::time::sleep;
 
-use crate::gateway_shared::GatewayShared;
+use crate::gateway_state::GatewayState;
 
 const PEER_PREFIX: &str = "request-peers/";
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-const BEAT_EVERY: Duration = Duration::from_secs(30);
+const PEER_LOOP_INTERVAL: Duration = Duration::from_secs(1);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(30);
 /// A daemon whose row did not change for this long is taken for gone.
-const MOST_SILENCE: Duration = Duration::from_secs(90);
-const ROWS_AT_ONCE: usize = 200;
+const PEER_ROW_TTL: Duration = Duration::from_secs(90);
+const MAX_PEER_ROWS: usize = 200;
 
 /// What a daemon tells the others of itself.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -49,16 +49,16 @@
     services: Vec<ServiceName>,
 }
 
-struct SeenPeer {
+struct KnownPeer {
     record: PeerRecord,
     version: RowVersion,
-    since: Duration,
+    unchanged_since: Duration,
 }
 
 struct DirectoryState {
-    peers: IndexMap<RowKey, SeenPeer>,
-    told: Option<(PeerRecord, Duration)>,
-    source: StdRng,
+    peers: IndexMap<RowKey, KnownPeer>,
+    published: Option<(PeerRecord, Duration)>,
+    rng: StdRng,
 }
 
 /// Which daemon can answer for which service, by rows that the daemons write of themselves.
@@ -77,8 +77,8 @@
             table,
             state: Mutex::new(DirectoryState {
                 peers: IndexMap::new(),
-                told: None,
-                source: rand::make_rng(),
+                published: None,
+                rng: rand::make_rng(),
             }),
         }
     }
@@ -86,52 +86,56 @@
     /// Picks a daemon that has slots of a service, other than those to avoid.
     pub(crate) fn pick(&self, service: &ServiceName, avoid: &[SocketAddr]) -> Option<SocketAddr> {
         let mut state = self.lock();
-        let fits = |peer: &&SeenPeer| {
+        let is_candidate = |peer: &&KnownPeer| {
             peer.record.services.contains(service) && !avoid.contains(&peer.record.address)
         };
-        let fitting: Vec<_> = state.peers.values().filter(fits).collect();
-        let fitting: Vec<_> = fitting.iter().map(|peer| peer.record.address).collect();
-        if fitting.is_empty() {
+        let candidates: Vec<_> = state.peers.values().filter(is_candidate).collect();
+        let candidates: Vec<_> = candidates.iter().map(|peer| peer.record.address).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let place = state.source.random_range(0..fitting.len());
-        fitting.get(place).copied()
+        let index = state.rng.random_range(0..candidates.len());
+        candidates.get(index).copied()
     }
 
     /// Withdraws what this daemon told of itself.
     pub(crate) async fn withdraw(&self) {
-        let Some((record, _)) = self.lock().told.take() else {
+        let Some((record, _)) = self.lock().published.take() else {
             return;
         };
-        let change = RowChange::delete(row_of(record.address), RowExpectation::Any);
-        let write = self.draw();
+        let change = RowChange::delete(peer_row(record.address), RowExpectation::Any);
+        let write = self.new_write_id();
         // Left there, the row only leads others to a closed door.
         self.table.commit(write, vec![change]).await.ok();
     }
 
-    async fn tell(&self, record: PeerRecord, now: Duration) -> Result<(), TableError> {
-        let told = self.lock().told.clone();
-        if told.is_some_and(|(own, at)| own == record && now < at + BEAT_EVERY) {
+    async fn publish(&self, record: PeerRecord, now: Duration) -> Result<(), TableError> {
+        let published = self.lock().published.clone();
+        if published.is_some_and(|(last, at)| last == record && now < at + HEARTBEAT_INTERVAL) {
             return Ok(());
         }
         let value = postcard::to_allocvec(&record).unwrap_or_default();
-        let change = RowChange::put(row_of(record.address), RowExpectation::Any, value);
-        let write = self.draw();
+        let change = RowChange::put(peer_row(record.address), RowExpectation::Any, value);
+        let write = self.new_write_id();
         self.table.commit(write, vec![change]).await?;
-        self.lock().told = Some((record, now));
+        self.lock().published = Some((record, now));
         Ok(())
     }
 
-    async fn look(&self, own: Option<SocketAddr>, now: Duration) -> Result<(), TableError> {
+    async fn scan_peers(
+        &self,
+        own_address: Option<SocketAddr>,
+        now: Duration,
+    ) -> Result<(), TableError> {
         let prefix = RowKey::from(PEER_PREFIX);
-        let rows = self.table.scan(&prefix, None, ROWS_AT_ONCE).await?;
+        let rows = self.table.scan(&prefix, None, MAX_PEER_ROWS).await?;
         let mut state = self.lock();
-        let mut earlier = std::mem::take(&mut state.peers);
+        let mut previous = std::mem::take(&mut state.peers);
         for row in rows {
-            let known = earlier.swap_remove(&row.key);
+            let known = previous.swap_remove(&row.key);
             let key = row.key.clone();
-            if let Some(peer) = see(row, known, now)
-                && Some(peer.record.address) != own
+            if let Some(peer) = updated_peer(row, known, now)
+                && Some(peer.record.address) != own_address
             {
                 state.peers.insert(key, peer);
             }
@@ -139,8 +143,8 @@
         Ok(())
     }
 
-    fn draw(&self) -> WriteId {
-        WriteId::new(&mut self.lock().source)
+    fn new_write_id(&self) -> WriteId {
+        WriteId::new(&mut self.lock().rng)
     }
 
     fn lock(&self) -> MutexGuard<'_, DirectoryState> {
@@ -148,39 +152,41 @@
     }
 }
 
-fn row_of(address: SocketAddr) -> RowKey {
+fn peer_row(address: SocketAddr) -> RowKey {
     RowKey::from(format!("{PEER_PREFIX}{address}"))
 }
 
-fn see(row: TableRow, known: Option<SeenPeer>, now: Duration) -> Option<SeenPeer> {
-    let since = known
+fn updated_peer(row: TableRow, known: Option<KnownPeer>, now: Duration) -> Option<KnownPeer> {
+    let unchanged_since = known
         .filter(|known| known.version == row.version)
-        .map_or(now, |known| known.since);
-    let peer = SeenPeer {
+        .map_or(now, |known| known.unchanged_since);
+    let peer = KnownPeer {
         record: postcard::from_bytes(&row.value).ok()?,
         version: row.version,
-        since,
+        unchanged_since,
     };
-    (now < since + MOST_SILENCE).then_some(peer)
+    (now < unchanged_since + PEER_ROW_TTL).then_some(peer)
 }
 
 /// Tells the other daemons for which services this one has slots, and looks for theirs while it has
 /// none of some service. Without the table what was last known is gone by.
-pub(crate) async fn keep_directory(shared: Arc<GatewayShared>) {
+pub(crate) async fn run_peer_directory(shared: Arc<GatewayState>) {
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(PEER_LOOP_INTERVAL).await;
         let now = shared.clock.monotonic();
-        let own = shared.settings.peer_address;
-        let (able, unable): (Vec<_>, Vec<_>) =
-            shared.pools().into_iter().partition(|pool| pool.serves());
-        let services = able.iter().map(|pool| pool.service.clone()).collect();
-        if let Some(address) = own {
+        let own_address = shared.settings.peer_address;
+        let (serving, not_serving): (Vec<_>, Vec<_>) = shared
+            .pools()
+            .into_iter()
+            .partition(|pool| pool.can_serve());
+        let services = serving.iter().map(|pool| pool.service.clone()).collect();
+        if let Some(address) = own_address {
             let record = PeerRecord { address, services };
             // Told again at the next turn.
-            shared.peers.tell(record, now).await.ok();
+            shared.peers.publish(record, now).await.ok();
         }
-        if !unable.is_empty() {
-            shared.peers.look(own, now).await.ok();
+        if !not_serving.is_empty() {
+            shared.peers.scan_peers(own_address, now).await.ok();
         }
     }
 }
--- a/crates/gateway/src/peer_forward.rs
+++ b/crates/gateway/src/peer_forward.rs
@@ -10,23 +10,23 @@
 use tokio::time::timeout;
 
 use crate::{
-    answer_body::AnswerBody,
-    answer_rules::pass_on_peer,
     endpoint_connection::EndpointConnection,
     exchange::{
         AttemptPlan,
         EndpointRequest, //
     },
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     header_names::FORWARDED,
     refusal::Refusal,
     request_trace::RequestTrace,
+    response_body::ResponseBody,
+    response_rules::forward_peer_response,
     route_snapshot::RequestClass,
 };
 
-const MOST_PEERS_TRIED: usize = 3;
+const MAX_PEERS_TRIED: usize = 3;
 /// How much longer than its peer a daemon waits, so that the peer's own final answer comes first.
-const PEER_MARGIN: Duration = Duration::from_millis(250);
+const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 
 enum PeerError {
     Unsent(Box<EndpointRequest>),
@@ -38,45 +38,48 @@
 /// Each request takes a connection of its own: it is rare, and so there is none that could have gone
 /// silent. What holds for endpoints holds here: once a byte may have been written it is not sent
 /// again.
-pub(crate) async fn forward(
-    shared: &GatewayShared,
+pub(crate) async fn forward_to_peer(
+    shared: &GatewayState,
     class: &RequestClass,
     plan: AttemptPlan,
     trace: Option<&RequestTrace>,
     mut request: Box<EndpointRequest>,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let marked = HeaderValue::from_static("1");
-    request.headers_mut().insert(&FORWARDED, marked);
+) -> Result<Response<ResponseBody>, Refusal> {
+    let forwarded_marker = HeaderValue::from_static("1");
+    request.headers_mut().insert(&FORWARDED, forwarded_marker);
     let mut tried = Vec::new();
-    while tried.len() < MOST_PEERS_TRIED {
+    while tried.len() < MAX_PEERS_TRIED {
         let Some(peer) = shared.peers.pick(&class.entry.service, &tried) else {
             break;
         };
         tried.push(peer);
         let now = shared.clock.monotonic();
-        let patience = plan.connect.min(plan.give_up.saturating_sub(now));
-        let Ok(connection) = EndpointConnection::dial(peer, patience, now).await else {
+        let time_limit = plan
+            .connect_timeout
+            .min(plan.give_up_at.saturating_sub(now));
+        let Ok(connection) = EndpointConnection::connect(peer, time_limit, now).await else {
             continue;
         };
         // The span ends when it is dropped.
-        let _span = trace.map(|trace| trace.attempt(peer.to_string(), request.headers_mut()));
-        match send(shared, connection, request, plan).await {
-            Ok(answer) => return pass_on_peer(answer, &shared.settings),
-            Err(PeerError::Unsent(back)) => request = back,
+        let _span =
+            trace.map(|trace| trace.start_attempt_span(peer.to_string(), request.headers_mut()));
+        match send_to_peer(shared, connection, request, plan).await {
+            Ok(answer) => return forward_peer_response(answer, &shared.settings),
+            Err(PeerError::Unsent(returned)) => request = returned,
             Err(PeerError::Unknown(refusal)) => return Err(refusal),
         }
     }
     Err(Refusal::NoEndpoint)
 }
 
-async fn send(
-    shared: &GatewayShared,
+async fn send_to_peer(
+    shared: &GatewayState,
     mut connection: EndpointConnection,
     request: Box<EndpointRequest>,
     plan: AttemptPlan,
 ) -> Result<Response<Incoming>, PeerError> {
     let now = shared.clock.monotonic();
-    let left = plan.give_up.saturating_sub(now) + PEER_MARGIN;
+    let left = plan.give_up_at.saturating_sub(now) + PEER_TIMEOUT_MARGIN;
     let answer = connection.sender.try_send_request(*request);
     match timeout(left, answer).await {
         Err(_) => Err(PeerError::Unknown(Refusal::EndpointTimeout)),
--- a/crates/gateway/src/pending_exchange.rs
+++ b/crates/gateway/src/pending_exchange.rs
@@ -21,18 +21,18 @@
     endpoint_connection::EndpointConnection,
     endpoint_entry::SlotPhase,
     exchange::EndpointRequest,
-    exchange_end::{
-        AnswerVerdict,
-        ExchangeEnd, //
+    exchange_outcome::{
+        ExchangeOutcome, //
+        ResponseVerdict,
     },
     service_pool::ServicePool,
     slot_lease::SlotLease,
 };
 
 /// The head of an answer, or why there is none.
-pub(crate) type SendOutcome = Result<Response<Incoming>, TrySendError<EndpointRequest>>;
-/// What comes to a [`SendOutcome`].
-pub(crate) type SendFuture = Pin<Box<dyn Future<Output = SendOutcome> + Send>>;
+pub(crate) type SendResult = Result<Response<Incoming>, TrySendError<EndpointRequest>>;
+/// What comes to a [`SendResult`].
+pub(crate) type SendFuture = Pin<Box<dyn Future<Output = SendResult> + Send>>;
 
 /// An exchange whose answer's head has not come. If it is dropped, because the caller left, the
 /// time is over or another attempt was faster, the endpoint may still be working on it: a task
@@ -42,7 +42,7 @@
     lease: Option<SlotLease>,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
-    suspected: bool,
+    silence_reported: bool,
 }
 
 impl PendingExchange {
@@ -58,7 +58,7 @@
             lease: Some(lease),
             connection: Some(connection),
             sent_at,
-            suspected: false,
+            silence_reported: false,
         }
     }
 
@@ -66,10 +66,10 @@
     pub(crate) async fn wait(
         mut self,
         left: Duration,
-    ) -> Option<(SendOutcome, SlotLease, EndpointConnection)> {
+    ) -> Option<(SendResult, SlotLease, EndpointConnection)> {
         let answer = self.answer.as_mut()?;
         let Ok(outcome) = timeout(left, answer).await else {
-            self.suspect();
+            self.report_silence();
             // A request that timed out takes its connection with it.
             self.connection = None;
             return None;
@@ -80,15 +80,15 @@
 
     /// Makes connections that were quiet for as long as this one suspect, so that the next request
     /// does not meet the same end.
-    fn suspect(&mut self) {
+    fn report_silence(&mut self) {
         let Some(lease) = self.lease.as_ref() else {
             return;
         };
         let pool = lease.pool();
         let now = pool.clock.monotonic();
-        if now.saturating_sub(self.sent_at) >= pool.suspicion_time() {
-            pool.suspect(self.sent_at);
-            self.suspected = true;
+        if now.saturating_sub(self.sent_at) >= pool.silence_timeout() {
+            pool.mark_silent_connections(self.sent_at);
+            self.silence_reported = true;
         }
     }
 }
@@ -101,60 +101,66 @@
         let Ok(handle) = Handle::try_current() else {
             return;
         };
-        lease.pool().lock().slot(lease.key()).phase = SlotPhase::Stray;
-        let suspicion = (!self.suspected).then_some(self.sent_at);
+        lease.pool().lock().slot(lease.key()).phase = SlotPhase::Abandoned;
+        let unreported_since = (!self.silence_reported).then_some(self.sent_at);
         let connection = self.connection.take();
-        handle.spawn(follow(answer, lease, connection, self.sent_at, suspicion));
+        handle.spawn(await_abandoned(
+            answer,
+            lease,
+            connection,
+            self.sent_at,
+            unreported_since,
+        ));
     }
 }
 
 /// Waits for the answer of an exchange that was given up, so that its slot is known to be free.
-async fn follow(
+async fn await_abandoned(
     mut answer: SendFuture,
     lease: SlotLease,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
-    suspicion: Option<Duration>,
+    unreported_since: Option<Duration>,
 ) {
     let pool = Arc::clone(lease.pool());
     let longest = pool.settings.longest_request;
-    let early = match suspicion {
-        Some(sent_at) => follow_early(&pool, &mut answer, sent_at).await,
+    let early_result = match unreported_since {
+        Some(sent_at) => await_until_silent(&pool, &mut answer, sent_at).await,
         None => None,
     };
-    let (head, connection) = match early {
+    let (head, connection) = match early_result {
         Some(head) => (Ok(head), connection),
         None => (timeout(longest, answer).await, None),
     };
     match head {
-        Err(_) => lease.end(ExchangeEnd::Over),
+        Err(_) => lease.release(ExchangeOutcome::TimedOut),
         Ok(Ok(response)) => {
             let latency = pool.clock.monotonic().saturating_sub(sent_at);
-            drain(response, lease, connection, latency).await;
+            drain_response(response, lease, connection, latency).await;
         }
-        Ok(Err(mut error)) => lease.end(match error.take_message() {
-            Some(_) => ExchangeEnd::Unused { connection: None },
-            None => ExchangeEnd::Unknown,
+        Ok(Err(mut error)) => lease.release(match error.take_message() {
+            Some(_) => ExchangeOutcome::NotSent { connection: None },
+            None => ExchangeOutcome::Unknown,
         }),
     }
 }
 
 /// Waits until the connection counts as silent, and then makes others like it suspect.
-async fn follow_early(
+async fn await_until_silent(
     pool: &ServicePool,
     answer: &mut SendFuture,
     sent_at: Duration,
-) -> Option<SendOutcome> {
-    if let Ok(head) = timeout(pool.suspicion_time(), answer).await {
+) -> Option<SendResult> {
+    if let Ok(head) = timeout(pool.silence_timeout(), answer).await {
         return Some(head);
     }
-    pool.suspect(sent_at);
+    pool.mark_silent_connections(sent_at);
     None
 }
 
 /// Reads the rest of an answer that nobody wants, and then frees its slot. A connection whose answer
 /// was read in whole can carry the next request.
-pub(crate) async fn drain(
+pub(crate) async fn drain_response(
     response: Response<Incoming>,
     lease: SlotLease,
     connection: Option<EndpointConnection>,
@@ -171,22 +177,22 @@
         true
     });
     let end = match whole.await {
-        Ok(true) => ExchangeEnd::Answered {
+        Ok(true) => ExchangeOutcome::Answered {
             latency,
-            verdict: AnswerVerdict::Good,
-            connection: heard_now(connection, &lease),
+            verdict: ResponseVerdict::Good,
+            connection: mark_received(connection, &lease),
         },
-        Ok(false) => ExchangeEnd::Unknown,
-        Err(_) => ExchangeEnd::Over,
+        Ok(false) => ExchangeOutcome::Unknown,
+        Err(_) => ExchangeOutcome::TimedOut,
     };
-    lease.end(end);
+    lease.release(end);
 }
 
-fn heard_now(
+fn mark_received(
     connection: Option<EndpointConnection>,
     lease: &SlotLease,
 ) -> Option<EndpointConnection> {
     let mut connection = connection.filter(EndpointConnection::is_open)?;
-    connection.last_heard = lease.pool().clock.monotonic();
+    connection.last_received_at = lease.pool().clock.monotonic();
     Some(connection)
 }
--- a/crates/gateway/src/pool_refresh.rs
+++ b/crates/gateway/src/pool_refresh.rs
@@ -11,9 +11,9 @@
 
 use crate::{
     class_metrics::{
-        SERVING_SLOTS,
-        UNKNOWN_SLOTS,
-        WAITING, //
+        SERVING_SLOTS_METRIC,
+        UNKNOWN_SLOTS_METRIC,
+        WAITING_REQUESTS_METRIC, //
     },
     endpoint_entry::SlotPhase,
     pool_state::PoolState,
@@ -31,17 +31,17 @@
 /// Looks at a pool's slots again: which are held, whose time is over, which connections to close.
 pub(crate) fn refresh_pool(pool: &ServicePool, held: &HeldShares, now: Duration) {
     let mut state = pool.lock();
-    let idle_limit = pool.settings.endpoint_idle;
-    let mut serving = 0;
+    let idle_limit = pool.settings.endpoint_idle_timeout;
+    let mut serving_slots = 0;
     let mut unknown = 0;
-    state.weigh_leaving(now);
+    state.update_honor_leaving(now);
     let mut slots = state.endpoints.iter().flat_map(|entry| &entry.slots);
-    let some = slots.any(|slot| held.contains_key(&slot.share));
-    state.note_held(some, now);
+    let holds_shares = slots.any(|slot| held.contains_key(&slot.share));
+    state.record_held_shares(holds_shares, now);
     for endpoint in 0..state.endpoints.len() {
-        let heed = state.heed_leaving;
+        let honor_leaving = state.honor_leaving;
         let entry = &state.endpoints[endpoint];
-        let usable = entry.is_usable(now, heed);
+        let usable = entry.is_usable(now, honor_leaving);
         for slot in 0..entry.all_slots() {
             let key = SlotKey {
                 endpoint: EndpointKey(endpoint),
@@ -49,22 +49,23 @@
             };
             refresh_slot(&mut state, key, held, now, idle_limit);
             let slot = state.slot(key);
-            let lost = matches!(slot.phase, SlotPhase::Unknown { .. } | SlotPhase::Stray);
-            unknown += usize::from(lost);
-            serving += usize::from(usable && slot.held && !lost);
-            state.list(Some(key).filter(|_| usable));
+            let is_unavailable =
+                matches!(slot.phase, SlotPhase::Unknown { .. } | SlotPhase::Abandoned);
+            unknown += usize::from(is_unavailable);
+            serving_slots += usize::from(usable && slot.held && !is_unavailable);
+            state.add_to_free_list(Some(key).filter(|_| usable));
         }
     }
-    state.serving = serving;
-    pool.set_able(serving > 0 || state.shares_awaited(now).is_some());
-    if serving == 0 && state.shares_awaited(now).is_none() {
-        refuse_waiting(&mut state, now);
+    state.serving_slots = serving_slots;
+    pool.set_can_serve(serving_slots > 0 || state.share_wait_deadline(now).is_some());
+    if serving_slots == 0 && state.share_wait_deadline(now).is_none() {
+        refuse_waiters(&mut state, now);
     }
-    report(pool, &state, unknown);
+    report_metrics(pool, &state, unknown);
 }
 
 /// Gives waiting requests their final answer at once when no slot is left to wait for.
-fn refuse_waiting(state: &mut PoolState, now: Duration) {
+fn refuse_waiters(state: &mut PoolState, now: Duration) {
     while let Some(waiter) = state.queue.pop(now) {
         // A waiter that left needs no answer.
         waiter.reply.send(Err(Refusal::NoEndpoint)).ok();
@@ -78,12 +79,12 @@
     now: Duration,
     idle_limit: Duration,
 ) {
-    let awaited = state.shares_awaited(now).is_some();
+    let awaiting_shares = state.share_wait_deadline(now).is_some();
     let entry = state.entry(key.endpoint);
     let open = entry.open;
-    let declared = key.slot < entry.usable_slots();
+    let is_declared = key.slot < entry.usable_slots();
     let slot = state.slot(key);
-    let epoch = held.get(&slot.share).filter(|_| declared);
+    let epoch = held.get(&slot.share).filter(|_| is_declared);
     slot.held = epoch.is_some();
     slot.epoch = epoch.copied().unwrap_or_default();
     if let SlotPhase::Unknown { until } = slot.phase
@@ -91,18 +92,18 @@
     {
         slot.phase = SlotPhase::Idle;
     }
-    let held = slot.held || awaited;
+    let held = slot.held || awaiting_shares;
     // Dropping a connection closes it, so that no more are open than slots are held.
     slot.connection.take_if(|connection| {
-        let quiet = now.saturating_sub(connection.last_heard);
-        !held || !open || quiet > idle_limit || !connection.is_open()
+        let silent_for = now.saturating_sub(connection.last_received_at);
+        !held || !open || silent_for > idle_limit || !connection.is_open()
     });
 }
 
-fn report(pool: &ServicePool, state: &PoolState, unknown: usize) {
+fn report_metrics(pool: &ServicePool, state: &PoolState, unknown: usize) {
     let service = pool.service.to_string();
     // CAST: counts of slots and requests are far below 2^52.
-    gauge!(SERVING_SLOTS, "service" => service.clone()).set(state.serving as f64);
-    gauge!(UNKNOWN_SLOTS, "service" => service.clone()).set(unknown as f64);
-    gauge!(WAITING, "service" => service).set(state.queue.len() as f64);
+    gauge!(SERVING_SLOTS_METRIC, "service" => service.clone()).set(state.serving_slots as f64);
+    gauge!(UNKNOWN_SLOTS_METRIC, "service" => service.clone()).set(unknown as f64);
+    gauge!(WAITING_REQUESTS_METRIC, "service" => service).set(state.queue.len() as f64);
 }
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -36,12 +36,12 @@
     slot_lease::SlotLease,
 };
 
-const HEDGE_QUANTILE: f64 = 0.95;
-const SHARE_GRACE: Duration = Duration::from_millis(500);
-const RETRY_BURST: f64 = 10.0;
+const LATENCY_QUANTILE: f64 = 0.95;
+const SHARE_RETURN_GRACE_PERIOD: Duration = Duration::from_millis(500);
+const RETRY_BUDGET_BURST: f64 = 10.0;
 /// See the measurement `endpoint_pick`: p99 falls to 0.66 of random's where two give 0.80, and more
 /// than eight bring little.
-const PICK: LoadBalancingPolicy = LoadBalancingPolicy::LeastCost { samples: 8 };
+const LOAD_BALANCING_POLICY: LoadBalancingPolicy = LoadBalancingPolicy::LeastCost { samples: 8 };
 
 /// A request that waits for a slot.
 pub(crate) struct SlotWaiter {
@@ -58,60 +58,60 @@
     /// Where in the arena an address lies.
     pub(crate) by_address: IndexMap<SocketAddr, EndpointKey>,
     /// The slots that can be picked; each is looked at again when it is.
-    pub(crate) free: Vec<SlotKey>,
+    pub(crate) free_slots: Vec<SlotKey>,
     /// The requests that wait.
     pub(crate) queue: RequestQueue<SlotWaiter>,
     /// How long requests hold their slots.
-    pub(crate) holding: LatencyEstimate,
+    pub(crate) slot_hold_time: LatencyEstimate,
     /// How long good answers take.
     pub(crate) latency: LatencyEstimate,
     /// Bounds retries and hedges.
-    pub(crate) budget: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     /// The slots that serve: held and usable, and not of unknown fate.
-    pub(crate) serving: usize,
+    pub(crate) serving_slots: usize,
     /// Since when none of its shares is held, if some were before.
-    pub(crate) vanished_at: Option<Duration>,
+    pub(crate) shares_lost_at: Option<Duration>,
     /// Whether some of its shares are held.
-    pub(crate) holds_some: bool,
+    pub(crate) holds_shares: bool,
     /// Whether endpoints' own announcements of their end are heeded.
-    pub(crate) heed_leaving: bool,
+    pub(crate) honor_leaving: bool,
     /// When the log last told of a silent connection.
-    pub(crate) warned_at: Option<Duration>,
+    pub(crate) silence_warned_at: Option<Duration>,
     retired: Vec<EndpointKey>,
-    source: SmallRng,
-    picks: u64,
+    rng: SmallRng,
+    pick_count: u64,
 }
 
 struct FreeSlots<'a> {
     endpoints: &'a [EndpointEntry],
-    free: &'a [SlotKey],
+    free_slots: &'a [SlotKey],
 }
 
 impl CandidateScores for FreeSlots<'_> {
     fn score(&self, index: usize) -> &EndpointScore {
-        &self.endpoints[self.free[index].endpoint.0].score
+        &self.endpoints[self.free_slots[index].endpoint.0].score
     }
 }
 
 impl PoolState {
     /// Creates a pool without endpoints.
-    pub(crate) fn new(most_waiting: usize, retry_ratio: f64, seed: u64) -> Self {
+    pub(crate) fn new(max_waiting_requests: usize, retry_ratio: f64, seed: u64) -> Self {
         Self {
             endpoints: Vec::new(),
             by_address: IndexMap::new(),
-            free: Vec::new(),
-            queue: RequestQueue::new(QueueOrder::EarliestDeadlineFirst, most_waiting),
-            holding: LatencyEstimate::new(HEDGE_QUANTILE),
-            latency: LatencyEstimate::new(HEDGE_QUANTILE),
-            budget: RetryBudget::new(retry_ratio, RETRY_BURST),
-            serving: 0,
-            vanished_at: None,
-            holds_some: false,
-            heed_leaving: true,
-            warned_at: None,
+            free_slots: Vec::new(),
+            queue: RequestQueue::new(QueueOrder::EarliestDeadlineFirst, max_waiting_requests),
+            slot_hold_time: LatencyEstimate::new(LATENCY_QUANTILE),
+            latency: LatencyEstimate::new(LATENCY_QUANTILE),
+            retry_budget: RetryBudget::new(retry_ratio, RETRY_BUDGET_BURST),
+            serving_slots: 0,
+            shares_lost_at: None,
+            holds_shares: false,
+            honor_leaving: true,
+            silence_warned_at: None,
             retired: Vec::new(),
-            source: SmallRng::seed_from_u64(seed),
-            picks: 0,
+            rng: SmallRng::seed_from_u64(seed),
+            pick_count: 0,
         }
     }
 
@@ -127,31 +127,31 @@
 
     /// Tells whether a slot may have one more connection at its endpoint, besides `giving_up` ones
     /// that are about to be given up.
-    pub(crate) fn may_dial(&mut self, key: SlotKey, now: Duration, giving_up: usize) -> bool {
-        let most = self.entry(key.endpoint).connections_per_slot;
-        self.slot(key).may_dial(now, most, giving_up)
+    pub(crate) fn may_connect(&mut self, key: SlotKey, now: Duration, giving_up: usize) -> bool {
+        let max_connections = self.entry(key.endpoint).connections_per_slot;
+        self.slot(key).may_connect(now, max_connections, giving_up)
     }
 
     /// Takes a free slot, if there is one.
-    pub(crate) fn take(&mut self, now: Duration) -> Option<SlotKey> {
-        self.take_avoiding(now, None)
+    pub(crate) fn take_slot(&mut self, now: Duration) -> Option<SlotKey> {
+        self.take_slot_avoiding(now, None)
     }
 
     /// Puts a slot that was taken, and not used, back.
-    pub(crate) fn put_back(&mut self, key: SlotKey) {
+    pub(crate) fn release_unused(&mut self, key: SlotKey) {
         self.entry(key.endpoint).score.record_completion();
         self.slot(key).phase = SlotPhase::Idle;
-        self.list(Some(key));
+        self.add_to_free_list(Some(key));
     }
 
     /// Takes a free slot, if there is one, rather not at the endpoint to avoid.
-    pub(crate) fn take_avoiding(
+    pub(crate) fn take_slot_avoiding(
         &mut self,
         now: Duration,
         avoid: Option<SocketAddr>,
     ) -> Option<SlotKey> {
         let mut avoided = None;
-        while let Some(key) = self.draw() {
+        while let Some(key) = self.pick_free_slot() {
             if !self.is_usable(key, now) {
                 continue;
             }
@@ -160,28 +160,28 @@
                 avoided = Some(key);
                 continue;
             }
-            self.list(avoided);
-            return Some(self.occupy(key));
+            self.add_to_free_list(avoided);
+            return Some(self.mark_busy(key));
         }
-        avoided.map(|key| self.occupy(key))
+        avoided.map(|key| self.mark_busy(key))
     }
 
     /// Notes whether some of its shares are held.
-    pub(crate) fn note_held(&mut self, some: bool, now: Duration) {
-        match (self.holds_some, some) {
-            (_, true) => self.vanished_at = None,
-            (true, false) => self.vanished_at = Some(now),
+    pub(crate) fn record_held_shares(&mut self, some: bool, now: Duration) {
+        match (self.holds_shares, some) {
+            (_, true) => self.shares_lost_at = None,
+            (true, false) => self.shares_lost_at = Some(now),
             (false, false) => {}
         }
-        self.holds_some = some;
+        self.holds_shares = some;
     }
 
     /// Returns until when requests may wait for the shares to come back, if they just went.
     ///
     /// While a newer epoch of another member is told, a daemon may hold nothing for a moment: all of
     /// them would refuse at the same time what any could answer a few milliseconds later.
-    pub(crate) fn shares_awaited(&self, now: Duration) -> Option<Duration> {
-        let end = self.vanished_at? + SHARE_GRACE;
+    pub(crate) fn share_wait_deadline(&self, now: Duration) -> Option<Duration> {
+        let end = self.shares_lost_at? + SHARE_RETURN_GRACE_PERIOD;
         (now < end).then_some(end)
     }
 
@@ -217,35 +217,39 @@
             }
             keep
         });
-        self.free.retain(|key| !retired.contains(&key.endpoint));
+        self.free_slots
+            .retain(|key| !retired.contains(&key.endpoint));
     }
 
     /// Puts a slot into the list of free ones, if it can be picked.
-    pub(crate) fn list(&mut self, key: Option<SlotKey>) {
+    pub(crate) fn add_to_free_list(&mut self, key: Option<SlotKey>) {
         let Some(key) = key else {
             return;
         };
         let slot = self.slot(key);
-        if slot.phase != SlotPhase::Idle || slot.listed || !slot.held {
+        if slot.phase != SlotPhase::Idle || slot.in_free_list || !slot.held {
             return;
         }
-        slot.listed = true;
-        self.free.push(key);
+        slot.in_free_list = true;
+        self.free_slots.push(key);
     }
 
     /// Heeds endpoints' announcements of their end only while at most half of the open ones make
     /// them: a service whose every endpoint closes each connection now and then would otherwise be
     /// left without endpoints.
-    pub(crate) fn weigh_leaving(&mut self, now: Duration) {
+    pub(crate) fn update_honor_leaving(&mut self, now: Duration) {
         let open = self.endpoints.iter().filter(|entry| entry.open);
         let (all, leaving) = open.fold((0, 0), |(all, leaving), entry| {
-            (all + 1, leaving + usize::from(entry.leaving.is_active(now)))
+            (
+                all + 1,
+                leaving + usize::from(entry.leaving_backoff.is_active(now)),
+            )
         });
-        self.heed_leaving = leaving * 2 <= all;
+        self.honor_leaving = leaving * 2 <= all;
     }
 
     /// Tells whether any slot of a share is in use.
-    pub(crate) fn uses(&self, share: ResourceId) -> bool {
+    pub(crate) fn is_share_in_use(&self, share: ResourceId) -> bool {
         self.endpoints
             .iter()
             .flat_map(|entry| &entry.slots)
@@ -260,28 +264,29 @@
         }
     }
 
-    fn draw(&mut self) -> Option<SlotKey> {
+    fn pick_free_slot(&mut self) -> Option<SlotKey> {
         let candidates = FreeSlots {
             endpoints: &self.endpoints,
-            free: &self.free,
+            free_slots: &self.free_slots,
         };
         let mean = self.latency.mean();
-        let count = self.free.len();
-        let place = PICK.pick(&candidates, count, self.picks, mean, &mut self.source)?;
-        self.picks = self.picks.wrapping_add(1);
-        let key = self.free.swap_remove(place);
-        self.slot(key).listed = false;
+        let count = self.free_slots.len();
+        let index =
+            LOAD_BALANCING_POLICY.pick(&candidates, count, self.pick_count, mean, &mut self.rng)?;
+        self.pick_count = self.pick_count.wrapping_add(1);
+        let key = self.free_slots.swap_remove(index);
+        self.slot(key).in_free_list = false;
         Some(key)
     }
 
     fn is_usable(&mut self, key: SlotKey, now: Duration) -> bool {
-        let heed = self.heed_leaving;
+        let honor_leaving = self.honor_leaving;
         let slot = self.slot(key);
         let idle = slot.held && slot.phase == SlotPhase::Idle;
-        idle && self.entry(key.endpoint).is_usable(now, heed)
+        idle && self.entry(key.endpoint).is_usable(now, honor_leaving)
     }
 
-    fn occupy(&mut self, key: SlotKey) -> SlotKey {
+    fn mark_busy(&mut self, key: SlotKey) -> SlotKey {
         self.slot(key).phase = SlotPhase::Busy;
         self.entry(key.endpoint).score.record_start();
         key
--- a/crates/gateway/src/pool_keeper.rs
+++ b/crates/gateway/src/pool_updater.rs
@@ -28,7 +28,7 @@
 
 use crate::{
     endpoint_entry::EndpointEntry,
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     pool_refresh::{
         HeldShares,
         refresh_pool, //
@@ -41,11 +41,11 @@
 
 /// How often every slot is looked at when no share changed: for slots whose time is over, endpoints
 /// that were left alone, and connections that were idle for long.
-const FULL_LOOK_EVERY: Duration = Duration::from_millis(250);
+const FULL_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Why the pools are looked at.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum KeeperMessage {
+pub(crate) enum PoolUpdaterMessage {
     /// The configuration changed.
     Configuration,
     /// The VM list changed.
@@ -55,56 +55,58 @@
 }
 
 /// Keeps the pools in step with the configuration, the VM list and the held shares.
-pub(crate) struct PoolKeeper;
+pub(crate) struct PoolUpdater;
 
 /// What the keeper works with.
 #[derive(Clone)]
-pub(crate) struct KeeperState {
+pub(crate) struct PoolUpdaterState {
     /// The pools.
-    pub(crate) shared: Arc<GatewayShared>,
+    pub(crate) shared: Arc<GatewayState>,
     /// The configuration in force.
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
     /// The latest reading of the VM list.
     pub(crate) vms: watch::Receiver<Arc<VmSnapshot>>,
     /// The shares as of the last look at every slot.
-    pub(crate) seen: HeldShares,
+    pub(crate) last_held_shares: HeldShares,
     /// When every slot was last looked at.
-    pub(crate) looked_at: Duration,
+    pub(crate) last_full_refresh: Duration,
 }
 
-impl Actor for PoolKeeper {
-    type Msg = KeeperMessage;
-    type State = KeeperState;
-    type Arguments = KeeperState;
+impl Actor for PoolUpdater {
+    type Msg = PoolUpdaterMessage;
+    type State = PoolUpdaterState;
+    type Arguments = PoolUpdaterState;
 
     async fn pre_start(
         &self,
-        myself: ActorRef<KeeperMessage>,
-        state: KeeperState,
-    ) -> Result<KeeperState, ActorProcessingErr> {
-        forward(
+        myself: ActorRef<PoolUpdaterMessage>,
+        state: PoolUpdaterState,
+    ) -> Result<PoolUpdaterState, ActorProcessingErr> {
+        forward_changes(
             state.configuration.clone(),
             myself.clone(),
-            KeeperMessage::Configuration,
+            PoolUpdaterMessage::Configuration,
         );
-        forward(state.vms.clone(), myself.clone(), KeeperMessage::Vms);
-        myself.send_interval(state.shared.settings.refresh_every, || KeeperMessage::Tick);
+        forward_changes(state.vms.clone(), myself.clone(), PoolUpdaterMessage::Vms);
+        myself.send_interval(state.shared.settings.refresh_interval, || {
+            PoolUpdaterMessage::Tick
+        });
         Ok(state)
     }
 
     async fn handle(
         &self,
-        _myself: ActorRef<KeeperMessage>,
-        message: KeeperMessage,
-        state: &mut KeeperState,
+        _myself: ActorRef<PoolUpdaterMessage>,
+        message: PoolUpdaterMessage,
+        state: &mut PoolUpdaterState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            KeeperMessage::Configuration => {
+            PoolUpdaterMessage::Configuration => {
                 state.set_routes();
                 state.set_endpoints();
             }
-            KeeperMessage::Vms => state.set_endpoints(),
-            KeeperMessage::Tick => {
+            PoolUpdaterMessage::Vms => state.set_endpoints(),
+            PoolUpdaterMessage::Tick => {
                 state.refresh_if_due();
                 return Ok(());
             }
@@ -115,23 +117,23 @@
 }
 
 /// Tells the keeper of each change; ends when the channel closes or the keeper is gone.
-fn forward<Value>(
+fn forward_changes<Value>(
     mut changes: watch::Receiver<Value>,
-    keeper: ActorRef<KeeperMessage>,
-    message: KeeperMessage,
+    pool_updater: ActorRef<PoolUpdaterMessage>,
+    message: PoolUpdaterMessage,
 ) where
     Value: Send + Sync + 'static,
 {
     tokio::spawn(async move {
         while changes.changed().await.is_ok() {
-            if keeper.cast(message).is_err() {
+            if pool_updater.cast(message).is_err() {
                 return;
             }
         }
     });
 }
 
-impl KeeperState {
+impl PoolUpdaterState {
     /// Puts the configuration's routes in force.
     pub(crate) fn set_routes(&mut self) {
         let configuration = Arc::clone(&self.configuration.borrow_and_update());
@@ -179,7 +181,7 @@
         let near = vm.domain == settings.domain;
         let distance = match near {
             true => Duration::ZERO,
-            false => settings.domain_distance,
+            false => settings.cross_domain_round_trip_time,
         };
         let entry = state.entry(key);
         let domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
@@ -192,8 +194,11 @@
     /// at all of them at each tick took 5.4% of a core at 8,900 endpoints.
     fn refresh_if_due(&mut self) {
         let held = self.shared.held_shares();
-        let due = self.looked_at + FULL_LOOK_EVERY <= self.shared.clock.monotonic();
-        if due || held != self.seen || self.shared.outdated.swap(false, Ordering::Relaxed) {
+        let due = self.last_full_refresh + FULL_REFRESH_INTERVAL <= self.shared.clock.monotonic();
+        if due
+            || held != self.last_held_shares
+            || self.shared.refresh_requested.swap(false, Ordering::Relaxed)
+        {
             self.refresh_with(held);
         }
     }
@@ -209,11 +214,11 @@
         let now = self.shared.clock.monotonic();
         for pool in self.shared.pools() {
             refresh_pool(&pool, &held, now);
-            pool.hand_over();
+            pool.assign_free_slots();
         }
-        self.shared.idle.notify_waiters();
-        self.seen = held;
-        self.looked_at = now;
+        self.shared.slot_idle.notify_waiters();
+        self.last_held_shares = held;
+        self.last_full_refresh = now;
     }
 }
 
--- a/crates/gateway/src/taken_request.rs
+++ b/crates/gateway/src/prepared_request.rs
@@ -26,14 +26,14 @@
 
 use crate::{
     exchange::EndpointRequest,
-    gateway_shared::GatewayShared,
-    header_rules::prepare_request,
+    gateway_state::GatewayState,
+    header_rules::prepare_request_head,
     refusal::Refusal,
     request_body::RequestBody, //
 };
 
 /// A request that is ready for the endpoint.
-pub(crate) struct TakenRequest {
+pub(crate) struct PreparedRequest {
     /// The request.
     pub(crate) request: Box<EndpointRequest>,
     /// The body, as far as it was taken in whole.
@@ -42,7 +42,7 @@
     _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl TakenRequest {
+impl PreparedRequest {
     fn new(head: Parts, body: RequestBody) -> Self {
         Self {
             request: Box::new(Request::from_parts(head, body)),
@@ -54,44 +54,50 @@
 
 /// Prepares the request for the endpoint. A small body is taken in whole before any slot is taken,
 /// so that a slow caller holds no slot; what all of them hold is bounded.
-pub(crate) async fn take_in(
-    shared: &GatewayShared,
+pub(crate) async fn prepare_request(
+    shared: &GatewayState,
     request: Request<Incoming>,
     caller: IpAddr,
-) -> Result<TakenRequest, Refusal> {
+) -> Result<PreparedRequest, Refusal> {
     let settings = &shared.settings;
     let (mut head, body) = request.into_parts();
-    prepare_request(&mut head.uri, &mut head.headers, caller);
+    prepare_request_head(&mut head.uri, &mut head.headers, caller);
     head.version = Version::HTTP_11;
     head.extensions.clear();
     if body.is_end_stream() {
-        let body = RequestBody::whole(Bytes::new());
-        return Ok(TakenRequest::new(head, body));
+        let body = RequestBody::buffered(Bytes::new());
+        return Ok(PreparedRequest::new(head, body));
     }
     let size = body.size_hint().exact();
-    if size.is_some_and(|size| size > settings.most_body_bytes) {
+    if size.is_some_and(|size| size > settings.max_body_bytes) {
         return Err(Refusal::TooLarge);
     }
-    let small = size.filter(|size| *size <= settings.buffered_body_bytes);
+    let small = size.filter(|size| *size <= settings.max_buffered_body_bytes);
     let Some(size) = small else {
-        let body = RequestBody::streamed(body, settings.most_body_bytes, settings.body_stall);
-        return Ok(TakenRequest::new(head, body));
+        let body =
+            RequestBody::streamed(body, settings.max_body_bytes, settings.body_stall_timeout);
+        return Ok(PreparedRequest::new(head, body));
     };
     let permits = u32::try_from(size).unwrap_or(u32::MAX);
-    let permit = Arc::clone(&shared.held_bytes)
+    let permit = Arc::clone(&shared.buffered_body_permits)
         .try_acquire_many_owned(permits)
         .map_err(|_| Refusal::MemoryFull)?;
-    let whole = collect(body, settings.buffered_body_bytes, settings.body_stall).await?;
-    Ok(TakenRequest {
+    let whole = collect(
+        body,
+        settings.max_buffered_body_bytes,
+        settings.body_stall_timeout,
+    )
+    .await?;
+    Ok(PreparedRequest {
         body: whole.clone(),
         _permit: Some(permit),
-        ..TakenRequest::new(head, RequestBody::whole(whole))
+        ..PreparedRequest::new(head, RequestBody::buffered(whole))
     })
 }
 
-async fn collect(body: Incoming, most: u64, patience: Duration) -> Result<Bytes, Refusal> {
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    let whole = timeout(patience, Limited::new(body, most).collect())
+async fn collect(body: Incoming, max_bytes: u64, time_limit: Duration) -> Result<Bytes, Refusal> {
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    let whole = timeout(time_limit, Limited::new(body, max_bytes).collect())
         .await
         .map_err(|_| Refusal::BodyStalled)?;
     match whole {
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -14,16 +14,16 @@
 };
 
 use crate::{
-    answer_body::AnswerBody,
-    body_fault::BodyFault,
+    body_error::BodyError,
     header_names::{
         EXECUTED,
         REASON, //
     },
+    response_body::ResponseBody,
 };
 
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(30);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
 /// Why the gateway answers a request itself. `Display` writes the sentence that the caller reads.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
@@ -39,7 +39,7 @@
     BodyStalled,
     /// The body failed while it was passed on, for a fault of the caller's.
     #[display("The request was given up: {_0}; whether it was run is not known.")]
-    BodyFailed(BodyFault),
+    BodyFailed(BodyError),
     /// The bodies that are held in memory have reached their bound.
     #[display("Too many requests are being taken in; the request was not run.")]
     MemoryFull,
@@ -122,8 +122,8 @@
     pub(crate) fn status(self) -> StatusCode {
         match self {
             Self::Malformed(_) | Self::BadKey => StatusCode::BAD_REQUEST,
-            Self::TooLarge | Self::BodyFailed(BodyFault::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyFailed(BodyFault::CutShort) => StatusCode::BAD_REQUEST,
+            Self::TooLarge | Self::BodyFailed(BodyError::TooLarge) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::BodyFailed(BodyError::CutShort) => StatusCode::BAD_REQUEST,
             Self::BodyStalled | Self::BodyFailed(_) => StatusCode::REQUEST_TIMEOUT,
             Self::UpgradeRefused => StatusCode::NOT_IMPLEMENTED,
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -162,10 +162,10 @@
             | Self::QueueTimeout
             | Self::Unconnected
             | Self::KeyUnreserved
-            | Self::KeyInUse => LEAST_RETRY_AFTER,
+            | Self::KeyInUse => MIN_RETRY_AFTER,
             _ => return None,
         };
-        Some(after.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER))
+        Some(after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     fn ends_connection(self) -> bool {
@@ -181,9 +181,9 @@
     }
 
     /// Returns the refusal as an answer.
-    pub(crate) fn into_answer(self) -> Response<AnswerBody> {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let text = Bytes::from(format!("{self}\n"));
-        let mut answer = Response::new(AnswerBody::whole(text));
+        let mut answer = Response::new(ResponseBody::buffered(text));
         *answer.status_mut() = self.status();
         let headers = answer.headers_mut();
         let executed = match self {
--- a/crates/gateway/src/request_body.rs
+++ b/crates/gateway/src/request_body.rs
@@ -24,12 +24,12 @@
     sleep, //
 };
 
-use crate::body_fault::BodyFault;
+use crate::body_error::BodyError;
 
 /// The body of a request on its way to an endpoint.
 pub(crate) enum RequestBody {
     /// Taken in whole beforehand; can be sent again.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as it comes; can be sent once.
     Streamed(Box<StreamedBody>),
 }
@@ -37,65 +37,67 @@
 /// A body that is passed on as it comes.
 pub(crate) struct StreamedBody {
     incoming: Incoming,
-    left: u64,
-    stall: Duration,
-    timer: Pin<Box<Sleep>>,
+    remaining_bytes: u64,
+    stall_timeout: Duration,
+    stall_timer: Pin<Box<Sleep>>,
 }
 
 impl RequestBody {
     /// Creates a body that is there in whole.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+    pub(crate) fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Full::new(bytes))
     }
 
-    /// Creates a body that is passed on, `most` bytes of it, and that may stand still for `stall`.
-    pub(crate) fn streamed(incoming: Incoming, most: u64, stall: Duration) -> Self {
+    /// Creates a body that is passed on, `max_bytes` bytes of it, and that may stand still for `stall_timeout`.
+    pub(crate) fn streamed(incoming: Incoming, max_bytes: u64, stall_timeout: Duration) -> Self {
         Self::Streamed(Box::new(StreamedBody {
             incoming,
-            left: most,
-            stall,
-            timer: Box::pin(sleep(stall)),
+            remaining_bytes: max_bytes,
+            stall_timeout,
+            stall_timer: Box::pin(sleep(stall_timeout)),
         }))
     }
 }
 
 impl StreamedBody {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let Poll::Ready(next) = Pin::new(&mut self.incoming).poll_frame(context) else {
-            ready!(self.timer.as_mut().poll(context));
-            return Poll::Ready(Some(Err(BodyFault::Stalled)));
+            ready!(self.stall_timer.as_mut().poll(context));
+            return Poll::Ready(Some(Err(BodyError::Stalled)));
         };
-        self.timer.as_mut().reset(Instant::now() + self.stall);
+        self.stall_timer
+            .as_mut()
+            .reset(Instant::now() + self.stall_timeout);
         match next {
             None => Poll::Ready(None),
-            Some(Err(_)) => Poll::Ready(Some(Err(BodyFault::CutShort))),
-            Some(Ok(frame)) => Poll::Ready(Some(self.count(frame))),
+            Some(Err(_)) => Poll::Ready(Some(Err(BodyError::CutShort))),
+            Some(Ok(frame)) => Poll::Ready(Some(self.check_size(frame))),
         }
     }
 
-    fn count(&mut self, frame: Frame<Bytes>) -> Result<Frame<Bytes>, BodyFault> {
+    fn check_size(&mut self, frame: Frame<Bytes>) -> Result<Frame<Bytes>, BodyError> {
         let size = frame.data_ref().map_or(0, Bytes::len);
         // CAST: a `usize` of these machines fits a `u64`.
-        match self.left.checked_sub(size as u64) {
-            Some(left) => {
-                self.left = left;
+        match self.remaining_bytes.checked_sub(size as u64) {
+            Some(remaining_bytes) => {
+                self.remaining_bytes = remaining_bytes;
                 Ok(frame)
             }
-            None => Err(BodyFault::TooLarge),
+            None => Err(BodyError::TooLarge),
         }
     }
 }
 
 impl Body for RequestBody {
     type Data = Bytes;
-    type Error = BodyFault;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(body) => {
+            Self::Buffered(body) => {
                 let frame = Pin::new(body).poll_frame(context);
                 frame.map_err(|never| match never {})
             }
@@ -105,14 +107,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Streamed(body) => body.incoming.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Streamed(body) => body.incoming.size_hint(),
         }
     }
--- a/crates/gateway/src/request_handler.rs
+++ b/crates/gateway/src/request_handler.rs
@@ -19,15 +19,10 @@
 use metrics::counter;
 
 use crate::{
-    answer_body::AnswerBody,
-    answer_rules::{
-        pass_on,
-        whole, //
-    },
-    class_metrics::REFUSALS,
+    class_metrics::REFUSALS_METRIC,
     delivery::Delivery,
     exchange::AttemptPlan,
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     header_names::{
         FORWARDED,
         IDEMPOTENCY_KEY, //
@@ -38,67 +33,72 @@
     },
     key_row::{
         fingerprint,
-        is_key,
+        is_valid_key,
         key_row, //
     },
-    key_store::KeyGrant,
+    key_store::KeyDecision,
     keyed_delivery::{
-        detached,
-        keep, //
+        record_outcome, //
+        run_detached,
+    },
+    peer_forward::forward_to_peer,
+    prepared_request::{
+        PreparedRequest,
+        prepare_request, //
     },
-    peer_forward::forward,
     refusal::Refusal,
     request_trace::RequestTrace,
+    response_body::ResponseBody,
+    response_rules::{
+        buffer_response, //
+        forward_response,
+    },
     route_snapshot::RequestClass,
     service_pool::SlotDemand,
-    taken_request::{
-        TakenRequest,
-        take_in, //
-    },
 };
 
 /// What is known of a request's caller.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CallerView {
+pub(crate) struct CallerInfo {
     /// Its address.
     pub(crate) address: IpAddr,
     /// Whether a request with two lengths came on its connection.
-    pub(crate) two_lengths: bool,
+    pub(crate) ambiguous_length: bool,
 }
 
 /// Takes one request from its arrival to its answer.
-pub(crate) async fn handle(
-    shared: Arc<GatewayShared>,
+pub(crate) async fn handle_request(
+    shared: Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: CallerView,
-) -> Response<AnswerBody> {
+    caller: CallerInfo,
+) -> Response<ResponseBody> {
     let arrival = shared.clock.monotonic();
-    // The heads after a chunked body are not followed, see `HeadWatch`: such a request is the last
+    // The heads after a chunked body are not followed, see `RequestHeadScanner`: such a request is the last
     // one on its connection.
-    let last = request.headers().contains_key(TRANSFER_ENCODING);
-    let mut answer = match run(&shared, request, caller, arrival).await {
+    let closes_connection = request.headers().contains_key(TRANSFER_ENCODING);
+    let mut answer = match process_request(&shared, request, caller, arrival).await {
         Ok(answer) => answer,
         Err(refusal) => refuse(refusal),
     };
-    if last {
+    if closes_connection {
         let close = HeaderValue::from_static("close");
         answer.headers_mut().insert(CONNECTION, close);
     }
     answer
 }
 
-fn refuse(refusal: Refusal) -> Response<AnswerBody> {
-    counter!(REFUSALS, "reason" => refusal.reason()).increment(1);
-    refusal.into_answer()
+fn refuse(refusal: Refusal) -> Response<ResponseBody> {
+    counter!(REFUSALS_METRIC, "reason" => refusal.reason()).increment(1);
+    refusal.into_response()
 }
 
-async fn run(
-    shared: &Arc<GatewayShared>,
+async fn process_request(
+    shared: &Arc<GatewayState>,
     request: Request<Incoming>,
-    caller: CallerView,
+    caller: CallerInfo,
     arrival: Duration,
-) -> Result<Response<AnswerBody>, Refusal> {
-    if caller.two_lengths {
+) -> Result<Response<ResponseBody>, Refusal> {
+    if caller.ambiguous_length {
         return Err(Refusal::Malformed("it has two lengths"));
     }
     check_head(&request)?;
@@ -107,18 +107,20 @@
         .find(host_of(&request), request.uri().path())
         .ok_or(Refusal::NoRoute)?;
     class.metrics.requests.increment(1);
-    let ancient = request.version() == Version::HTTP_10;
+    let is_http_1_0 = request.version() == Version::HTTP_10;
     let idempotent = is_idempotent(class.entry.idempotency, request.method());
-    let key = key_of(&request).filter(|_| !idempotent);
+    let key = idempotency_keys(&request).filter(|_| !idempotent);
     let forwarded = request.headers().contains_key(&FORWARDED);
-    let trace = (shared.settings.traces)
-        .then(|| RequestTrace::begin(request.headers(), class.entry.class.as_str()));
-    let taken = take_in(shared, request, caller.address).await?;
+    let trace = (shared.settings.traces_enabled)
+        .then(|| RequestTrace::start(request.headers(), class.entry.class.as_str()));
+    let prepared = prepare_request(shared, request, caller.address).await?;
     let job = DeliveryJob {
         shared: Arc::clone(shared),
         plan: AttemptPlan {
-            give_up: arrival + shared.settings.patience(class.entry.latency_target),
-            connect: shared.settings.connect_patience(class.entry.latency_target),
+            give_up_at: arrival + shared.settings.timeout_for(class.entry.latency_target),
+            connect_timeout: shared
+                .settings
+                .connect_timeout_for(class.entry.latency_target),
             idempotent,
         },
         demand: SlotDemand {
@@ -127,18 +129,18 @@
             avoid: None,
         },
         class: class.clone(),
-        ancient,
+        is_http_1_0,
         trace,
-        taken,
+        prepared,
     };
     let answer = match key {
-        _ if !forwarded && !job.class.pool.serves() => job.forward().await,
+        _ if !forwarded && !job.class.pool.can_serve() => job.forward_to_peer().await,
         None => job.deliver().await,
         Some(key) => deliver_keyed(job, &key).await,
     }?;
-    let taken = shared.clock.monotonic().saturating_sub(arrival);
-    class.metrics.seconds.record(taken);
-    if taken <= class.entry.latency_target {
+    let elapsed = shared.clock.monotonic().saturating_sub(arrival);
+    class.metrics.seconds.record(elapsed);
+    if elapsed <= class.entry.latency_target {
         class.metrics.within_target.increment(1);
     }
     Ok(answer)
@@ -146,38 +148,38 @@
 
 /// A request that is ready to be sent.
 struct DeliveryJob {
-    shared: Arc<GatewayShared>,
+    shared: Arc<GatewayState>,
     class: RequestClass,
     plan: AttemptPlan,
     demand: SlotDemand,
-    ancient: bool,
+    is_http_1_0: bool,
     trace: Option<RequestTrace>,
-    taken: TakenRequest,
+    prepared: PreparedRequest,
 }
 
 impl DeliveryJob {
     /// Hands the request to another daemon. A key is reserved there.
-    async fn forward(self) -> Result<Response<AnswerBody>, Refusal> {
+    async fn forward_to_peer(self) -> Result<Response<ResponseBody>, Refusal> {
         self.class.metrics.forwards.increment(1);
-        let answer = forward(
+        let answer = forward_to_peer(
             &self.shared,
             &self.class,
             self.plan,
             self.trace.as_ref(),
-            self.taken.request,
+            self.prepared.request,
         )
         .await?;
-        match self.ancient && !answer.headers().contains_key(CONTENT_LENGTH) {
-            true => whole(answer, self.shared.settings.most_body_bytes).await,
+        match self.is_http_1_0 && !answer.headers().contains_key(CONTENT_LENGTH) {
+            true => buffer_response(answer, self.shared.settings.max_body_bytes).await,
             false => Ok(answer),
         }
     }
 
-    async fn deliver(self) -> Result<Response<AnswerBody>, Refusal> {
+    async fn deliver(self) -> Result<Response<ResponseBody>, Refusal> {
         let trace = self.trace.as_ref();
         let delivery = Delivery::new(&self.shared, &self.class, self.plan, self.demand, trace);
-        let outcome = match delivery.run(self.taken.request).await {
-            Ok(answer) => pass_on(answer, self.ancient).await,
+        let outcome = match delivery.run(self.prepared.request).await {
+            Ok(answer) => forward_response(answer, self.is_http_1_0).await,
             Err(refusal) => Err(refusal),
         };
         if let Some(trace) = self.trace {
@@ -190,7 +192,7 @@
     }
 }
 
-fn key_of<Body>(request: &Request<Body>) -> Option<Vec<HeaderValue>> {
+fn idempotency_keys<Body>(request: &Request<Body>) -> Option<Vec<HeaderValue>> {
     let keys = request.headers().get_all(&IDEMPOTENCY_KEY);
     let keys: Vec<_> = keys.iter().cloned().collect();
     Some(keys).filter(|keys| !keys.is_empty())
@@ -199,27 +201,30 @@
 async fn deliver_keyed(
     job: DeliveryJob,
     keys: &[HeaderValue],
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let [key] = keys else {
         return Err(Refusal::BadKey);
     };
-    if !is_key(key.as_bytes()) {
+    if !is_valid_key(key.as_bytes()) {
         return Err(Refusal::BadKey);
     }
     let row = key_row(&job.class.entry.class, key.as_bytes());
-    let request = &job.taken.request;
-    let print = fingerprint(
+    let request = &job.prepared.request;
+    let request_fingerprint = fingerprint(
         request.method(),
         request.uri(),
         request.headers(),
-        &job.taken.body,
+        &job.prepared.body,
     );
     let keys = Arc::clone(&job.shared.keys);
-    match keys.reserve(row, print, job.plan.give_up).await? {
-        KeyGrant::Replay(answer) => Ok(answer.into_answer()),
-        KeyGrant::Run(reservation) => {
-            let delivery = async move { keep(reservation, job.deliver().await).await };
-            detached(delivery).await
+    match keys
+        .reserve(row, request_fingerprint, job.plan.give_up_at)
+        .await?
+    {
+        KeyDecision::Replay(answer) => Ok(answer.into_response()),
+        KeyDecision::Run(reservation) => {
+            let delivery = async move { record_outcome(reservation, job.deliver().await).await };
+            run_detached(delivery).await
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/request_head_scanner.rs
@@ -0,0 +1,195 @@
+//! Follows the heads of a caller's requests as bytes.
+
+use std::mem;
+
+use crate::head_error::HeadError;
+
+const MAX_HEADERS: usize = 100;
+
+/// Follows the heads of a caller's requests as bytes, for the one fault that hyper mends in
+/// silence: a request with both `Content-Length` and `Transfer-Encoding`, or with a length given
+/// twice. Whoever stands between the caller and us may have gone by the other length, and would
+/// take the rest of such a body for the head of a request of its own.
+#[derive(Debug)]
+pub(crate) struct RequestHeadScanner {
+    state: ScannerState,
+    ambiguous_length: bool,
+    is_first_head: bool,
+    first_error: Option<HeadError>,
+    max_head_bytes: usize,
+}
+
+#[derive(Debug)]
+enum ScannerState {
+    Head(Vec<u8>),
+    Body(u64),
+    Untracked,
+}
+
+enum HeadScan {
+    Partial,
+    FixedLength(usize, u64),
+    Malformed,
+    Untracked { ambiguous_length: bool },
+}
+
+impl RequestHeadScanner {
+    /// Creates a watch over heads of at most so many bytes.
+    pub(crate) fn new(max_head_bytes: usize) -> Self {
+        Self {
+            state: ScannerState::Head(Vec::new()),
+            ambiguous_length: false,
+            is_first_head: true,
+            first_error: None,
+            max_head_bytes,
+        }
+    }
+
+    /// Takes in what the caller sent.
+    pub(crate) fn scan(&mut self, mut bytes: &[u8]) {
+        while !bytes.is_empty() {
+            bytes = match &mut self.state {
+                ScannerState::Untracked => return,
+                ScannerState::Body(left) => skip_body(left, bytes),
+                ScannerState::Head(_) => self.scan_head(bytes),
+            };
+            if matches!(self.state, ScannerState::Body(0)) {
+                self.state = ScannerState::Head(Vec::new());
+            }
+        }
+    }
+
+    /// Tells whether a request with two lengths came.
+    pub(crate) fn has_ambiguous_length(&self) -> bool {
+        self.ambiguous_length
+    }
+
+    /// Returns what is wrong with the connection's first head. Later ones are left to hyper, which
+    /// knows whether earlier answers have gone out.
+    pub(crate) fn first_head_error(&self) -> Option<HeadError> {
+        self.first_error
+    }
+
+    /// Tells whether a head has begun and not ended.
+    pub(crate) fn is_within_head(&self) -> bool {
+        matches!(&self.state, ScannerState::Head(head) if !head.is_empty())
+    }
+
+    fn scan_head<'a>(&mut self, bytes: &'a [u8]) -> &'a [u8] {
+        let ScannerState::Head(buffered) = &mut self.state else {
+            return bytes;
+        };
+        let buffered_length = buffered.len();
+        let found = match buffered_length {
+            0 => parse_head(bytes),
+            _ => {
+                buffered.extend_from_slice(bytes);
+                parse_head(buffered)
+            }
+        };
+        match found {
+            HeadScan::Partial => {
+                self.buffer_partial_head(bytes, buffered_length);
+                &[]
+            }
+            HeadScan::Malformed => {
+                self.stop_tracking(HeadError::Malformed);
+                &[]
+            }
+            HeadScan::Untracked { ambiguous_length } => {
+                self.ambiguous_length |= ambiguous_length;
+                if ambiguous_length {
+                    self.stop_tracking(HeadError::Malformed);
+                    return &[];
+                }
+                self.is_first_head = false;
+                self.state = ScannerState::Untracked;
+                &[]
+            }
+            HeadScan::FixedLength(head, body) => {
+                self.is_first_head = false;
+                self.state = ScannerState::Body(body);
+                &bytes[head - buffered_length..]
+            }
+        }
+    }
+
+    fn buffer_partial_head(&mut self, bytes: &[u8], buffered_length: usize) {
+        let ScannerState::Head(buffered) = &mut self.state else {
+            return;
+        };
+        if buffered_length == 0 {
+            *buffered = bytes.to_vec();
+        }
+        if buffered.len() >= self.max_head_bytes {
+            // hyper reads no further than this either, and refuses the head.
+            drop(mem::take(buffered));
+            self.stop_tracking(HeadError::TooLarge);
+        }
+    }
+
+    fn stop_tracking(&mut self, error: HeadError) {
+        self.first_error = self.is_first_head.then_some(error);
+        self.state = ScannerState::Untracked;
+    }
+}
+
+fn skip_body<'a>(left: &mut u64, bytes: &'a [u8]) -> &'a [u8] {
+    let count = usize::try_from(*left)
+        .unwrap_or(usize::MAX)
+        .min(bytes.len());
+    // CAST: a `usize` of these machines fits a `u64`.
+    *left -= count as u64;
+    &bytes[count..]
+}
+
+fn parse_head(bytes: &[u8]) -> HeadScan {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut request = httparse::Request::new(&mut headers);
+    match request.parse(bytes) {
+        Ok(httparse::Status::Partial) => HeadScan::Partial,
+        Err(_) => HeadScan::Malformed,
+        Ok(httparse::Status::Complete(size)) => classify_framing(request.headers, size),
+    }
+}
+
+fn classify_framing(headers: &[httparse::Header<'_>], size: usize) -> HeadScan {
+    let named = |name: &'static str| {
+        headers
+            .iter()
+            .filter(move |header| header.name.eq_ignore_ascii_case(name))
+    };
+    let lengths = named("content-length").count();
+    let chunked = named("transfer-encoding").next().is_some();
+    if lengths > 1 || (lengths == 1 && chunked) {
+        return HeadScan::Untracked {
+            ambiguous_length: true,
+        };
+    }
+    if chunked && !is_last_coding_chunked(headers) {
+        return HeadScan::Malformed;
+    }
+    if chunked {
+        return HeadScan::Untracked {
+            ambiguous_length: false,
+        };
+    }
+    let length = named("content-length").next();
+    let length = length.map_or(Some(0), |header| {
+        let digits = header.value.iter().all(u8::is_ascii_digit);
+        let text = str::from_utf8(header.value).ok().filter(|_| digits)?;
+        text.parse().ok()
+    });
+    match length {
+        Some(length) => HeadScan::FixedLength(size, length),
+        None => HeadScan::Malformed,
+    }
+}
+
+fn is_last_coding_chunked(headers: &[httparse::Header<'_>]) -> bool {
+    let last_header = headers
+        .iter()
+        .rfind(|header| header.name.eq_ignore_ascii_case("transfer-encoding"));
+    let last = last_header.and_then(|header| header.value.rsplit(|byte| *byte == b',').next());
+    last.is_some_and(|last| last.trim_ascii().eq_ignore_ascii_case(b"chunked"))
+}
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -22,8 +22,8 @@
     },
 };
 
-const TRACER: &str = "jasminebend";
-const PARENT: HeaderName = HeaderName::from_static("traceparent");
+const TRACER_NAME: &str = "jasminebend";
+const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
 /// The spans of a request: `gateway.request` from its arrival to its answer's head, and below it
 /// `gateway.queue` and one `gateway.attempt` for each time that it is sent.
@@ -34,9 +34,9 @@
 
 impl RequestTrace {
     /// Begins a request's trace, below the caller's if it sent one (W3C Trace Context).
-    pub(crate) fn begin(headers: &HeaderMap, class: &str) -> Self {
-        let tracer = global::tracer(TRACER);
-        let parent = match parent_of(headers) {
+    pub(crate) fn start(headers: &HeaderMap, class: &str) -> Self {
+        let tracer = global::tracer(TRACER_NAME);
+        let parent = match parent_context(headers) {
             Some(parent) => Context::new().with_remote_span_context(parent),
             None => Context::new(),
         };
@@ -49,13 +49,17 @@
     }
 
     /// Begins the span of the wait for a slot.
-    pub(crate) fn queue(&self) -> BoxedSpan {
-        self.child("gateway.queue", SpanKind::Internal)
+    pub(crate) fn start_queue_span(&self) -> BoxedSpan {
+        self.child_span("gateway.queue", SpanKind::Internal)
     }
 
     /// Begins the span of an attempt, and has the endpoint's own spans stand below it.
-    pub(crate) fn attempt(&self, endpoint: String, headers: &mut HeaderMap) -> BoxedSpan {
-        let mut span = self.child("gateway.attempt", SpanKind::Client);
+    pub(crate) fn start_attempt_span(
+        &self,
+        endpoint: String,
+        headers: &mut HeaderMap,
+    ) -> BoxedSpan {
+        let mut span = self.child_span("gateway.attempt", SpanKind::Client);
         span.set_attribute(KeyValue::new("endpoint", endpoint));
         let context = span.span_context();
         if context.is_valid() {
@@ -66,7 +70,7 @@
                 context.trace_flags().to_u8()
             );
             if let Ok(value) = HeaderValue::try_from(text) {
-                headers.insert(PARENT, value);
+                headers.insert(TRACEPARENT, value);
             }
         }
         span
@@ -80,9 +84,9 @@
         self.span.end();
     }
 
-    fn child(&self, name: &'static str, kind: SpanKind) -> BoxedSpan {
-        let own = self.span.span_context().clone();
-        let parent = Context::new().with_remote_span_context(own);
+    fn child_span(&self, name: &'static str, kind: SpanKind) -> BoxedSpan {
+        let own_context = self.span.span_context().clone();
+        let parent = Context::new().with_remote_span_context(own_context);
         self.tracer
             .span_builder(name)
             .with_kind(kind)
@@ -91,8 +95,8 @@
 }
 
 /// Reads `traceparent`; one that is malformed counts as none.
-fn parent_of(headers: &HeaderMap) -> Option<SpanContext> {
-    let text = headers.get(PARENT)?.to_str().ok()?;
+fn parent_context(headers: &HeaderMap) -> Option<SpanContext> {
+    let text = headers.get(TRACEPARENT)?.to_str().ok()?;
     let mut parts = text.split('-');
     let (version, trace, span, flags) =
         (parts.next()?, parts.next()?, parts.next()?, parts.next()?);
--- a/crates/gateway/src/answer_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -27,56 +27,59 @@
 };
 
 use crate::{
-    body_fault::BodyFault,
+    body_error::BodyError,
     endpoint_connection::EndpointConnection,
-    exchange::EndpointAnswer,
-    exchange_end::{
-        AnswerVerdict,
-        ExchangeEnd, //
+    exchange::EndpointResponse,
+    exchange_outcome::{
+        ExchangeOutcome, //
+        ResponseVerdict,
     },
     gateway_settings::GatewaySettings,
-    pending_exchange::drain,
+    pending_exchange::drain_response,
     slot_lease::SlotLease,
 };
 
 /// The body of an answer on its way to a caller. If it is cut it ends in an error, which makes
 /// hyper abort the caller's connection, so that a part is never taken for the whole.
-pub(crate) enum AnswerBody {
+pub(crate) enum ResponseBody {
     /// There in whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as the endpoint sends it.
-    Streamed(Box<StreamedAnswer>),
+    Streamed(Box<StreamedResponse>),
 }
 
 /// An answer that is passed on as the endpoint sends it.
-pub(crate) struct StreamedAnswer {
+pub(crate) struct StreamedResponse {
     incoming: Option<Incoming>,
-    slot: Option<AnswerSlot>,
-    stall: Duration,
-    timer: Option<Pin<Box<Sleep>>>,
-    end: Pin<Box<Sleep>>,
+    slot: Option<ResponseSlot>,
+    stall_timeout: Duration,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    deadline_timer: Pin<Box<Sleep>>,
 }
 
-struct AnswerSlot {
+struct ResponseSlot {
     lease: SlotLease,
     connection: EndpointConnection,
     latency: Duration,
-    verdict: AnswerVerdict,
+    verdict: ResponseVerdict,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Creates a body that is there in whole.
-    pub(crate) fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+    pub(crate) fn buffered(bytes: Bytes) -> Self {
+        Self::Buffered(Full::new(bytes))
     }
 
     /// Passes an endpoint's answer on; the slot is given back when its body has come in whole.
-    pub(crate) fn pass_on(answer: EndpointAnswer, verdict: AnswerVerdict) -> Response<Self> {
+    pub(crate) fn from_endpoint(
+        answer: EndpointResponse,
+        verdict: ResponseVerdict,
+    ) -> Response<Self> {
         let settings = &answer.lease.pool().settings;
-        let stall = settings.body_stall;
+        let stall_timeout = settings.body_stall_timeout;
         let longest = settings.longest_request.saturating_sub(answer.latency);
         let (head, incoming) = answer.response.into_parts();
-        let slot = AnswerSlot {
+        let slot = ResponseSlot {
             lease: answer.lease,
             connection: answer.connection,
             latency: answer.latency,
@@ -84,44 +87,44 @@
         };
         if incoming.is_end_stream() {
             slot.release();
-            return Response::from_parts(head, Self::Whole(Full::default()));
+            return Response::from_parts(head, Self::Buffered(Full::default()));
         }
-        let streamed = StreamedAnswer {
+        let streamed = StreamedResponse {
             incoming: Some(incoming),
             slot: Some(slot),
-            stall,
-            timer: None,
-            end: Box::pin(sleep(longest)),
+            stall_timeout,
+            stall_timer: None,
+            deadline_timer: Box::pin(sleep(longest)),
         };
         Response::from_parts(head, Self::Streamed(Box::new(streamed)))
     }
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Passes another daemon's answer on.
     pub(crate) fn from_peer(
         answer: Response<Incoming>,
         settings: &GatewaySettings,
     ) -> Response<Self> {
         answer.map(|incoming| match incoming.is_end_stream() {
-            true => Self::Whole(Full::default()),
-            false => Self::Streamed(Box::new(StreamedAnswer {
+            true => Self::Buffered(Full::default()),
+            false => Self::Streamed(Box::new(StreamedResponse {
                 incoming: Some(incoming),
                 slot: None,
-                stall: settings.body_stall,
-                timer: None,
-                end: Box::pin(sleep(settings.longest_request)),
+                stall_timeout: settings.body_stall_timeout,
+                stall_timer: None,
+                deadline_timer: Box::pin(sleep(settings.longest_request)),
             })),
         })
     }
 }
 
-impl AnswerSlot {
+impl ResponseSlot {
     fn release(mut self) {
-        self.connection.last_heard = self.lease.pool().clock.monotonic();
-        let closes = self.verdict == AnswerVerdict::Closing;
+        self.connection.last_received_at = self.lease.pool().clock.monotonic();
+        let closes = self.verdict == ResponseVerdict::Closing;
         let connection = Some(self.connection).filter(|own| own.is_open() && !closes);
-        self.lease.end(ExchangeEnd::Answered {
+        self.lease.release(ExchangeOutcome::Answered {
             latency: self.latency,
             verdict: self.verdict,
             connection,
@@ -129,20 +132,20 @@
     }
 }
 
-impl StreamedAnswer {
-    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+impl StreamedResponse {
+    fn poll(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let Some(incoming) = self.incoming.as_mut() else {
             return Poll::Ready(None);
         };
         match Pin::new(incoming).poll_frame(context) {
             Poll::Pending => self.poll_timers(context),
-            Poll::Ready(Some(Err(_))) => self.cut(BodyFault::CutShort),
+            Poll::Ready(Some(Err(_))) => self.abort_body(BodyError::CutShort),
             Poll::Ready(None) => {
                 self.finish();
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(frame))) => {
-                self.timer = None;
+                self.stall_timer = None;
                 if self.incoming.as_ref().is_some_and(Body::is_end_stream) {
                     self.finish();
                 }
@@ -154,19 +157,21 @@
     fn poll_timers(
         &mut self,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
-        let stall = self.stall;
-        let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(stall)));
-        if timer.as_mut().poll(context).is_ready() {
-            return self.cut(BodyFault::Stalled);
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let stall_timeout = self.stall_timeout;
+        let stall_timer = self
+            .stall_timer
+            .get_or_insert_with(|| Box::pin(sleep(stall_timeout)));
+        if stall_timer.as_mut().poll(context).is_ready() {
+            return self.abort_body(BodyError::Stalled);
         }
-        if self.end.as_mut().poll(context).is_ready() {
-            return self.cut(BodyFault::TooLong);
+        if self.deadline_timer.as_mut().poll(context).is_ready() {
+            return self.abort_body(BodyError::TooLong);
         }
         Poll::Pending
     }
 
-    fn cut(&mut self, fault: BodyFault) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+    fn abort_body(&mut self, fault: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.incoming = None;
         // The endpoint may still be working: dropping the lease keeps the slot empty.
         self.slot = None;
@@ -181,7 +186,7 @@
     }
 }
 
-impl Drop for StreamedAnswer {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
         // The caller left: the endpoint works on, and its slot is free when its answer is over.
         let (Some(incoming), Some(slot)) = (self.incoming.take(), self.slot.take()) else {
@@ -190,21 +195,26 @@
         if let Ok(handle) = Handle::try_current() {
             let connection = Some(slot.connection);
             let response = Response::new(incoming);
-            handle.spawn(drain(response, slot.lease, connection, slot.latency));
+            handle.spawn(drain_response(
+                response,
+                slot.lease,
+                connection,
+                slot.latency,
+            ));
         }
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = BodyFault;
+    type Error = BodyError;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyFault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            Self::Whole(body) => {
+            Self::Buffered(body) => {
                 let frame = Pin::new(body).poll_frame(context);
                 frame.map_err(|never| match never {})
             }
@@ -214,14 +224,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
+            Self::Buffered(body) => body.is_end_stream(),
             Self::Streamed(answer) => answer.incoming.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
+            Self::Buffered(body) => body.size_hint(),
             Self::Streamed(answer) => answer
                 .incoming
                 .as_ref()
--- a/crates/gateway/src/answer_rules.rs
+++ b/crates/gateway/src/response_rules.rs
@@ -19,74 +19,79 @@
 use hyper::body::Incoming;
 
 use crate::{
-    answer_body::AnswerBody,
-    delivery::says_not_run,
-    exchange::EndpointAnswer,
-    exchange_end::AnswerVerdict,
+    delivery::is_reported_not_run,
+    exchange::EndpointResponse,
+    exchange_outcome::ResponseVerdict,
     gateway_settings::GatewaySettings,
     header_names::EXECUTED,
     header_rules::{
         has_token,
-        prepare_answer, //
+        prepare_response_head, //
     },
-    pending_exchange::drain,
+    pending_exchange::drain_response,
     refusal::Refusal,
+    response_body::ResponseBody,
 };
 
-const MOST_ASKED_HOLD: Duration = Duration::from_secs(30);
+const MAX_REQUESTED_BACKOFF: Duration = Duration::from_secs(30);
 
 /// Turns an endpoint's answer into the caller's.
-pub(crate) async fn pass_on(
-    mut answer: EndpointAnswer,
-    ancient: bool,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let verdict = verdict_of(&answer);
+pub(crate) async fn forward_response(
+    mut answer: EndpointResponse,
+    is_http_1_0: bool,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let verdict = response_verdict(&answer);
     let framed = is_framed(&answer.response);
     if !framed || answer.response.status() == StatusCode::SWITCHING_PROTOCOLS {
         // An answer that ends where its connection does cannot be told from one cut short.
-        tokio::spawn(drain(answer.response, answer.lease, None, answer.latency));
+        tokio::spawn(drain_response(
+            answer.response,
+            answer.lease,
+            None,
+            answer.latency,
+        ));
         return Err(Refusal::EndpointFailed);
     }
-    if !says_not_run(&answer) {
+    if !is_reported_not_run(&answer) {
         answer.response.headers_mut().remove(&EXECUTED);
     }
     let sized = answer.response.headers().contains_key(CONTENT_LENGTH);
-    prepare_answer(answer.response.headers_mut());
-    let most = answer.lease.pool().settings.most_body_bytes;
-    let response = AnswerBody::pass_on(answer, verdict);
-    match ancient && !sized {
-        true => whole(response, most).await,
+    prepare_response_head(answer.response.headers_mut());
+    let max_bytes = answer.lease.pool().settings.max_body_bytes;
+    let response = ResponseBody::from_endpoint(answer, verdict);
+    match is_http_1_0 && !sized {
+        true => buffer_response(response, max_bytes).await,
         false => Ok(response),
     }
 }
 
 /// Turns another daemon's answer into the caller's.
-pub(crate) fn pass_on_peer(
+pub(crate) fn forward_peer_response(
     mut answer: Response<Incoming>,
     settings: &GatewaySettings,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     if !is_framed(&answer) || answer.status() == StatusCode::SWITCHING_PROTOCOLS {
         return Err(Refusal::EndpointFailed);
     }
-    prepare_answer(answer.headers_mut());
-    Ok(AnswerBody::from_peer(answer, settings))
+    prepare_response_head(answer.headers_mut());
+    Ok(ResponseBody::from_peer(answer, settings))
 }
 
 /// Takes an answer in whole for a caller of HTTP/1.0, to whom the end of the connection would be
 /// the only sign of the body's end, so that one cut short would look whole.
-pub(crate) async fn whole(
-    response: Response<AnswerBody>,
-    most: u64,
-) -> Result<Response<AnswerBody>, Refusal> {
+pub(crate) async fn buffer_response(
+    response: Response<ResponseBody>,
+    max_bytes: u64,
+) -> Result<Response<ResponseBody>, Refusal> {
     let (head, body) = response.into_parts();
-    let most = usize::try_from(most).unwrap_or(usize::MAX);
-    let whole = Limited::new(body, most)
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    let whole = Limited::new(body, max_bytes)
         .collect()
         .await
         .map_err(|_| Refusal::EndpointFailed)?;
     Ok(Response::from_parts(
         head,
-        AnswerBody::whole(whole.to_bytes()),
+        ResponseBody::buffered(whole.to_bytes()),
     ))
 }
 
@@ -96,26 +101,26 @@
         || has_token(response.headers(), TRANSFER_ENCODING, "chunked")
 }
 
-fn verdict_of(answer: &EndpointAnswer) -> AnswerVerdict {
+fn response_verdict(answer: &EndpointResponse) -> ResponseVerdict {
     let status = answer.response.status();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let asked = asked_hold(&answer.response);
-        return AnswerVerdict::Refusing { asked };
+        let requested = requested_backoff(&answer.response);
+        return ResponseVerdict::Refusing { requested };
     }
     let closes = has_token(answer.response.headers(), CONNECTION, "close");
     match status.is_server_error() {
-        true => AnswerVerdict::Failed,
-        false if closes => AnswerVerdict::Closing,
-        false => AnswerVerdict::Good,
+        true => ResponseVerdict::Failed,
+        false if closes => ResponseVerdict::Closing,
+        false => ResponseVerdict::Good,
     }
 }
 
-fn asked_hold(response: &Response<Incoming>) -> Duration {
+fn requested_backoff(response: &Response<Incoming>) -> Duration {
     response
         .headers()
         .get(RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
         .and_then(|value| value.parse().ok())
         .map_or(Duration::ZERO, Duration::from_secs)
-        .min(MOST_ASKED_HOLD)
+        .min(MAX_REQUESTED_BACKOFF)
 }
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -31,8 +31,8 @@
 };
 
 use crate::{
-    class_metrics::SILENT_CONNECTIONS,
-    exchange_end::ExchangeEnd,
+    class_metrics::SILENT_CONNECTIONS_METRIC,
+    exchange_outcome::ExchangeOutcome,
     gateway_settings::GatewaySettings,
     pool_state::{
         PoolState,
@@ -43,11 +43,11 @@
     slot_lease::SlotLease,
 };
 
-const SUSPICION_MULTIPLE: u32 = 4;
-const LEAST_SUSPICION: Duration = Duration::from_millis(50);
+const SILENCE_LATENCY_MULTIPLE: u32 = 4;
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(50);
 /// A slow service would otherwise fill the log with this line.
-const WARN_EVERY: Duration = Duration::from_secs(10);
-const MOST_SUSPICION: Duration = Duration::from_secs(5);
+const SILENCE_WARNING_INTERVAL: Duration = Duration::from_secs(10);
+const MAX_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The slots of one service's endpoints that this daemon may use, and who waits for them.
 pub(crate) struct ServicePool {
@@ -58,9 +58,9 @@
     /// The clock.
     pub(crate) clock: Arc<dyn ClockSource>,
     /// Told whenever a slot falls idle.
-    pub(crate) idle: Arc<Notify>,
+    pub(crate) slot_idle: Arc<Notify>,
     /// Whether there are slots to use, or some may come back in a moment; as of the last refresh.
-    able: AtomicBool,
+    can_serve: AtomicBool,
     /// Idle connections last heard from before this, in nanoseconds, are replaced before use.
     suspect_before: AtomicU64,
     state: Mutex<PoolState>,
@@ -82,12 +82,12 @@
     Queued(QueueKey, oneshot::Receiver<Result<SlotLease, Refusal>>),
 }
 
-struct QueuePlace<'a> {
+struct QueueGuard<'a> {
     pool: &'a ServicePool,
     key: QueueKey,
 }
 
-impl Drop for QueuePlace<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.pool.lock().queue.remove(self.key);
     }
@@ -99,16 +99,16 @@
         service: ServiceName,
         settings: Arc<GatewaySettings>,
         clock: Arc<dyn ClockSource>,
-        idle: Arc<Notify>,
+        slot_idle: Arc<Notify>,
         seed: u64,
     ) -> Self {
-        let state = PoolState::new(settings.most_waiting, settings.retry_ratio, seed);
+        let state = PoolState::new(settings.max_waiting_requests, settings.retry_ratio, seed);
         Self {
             service,
             settings,
             clock,
-            idle,
-            able: AtomicBool::new(false),
+            slot_idle,
+            can_serve: AtomicBool::new(false),
             suspect_before: AtomicU64::new(0),
             state: Mutex::new(state),
         }
@@ -121,25 +121,25 @@
 
     /// Tells whether this daemon has slots of the service to use, or just had some and may have
     /// them again in a moment.
-    pub(crate) fn serves(&self) -> bool {
-        self.able.load(Ordering::Relaxed)
+    pub(crate) fn can_serve(&self) -> bool {
+        self.can_serve.load(Ordering::Relaxed)
     }
 
     /// Notes whether there are slots to use.
-    pub(crate) fn set_able(&self, able: bool) {
-        self.able.store(able, Ordering::Relaxed);
+    pub(crate) fn set_can_serve(&self, can_serve: bool) {
+        self.can_serve.store(can_serve, Ordering::Relaxed);
     }
 
     /// Tells whether an idle connection last heard from at this time may be lost as another one was.
-    pub(crate) fn is_suspect(&self, last_heard: Duration) -> bool {
-        nanos(last_heard) < self.suspect_before.load(Ordering::Relaxed)
+    pub(crate) fn is_suspect(&self, last_received_at: Duration) -> bool {
+        to_nanos(last_received_at) < self.suspect_before.load(Ordering::Relaxed)
     }
 
     /// Takes a slot at once, if one is free.
     pub(crate) fn try_acquire(self: &Arc<Self>, avoid: Option<SocketAddr>) -> Option<SlotLease> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
-        let key = state.take_avoiding(now, avoid)?;
+        let key = state.take_slot_avoiding(now, avoid)?;
         Some(self.lease(&mut state, key))
     }
 
@@ -148,13 +148,13 @@
         self: &Arc<Self>,
         demand: SlotDemand,
     ) -> Result<SlotLease, Refusal> {
-        let (key, reply) = match self.offer(demand)? {
+        let (key, reply) = match self.take_or_enqueue(demand)? {
             SlotOffer::Taken(lease) => return Ok(lease),
             SlotOffer::Queued(key, reply) => (key, reply),
         };
-        let _place = QueuePlace { pool: self, key };
+        let _queue_guard = QueueGuard { pool: self, key };
         let now = self.clock.monotonic();
-        let awaited = self.lock().shares_awaited(now);
+        let awaited = self.lock().share_wait_deadline(now);
         let until = demand.deadline.min(awaited.unwrap_or(demand.deadline));
         match timeout(until.saturating_sub(now), reply).await {
             Ok(Ok(outcome)) => outcome,
@@ -164,86 +164,93 @@
     }
 
     /// Gives a slot back that was held for so long, and hands it on to whoever waits.
-    pub(crate) fn settle(self: &Arc<Self>, key: SlotKey, end: ExchangeEnd, held: Duration) {
+    pub(crate) fn release_slot(
+        self: &Arc<Self>,
+        key: SlotKey,
+        outcome: ExchangeOutcome,
+        held: Duration,
+    ) {
         let now = self.clock.monotonic();
         let mut state = self.lock();
         state.entry(key.endpoint).score.record_completion();
-        if matches!(end, ExchangeEnd::Answered { .. }) {
-            state.holding.observe(held);
+        if matches!(outcome, ExchangeOutcome::Answered { .. }) {
+            state.slot_hold_time.observe(held);
         }
-        state.apply(&self.settings, key, end, now);
-        state.list(Some(key));
+        state.apply_outcome(&self.settings, key, outcome, now);
+        state.add_to_free_list(Some(key));
         let wanted = !state.queue.is_empty();
         drop(state);
-        self.idle.notify_waiters();
+        self.slot_idle.notify_waiters();
         if wanted {
-            self.hand_over();
+            self.assign_free_slots();
         }
     }
 
     /// Hands free slots to waiting requests, in the queue's order.
-    pub(crate) fn hand_over(self: &Arc<Self>) {
-        while let Some((waiter, outcome)) = self.next_handover() {
+    pub(crate) fn assign_free_slots(self: &Arc<Self>) {
+        while let Some((waiter, outcome)) = self.next_assignment() {
             let Err(Ok(lease)) = waiter.reply.send(outcome) else {
                 continue;
             };
             // The waiter left in this moment: the slot goes back as it was.
             let key = lease.key();
-            let connection = lease.forget();
+            let connection = lease.into_connection();
             let mut state = self.lock();
             state.slot(key).connection = connection;
-            state.put_back(key);
+            state.release_unused(key);
         }
     }
 
     /// Returns how long an exchange that was given up may go unheard before its connection counts
     /// as silent.
-    pub(crate) fn suspicion_time(&self) -> Duration {
-        let usual = self.lock().latency.quantile() * SUSPICION_MULTIPLE;
-        usual.clamp(LEAST_SUSPICION, MOST_SUSPICION)
+    pub(crate) fn silence_timeout(&self) -> Duration {
+        let usual = self.lock().latency.quantile() * SILENCE_LATENCY_MULTIPLE;
+        usual.clamp(MIN_SILENCE_TIMEOUT, MAX_SILENCE_TIMEOUT)
     }
 
     /// Notes that nothing was heard on a connection since `sent_at`: idle ones that were quiet for
     /// as long may be lost in the same way, and are replaced before they are used.
-    pub(crate) fn suspect(&self, sent_at: Duration) {
+    pub(crate) fn mark_silent_connections(&self, sent_at: Duration) {
         let now = self.clock.monotonic();
         self.suspect_before
-            .fetch_max(nanos(sent_at), Ordering::Relaxed);
+            .fetch_max(to_nanos(sent_at), Ordering::Relaxed);
         let mut state = self.lock();
-        let quiet = state.warned_at.is_none_or(|at| now >= at + WARN_EVERY);
-        if quiet {
-            state.warned_at = Some(now);
+        let may_warn = state
+            .silence_warned_at
+            .is_none_or(|at| now >= at + SILENCE_WARNING_INTERVAL);
+        if may_warn {
+            state.silence_warned_at = Some(now);
         }
         drop(state);
-        counter!(SILENT_CONNECTIONS, "service" => self.service.to_string()).increment(1);
-        if quiet {
+        counter!(SILENT_CONNECTIONS_METRIC, "service" => self.service.to_string()).increment(1);
+        if may_warn {
             warn!("[gateway] A connection to {} went silent.", self.service);
         }
     }
 
-    fn next_handover(self: &Arc<Self>) -> Option<(SlotWaiter, Result<SlotLease, Refusal>)> {
+    fn next_assignment(self: &Arc<Self>) -> Option<(SlotWaiter, Result<SlotLease, Refusal>)> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
         if state.queue.is_empty() {
             return None;
         }
-        let key = state.take(now)?;
+        let key = state.take_slot(now)?;
         let Some(waiter) = next_waiter(&mut state, now) else {
-            state.put_back(key);
+            state.release_unused(key);
             return None;
         };
         let lease = self.lease(&mut state, key);
         Some((waiter, Ok(lease)))
     }
 
-    fn offer(self: &Arc<Self>, demand: SlotDemand) -> Result<SlotOffer, Refusal> {
+    fn take_or_enqueue(self: &Arc<Self>, demand: SlotDemand) -> Result<SlotOffer, Refusal> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
         if demand.avoid.is_none() {
-            state.budget.deposit();
+            state.retry_budget.deposit();
         }
         if state.queue.is_empty()
-            && let Some(key) = state.take_avoiding(now, demand.avoid)
+            && let Some(key) = state.take_slot_avoiding(now, demand.avoid)
         {
             return Ok(SlotOffer::Taken(self.lease(&mut state, key)));
         }
@@ -256,17 +263,17 @@
         demand: SlotDemand,
         now: Duration,
     ) -> Result<SlotOffer, Refusal> {
-        let rule = AdmissionControl {
-            slot_count: state.serving,
+        let admission = AdmissionControl {
+            slot_count: state.serving_slots,
             queue_length: state.queue.len(),
-            service_time: state.holding.mean(),
+            service_time: state.slot_hold_time.mean(),
         };
-        if rule.slot_count == 0 && state.shares_awaited(now).is_none() {
+        if admission.slot_count == 0 && state.share_wait_deadline(now).is_none() {
             return Err(Refusal::NoEndpoint);
         }
         let left = demand.deadline.saturating_sub(now);
-        if rule.slot_count > 0
-            && let AdmissionDecision::Refuse { retry_after } = rule.decide(left)
+        if admission.slot_count > 0
+            && let AdmissionDecision::Refuse { retry_after } = admission.decide(left)
         {
             return Err(Refusal::Overloaded { retry_after });
         }
@@ -279,7 +286,7 @@
             .queue
             .push(waiter, demand.arrival, demand.deadline)
             .map_err(|_| Refusal::QueueFull {
-                retry_after: rule.expected_wait(),
+                retry_after: admission.expected_wait(),
             })?;
         Ok(SlotOffer::Queued(key, receiver))
     }
@@ -294,14 +301,14 @@
 }
 
 /// Returns a time in nanoseconds, which suffice for 584 years.
-fn nanos(time: Duration) -> u64 {
+fn to_nanos(time: Duration) -> u64 {
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
 /// Takes out the next request that can still meet its target, and refuses those before it that
 /// cannot: they get their final answer at once, and their slot goes to one that it can help.
 fn next_waiter(state: &mut PoolState, now: Duration) -> Option<SlotWaiter> {
-    let needed = state.holding.mean();
+    let needed = state.slot_hold_time.mean();
     while let Some(waiter) = state.queue.pop(now) {
         if now + needed <= waiter.deadline {
             return Some(waiter);
