--- a/crates/gateway/src/slot_lease.rs
+++ b/crates/gateway/src/slot_lease.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     endpoint_connection::EndpointConnection,
-    exchange_end::ExchangeEnd,
+    exchange_outcome::ExchangeOutcome,
     service_pool::ServicePool,
     slot_key::SlotKey, //
 };
@@ -31,8 +31,8 @@
     pub(crate) sent: bool,
     pool: Arc<ServicePool>,
     key: SlotKey,
-    taken_at: Duration,
-    held: bool,
+    acquired_at: Duration,
+    is_held: bool,
 }
 
 impl SlotLease {
@@ -49,10 +49,10 @@
             grant,
             connection,
             sent: false,
-            taken_at: pool.clock.monotonic(),
+            acquired_at: pool.clock.monotonic(),
             pool,
             key,
-            held: true,
+            is_held: true,
         }
     }
 
@@ -67,34 +67,34 @@
     }
 
     /// Gives the slot back.
-    pub(crate) fn end(mut self, end: ExchangeEnd) {
-        self.held = false;
-        self.settle(end);
+    pub(crate) fn release(mut self, outcome: ExchangeOutcome) {
+        self.is_held = false;
+        self.settle(outcome);
     }
 
-    fn settle(&self, end: ExchangeEnd) {
-        let held = self.pool.clock.monotonic().saturating_sub(self.taken_at);
-        self.pool.settle(self.key, end, held);
+    fn settle(&self, outcome: ExchangeOutcome) {
+        let is_held = self.pool.clock.monotonic().saturating_sub(self.acquired_at);
+        self.pool.release_slot(self.key, outcome, is_held);
     }
 
     /// Forgets the lease; whoever calls this gives the slot back by other means.
-    pub(crate) fn forget(mut self) -> Option<EndpointConnection> {
-        self.held = false;
+    pub(crate) fn into_connection(mut self) -> Option<EndpointConnection> {
+        self.is_held = false;
         self.connection.take()
     }
 }
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        if !self.held {
+        if !self.is_held {
             return;
         }
-        let end = match self.sent {
-            true => ExchangeEnd::Unknown,
-            false => ExchangeEnd::Unused {
+        let outcome = match self.sent {
+            true => ExchangeOutcome::Unknown,
+            false => ExchangeOutcome::NotSent {
                 connection: self.connection.take(),
             },
         };
-        self.settle(end);
+        self.settle(outcome);
     }
 }
--- a/crates/gateway/tests/requests/answers.rs
+++ b/crates/gateway/tests/requests/answers.rs
@@ -54,7 +54,7 @@
     endpoint.once(Act::Raw("HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nabc"));
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
     let gateway = builder
-        .with_settings(|settings| settings.with_body_stall(SHORT))
+        .with_settings(|settings| settings.with_body_stall_timeout(SHORT))
         .start()
         .await;
     let reply = gateway.post("a").await;
@@ -113,7 +113,7 @@
     let gateway = GatewayBuilder::new()
         .with_endpoint(&endpoint, 4)
         .with_target(SHORT)
-        .with_settings(|settings| settings.with_patience(1, SHORT))
+        .with_settings(|settings| settings.with_request_timeout(1, SHORT))
         .start()
         .await;
     for id in ["a", "b"] {
--- a/crates/gateway/tests/requests/at_most_once.rs
+++ b/crates/gateway/tests/requests/at_most_once.rs
@@ -21,7 +21,7 @@
     let gateway = GatewayBuilder::new()
         .with_endpoint(&first, 2)
         .with_endpoint(&second, 2)
-        .with_settings(|settings| settings.with_patience(1, SHORT))
+        .with_settings(|settings| settings.with_request_timeout(1, SHORT))
         .with_target(SHORT)
         .start()
         .await;
--- a/crates/gateway/tests/requests/bounds.rs
+++ b/crates/gateway/tests/requests/bounds.rs
@@ -50,7 +50,7 @@
         .with_settings(|settings| {
             settings
                 .with_caller_timeouts(Duration::from_secs(3600), SHORT)
-                .with_body_stall(SHORT)
+                .with_body_stall_timeout(SHORT)
         })
         .start()
         .await;
@@ -73,7 +73,7 @@
     let endpoint = ScriptEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
     let gateway = builder
-        .with_settings(|settings| settings.with_held_bytes(1000))
+        .with_settings(|settings| settings.with_max_buffered_bytes(1000))
         .start()
         .await;
     let head = "POST /a HTTP/1.1\r\nhost: shop\r\ncontent-length: 900\r\n\r\nab";
@@ -107,7 +107,7 @@
     endpoint.once(Act::Raw(text.leak()));
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
     let gateway = builder
-        .with_settings(|settings| settings.with_body_stall(SHORT))
+        .with_settings(|settings| settings.with_body_stall_timeout(SHORT))
         .start()
         .await;
     let mut caller = send(gateway.address, "GET /a HTTP/1.1\r\nhost: shop\r\n\r\n").await;
--- a/crates/gateway/tests/requests/idempotency_keys.rs
+++ b/crates/gateway/tests/requests/idempotency_keys.rs
@@ -156,7 +156,7 @@
         let builder = GatewayBuilder::new().with_endpoint(&endpoint, 8);
         let gateway = builder
             .with_table(&table)
-            .with_settings(|settings| settings.with_patience(1, Duration::from_millis(200)))
+            .with_settings(|settings| settings.with_request_timeout(1, Duration::from_millis(200)))
             .with_target(Duration::from_millis(200))
             .start()
             .await;
@@ -267,7 +267,7 @@
     builder
         .with_table(table)
         .with_clock(clock)
-        .with_settings(|settings| settings.with_key_sweep_every(Duration::from_millis(5)))
+        .with_settings(|settings| settings.with_key_sweep_interval(Duration::from_millis(5)))
         .start()
         .await
 }
--- a/crates/gateway/tests/requests/refusals.rs
+++ b/crates/gateway/tests/requests/refusals.rs
@@ -49,9 +49,9 @@
             .with_target(SHORT)
             .with_settings(|settings| {
                 settings
-                    .with_patience(1, SHORT)
+                    .with_request_timeout(1, SHORT)
                     .with_longest_request(3 * SHORT)
-                    .with_holds(SHORT, SHORT)
+                    .with_backoffs(SHORT, SHORT)
             })
             .start()
             .await;
--- a/crates/gateway/tests/requests/silence.rs
+++ b/crates/gateway/tests/requests/silence.rs
@@ -17,8 +17,8 @@
         .with_target(TARGET)
         .with_settings(|settings| {
             settings
-                .with_patience(1, TARGET)
-                .with_trusted_silence(trusted)
+                .with_request_timeout(1, TARGET)
+                .with_max_connection_silence(trusted)
         })
         .start()
         .await;
--- a/crates/gateway/tests/requests/slots.rs
+++ b/crates/gateway/tests/requests/slots.rs
@@ -44,7 +44,7 @@
     GatewayBuilder::new()
         .with_endpoint(endpoint, slots)
         .with_target(SHORT)
-        .with_settings(|settings| settings.with_patience(1, SHORT))
+        .with_settings(|settings| settings.with_request_timeout(1, SHORT))
 }
 
 // Two daemons, each with half of the shares, get 40 requests at once for an endpoint of 4 slots.
@@ -153,7 +153,7 @@
     let endpoint = ScriptEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
     let gateway = builder
-        .with_settings(|settings| settings.with_refresh(HOUR))
+        .with_settings(|settings| settings.with_refresh_interval(HOUR))
         .start()
         .await;
     assert_eq!(gateway.post("a").await.status, 200);
@@ -172,7 +172,7 @@
     let endpoint = ScriptEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
     let gateway = builder
-        .with_settings(|settings| settings.with_refresh(Duration::from_millis(10)))
+        .with_settings(|settings| settings.with_refresh_interval(Duration::from_millis(10)))
         .start()
         .await;
     for round in 0..5 {
@@ -230,7 +230,7 @@
 async fn silent_connections_are_replaced_within_the_endpoints_bound() {
     let endpoint = ScriptEndpoint::start().await;
     let gateway = impatient(&endpoint, 1)
-        .with_settings(|settings| settings.with_trusted_silence(Duration::ZERO))
+        .with_settings(|settings| settings.with_max_connection_silence(Duration::ZERO))
         .start()
         .await;
     for id in 0..30 {
@@ -248,7 +248,7 @@
     let endpoint = ScriptEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
     let gateway = builder
-        .with_settings(|settings| settings.with_trusted_silence(Duration::ZERO))
+        .with_settings(|settings| settings.with_max_connection_silence(Duration::ZERO))
         .start()
         .await;
     for id in 0..30 {
@@ -270,9 +270,9 @@
             let builder = impatient(&endpoint, 4).with_shares(0..0);
             let builder = builder.with_settings(|settings| {
                 settings
-                    .with_patience(1, Duration::from_millis(30))
+                    .with_request_timeout(1, Duration::from_millis(30))
                     .with_longest_request(LONGEST)
-                    .with_refresh(Duration::from_millis(5))
+                    .with_refresh_interval(Duration::from_millis(5))
             });
             gateways.push(builder.start().await);
         }
