--- a/crates/gateway/benches/loopback/endpoint_server.rs
+++ b/crates/gateway/benches/loopback/endpoint_server.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer at once.
+//! Endpoints that respond at once.
 
 use std::{
     convert::Infallible,
@@ -21,7 +21,7 @@
 
 const RESPONSE_BODY: Bytes = Bytes::from_static(b"the guitar is ready on friday");
 
-/// Starts so many endpoints.
+/// Starts `count` endpoints and returns their addresses.
 pub(crate) async fn start_endpoints(count: usize) -> Vec<SocketAddr> {
     let mut addresses = Vec::new();
     for _ in 0..count {
--- a/crates/gateway/benches/loopback/latency_table.rs
+++ b/crates/gateway/benches/loopback/latency_table.rs
@@ -1,8 +1,8 @@
-//! Latencies of one load.
+//! [`LatencyTable`]: the latencies of one load.
 
 use std::time::Duration;
 
-/// Latencies of one load, and how many requests failed.
+/// The latencies of one load, and how many of its requests failed.
 #[derive(Default)]
 pub(crate) struct LatencyTable {
     latencies_nanos: Vec<u64>,
--- a/crates/gateway/benches/loopback/load.rs
+++ b/crates/gateway/benches/loopback/load.rs
@@ -1,4 +1,4 @@
-//! Callers that send small requests.
+//! Load generators that send small requests.
 
 use std::{
     io::{
@@ -53,7 +53,7 @@
     (start.elapsed(), true)
 }
 
-/// Calls without pause over so many connections.
+/// Sends requests back to back over `callers` connections.
 pub(crate) async fn closed_loop(
     addresses: &[SocketAddr],
     callers: usize,
@@ -76,9 +76,9 @@
     join_tables(tasks).await
 }
 
-/// Calls at a rate that does not follow the answers, spread over so many connections. Each has a
-/// thread of its own: the runtime's timer steps by milliseconds, and would have all of a
-/// millisecond's requests come at one moment.
+/// Sends requests at a fixed rate, whatever the responses, spread over `callers` connections. Each
+/// connection has a thread of its own: the timer of the runtime has a resolution of one
+/// millisecond, and would send all requests of a millisecond at once.
 pub(crate) fn open_loop(
     addresses: &[SocketAddr],
     callers: usize,
--- a/crates/gateway/benches/loopback/main.rs
+++ b/crates/gateway/benches/loopback/main.rs
@@ -1,8 +1,12 @@
-//! What the gateway costs over loopback: requests a second and per core, the latency that it adds
-//! to calling the endpoint directly in the same run, and the memory of idle callers.
+//! Measures the cost of the gateway over loopback: requests per second and per core, the latency
+//! added to direct calls of the endpoint in the same run, and the memory of idle callers and
+//! endpoints.
 //!
 //! `cargo bench -p jasminebend-gateway --bench loopback -- [SECONDS]`
-#![expect(clippy::unwrap_used, reason = "a measurement that cannot go on ends")]
+#![expect(
+    clippy::unwrap_used,
+    reason = "a benchmark that cannot continue must panic"
+)]
 
 mod endpoint_server;
 mod latency_table;
@@ -44,8 +48,10 @@
 const GATEWAY_THREADS: usize = 2;
 const ENDPOINT_COUNT: usize = 8;
 const CALLER_COUNT: usize = 64;
-/// Both ends of each are in this process, which may open 20,000 files here.
+/// The connections of idle callers. Both ends of each are in this process, which may open 20,000
+/// files.
 const IDLE_CALLER_COUNT: usize = 9_500;
+/// How often direct and forwarded requests alternate.
 const ROUND_COUNT: usize = 3;
 
 fn build_runtime(name: &str, threads: usize) -> Runtime {
@@ -123,7 +129,7 @@
 
 fn measure_latency(gateway: SocketAddr, endpoints: &[SocketAddr], rate: f64, duration: Duration) {
     let (mut direct, mut through) = (LatencyTable::default(), LatencyTable::default());
-    // In turns, so that what else the machine does meets both alike.
+    // Alternates, so that other load on the machine affects both alike.
     for _ in 0..ROUND_COUNT {
         let part = duration / 2;
         direct.extend(open_loop(endpoints, CALLER_COUNT, rate, part));
@@ -168,7 +174,7 @@
     );
 }
 
-/// What following so many endpoints costs when no request comes.
+/// Measures the cost of tracking this many endpoints while no requests arrive.
 fn measure_idle_endpoints(endpoints: u16, duration: Duration) {
     let name = format!("upkeep-{endpoints}");
     let gateway_runtime = build_runtime(&name, 1);
--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway under measurement.
+//! Starts the gateway to be measured.
 
 use std::{
     net::SocketAddr,
@@ -36,7 +36,8 @@
 
 const SHARE_COUNT: u16 = 70;
 
-/// Starts a gateway that holds all slots of these endpoints, for one class with this target.
+/// Starts a gateway that holds all slots of these endpoints, for one class with this target, and
+/// returns its address.
 pub(crate) async fn start_gateway(
     endpoints: &[SocketAddr],
     slots: u16,
--- a/crates/gateway/benches/loopback/plain_forwarder.rs
+++ b/crates/gateway/benches/loopback/plain_forwarder.rs
@@ -1,4 +1,4 @@
-//! The least that a forwarder over hyper can do, as a measure of what the gateway's own work adds.
+//! A minimal HTTP forwarder over hyper, as a baseline for the cost of the gateway.
 
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     sync::Mutex,
 };
 
-/// Starts a forwarder that binds each caller's connection to one of its own to an endpoint.
+/// Starts a forwarder that binds each connection of a caller to one connection to an endpoint.
 pub(crate) async fn start_forwarder(endpoints: Vec<SocketAddr>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/gateway/benches/loopback/process_stats.rs
+++ b/crates/gateway/benches/loopback/process_stats.rs
@@ -1,8 +1,8 @@
-//! What the kernel says of this process.
+//! Processor time and memory of this process, as reported by the kernel.
 
 use std::fs;
 
-/// Returns the processor time of the threads of this name, in seconds.
+/// Returns the processor time in seconds of all threads with this name.
 pub(crate) fn cpu_seconds(name: &str) -> f64 {
     let tasks = fs::read_dir("/proc/self/task").unwrap();
     let nanos = tasks.filter_map(|task| {
--- a/crates/gateway/benches/overload.rs
+++ b/crates/gateway/benches/overload.rs
@@ -1,12 +1,17 @@
-//! Goodput of the real gateway over loopback, from half to twice what the slots can carry.
+//! Measures the goodput of the gateway over loopback, at loads from half to twice the capacity of
+//! the slots.
 //!
 //! Four endpoints of four slots each work 20 ms on a request and count how many they work on at
-//! once; each request is to be answered within 100 ms, and its caller comes with a connection of
-//! its own. `cargo bench -p jasminebend-gateway --bench overload -- [SECONDS]`
-#![expect(clippy::unwrap_used, reason = "a measurement that cannot go on ends")]
+//! once. Each request has a target of 100 ms and a connection of its own.
+//!
+//! `cargo bench -p jasminebend-gateway --bench overload -- [SECONDS]`
+#![expect(
+    clippy::unwrap_used,
+    reason = "a benchmark that cannot continue must panic"
+)]
 
 #[path = "loopback/latency_table.rs"]
-#[expect(dead_code, reason = "this measurement uses a part of it")]
+#[expect(dead_code, reason = "this benchmark uses only a part of it")]
 mod latency_table;
 #[path = "loopback/measured_gateway.rs"]
 mod measured_gateway;
@@ -62,8 +67,10 @@
 const REQUEST: &[u8] =
     b"POST /bookings HTTP/1.1\r\nhost: shop\r\nconnection: close\r\ncontent-length: 0\r\n\r\n";
 
+/// The requests in progress at each endpoint.
 static RUNNING_REQUESTS: [AtomicUsize; ENDPOINT_COUNT] =
     [const { AtomicUsize::new(0) }; ENDPOINT_COUNT];
+/// The most requests in progress at one endpoint at once.
 static MAX_RUNNING_REQUESTS: AtomicUsize = AtomicUsize::new(0);
 
 async fn handle_request(endpoint: usize) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -100,7 +107,8 @@
 async fn run_load(gateway: SocketAddr, rate: f64, duration: Duration) -> Vec<(Duration, u16)> {
     let start = Instant::now();
     let mut calls = JoinSet::new();
-    // The timer steps by milliseconds: what is due in one comes together.
+    // The timer has a resolution of one millisecond: requests due in the same millisecond are sent
+    // together.
     for number in 0..(rate * duration.as_secs_f64()) as u64 {
         sleep_until(start + Duration::from_secs_f64(number as f64 / rate)).await;
         calls.spawn(send_request(gateway));
--- a/crates/gateway/src/class_metrics.rs
+++ b/crates/gateway/src/class_metrics.rs
@@ -1,4 +1,5 @@
-//! The metrics of the request path; docs/REQUESTS.md tells what each means.
+//! [`ClassMetrics`] and the names of the other metrics of the request path; docs/REQUESTS.md
+//! describes each.
 
 use jasminebend_base::ClassName;
 use metrics::{
@@ -10,38 +11,38 @@
 
 /// Connections to endpoints that were found silent, by service.
 pub(crate) const SILENT_CONNECTIONS_METRIC: &str = "jasminebend_gateway_silent_connections_total";
-/// Requests that the gateway answered itself, by class and reason.
+/// Requests to which the gateway itself responded, by reason.
 pub(crate) const REFUSALS_METRIC: &str = "jasminebend_gateway_refusals_total";
-/// Callers' connections that are open.
+/// Open connections of callers.
 pub(crate) const CALLERS_METRIC: &str = "jasminebend_gateway_callers";
-/// Slots that serve, by service.
+/// Slots that are held, usable and not of unknown outcome, by service.
 pub(crate) const SERVING_SLOTS_METRIC: &str = "jasminebend_gateway_serving_slots";
-/// Slots whose last request's fate is not known, by service.
+/// Slots whose last request was abandoned or has an unknown outcome, by service.
 pub(crate) const UNKNOWN_SLOTS_METRIC: &str = "jasminebend_gateway_unknown_slots";
 /// Requests that wait for a slot, by service.
 pub(crate) const WAITING_REQUESTS_METRIC: &str = "jasminebend_gateway_waiting_requests";
 
-/// A class's metrics, looked up once.
+/// The metrics of a class. The handles are looked up once.
 #[derive(Clone)]
 pub(crate) struct ClassMetrics {
-    /// Requests.
+    /// Requests that arrived.
     pub(crate) requests: Counter,
-    /// Requests answered within the class's target.
+    /// Requests answered within the target of the class.
     pub(crate) within_target: Counter,
-    /// Further attempts after one that failed.
+    /// Retries after an attempt that failed.
     pub(crate) retries: Counter,
-    /// Further attempts beside one that is slow.
+    /// Hedged attempts, in parallel to one that is slow.
     pub(crate) hedges: Counter,
-    /// Requests handed to another daemon.
+    /// Requests forwarded to another daemon.
     pub(crate) forwards: Counter,
-    /// From a request's arrival to its answer's head, in seconds.
+    /// The time from the arrival of a request to the head of its response, in seconds.
     pub(crate) seconds: Histogram,
-    /// Waiting for a slot, in seconds.
+    /// The time spent waiting for a slot, in seconds.
     pub(crate) queue_seconds: Histogram,
 }
 
 impl ClassMetrics {
-    /// Looks up a class's metrics.
+    /// Looks up the metrics of a class.
     pub(crate) fn new(class: &ClassName) -> Self {
         let class = class.to_string();
         Self {
--- a/crates/gateway/src/delivery.rs
+++ b/crates/gateway/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Has a request answered by the endpoints of its class's service.
+//! [`Delivery`]: sends a request to endpoints, with retries and hedged attempts.
 
 use std::{
     pin::{
@@ -33,19 +33,23 @@
     slot_lease::SlotLease,
 };
 
-/// How often a request may be sent.
+/// The most times that a request is sent, hedged attempts included.
 const MAX_SENDS: u32 = 3;
-/// How often an endpoint may be tried for a request, those included that could not be connected to.
+/// The most endpoints tried for a request, including those that no connection could be opened to.
 const MAX_ATTEMPTS: u32 = 8;
+/// The fewest latency samples from which the hedge delay is derived.
 const MIN_LATENCY_SAMPLES: u64 = 100;
-/// Until enough was learned, the second attempt waits for this part of the target.
+/// The hedge delay is the target divided by this until there are enough samples.
 const DEFAULT_HEDGE_DELAY_DIVISOR: u32 = 4;
+/// The shortest hedge delay.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(2);
-/// No second attempt goes out before this part of the target is used up: answers that come well
-/// within the target need none, and a pause of this machine would make one for each of them.
+/// No hedged attempt is sent before the target divided by this has passed: responses that arrive
+/// well within the target need none, and a pause of this machine would cause one for each request
+/// in progress.
 const MIN_HEDGE_DELAY_DIVISOR: u32 = 20;
 
-/// Has a request answered, with as many attempts as it may have.
+/// Sends a request to endpoints of the service of its class until one responds or the attempts are
+/// used up.
 pub(crate) struct Delivery<'a> {
     shared: &'a GatewayState,
     class: &'a RequestClass,
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Has the request answered.
+    /// Sends the request and returns the response, or the reason for which there is none.
     pub(crate) async fn run(
         mut self,
         request: Box<EndpointRequest>,
@@ -99,10 +103,10 @@
             self.class.latency().observe(taken);
         }
         if self.may_have_run && outcome.as_ref().is_ok_and(is_reported_not_run) {
-            // The endpoint speaks for its own attempt alone.
+            // The endpoint only reports on its own attempt; an earlier one may have run.
             return Err(Refusal::EndpointFailed);
         }
-        // Once an attempt may have run, no later refusal may say that the request was not run.
+        // Once an attempt may have run, no later refusal may report the request as not run.
         outcome.map_err(
             |refusal| match self.may_have_run && refusal.surely_not_run() {
                 true => Refusal::EndpointFailed,
@@ -149,7 +153,7 @@
         Err(reason)
     }
 
-    /// Makes an attempt, and a second one beside it once the first takes longer than most.
+    /// Makes an attempt, and a hedged one in parallel if the first takes longer than most.
     async fn attempt_hedged(
         &mut self,
         lease: SlotLease,
@@ -182,6 +186,8 @@
         }
     }
 
+    /// Returns after which time a hedged attempt is sent, or `None` if the request must not run
+    /// twice.
     fn hedge_delay(&self) -> Option<Duration> {
         if !self.plan.idempotent {
             return None;
@@ -199,6 +205,7 @@
         )
     }
 
+    /// Reserves a retry after a response that reports an error, if the request may be sent again.
     fn retry_after_response(
         &mut self,
         answer: &EndpointResponse,
@@ -218,6 +225,7 @@
             .inspect(|_| self.class.metrics.retries.increment(1))
     }
 
+    /// Reserves a retry after an attempt that may have run, if the request may run twice.
     fn retry_after_unknown(
         &mut self,
         copy: Option<Box<EndpointRequest>>,
@@ -229,7 +237,7 @@
             .inspect(|_| self.class.metrics.retries.increment(1))
     }
 
-    /// Takes a slot for one more attempt, if one is free and the budget allows it.
+    /// Takes a slot for one more attempt, if one is free and the retry budget allows it.
     fn reserve_retry(
         &mut self,
         copy: Box<EndpointRequest>,
@@ -247,7 +255,7 @@
     }
 }
 
-/// What each attempt of a request is made with.
+/// What all attempts of a request have in common.
 #[derive(Clone, Copy)]
 struct AttemptContext<'a> {
     shared: &'a GatewayState,
@@ -255,6 +263,7 @@
     plan: AttemptPlan,
 }
 
+/// Makes an attempt within a trace span.
 async fn attempt_traced(
     attempt_context: AttemptContext<'_>,
     lease: SlotLease,
@@ -268,7 +277,7 @@
     attempt(attempt_context.shared, lease, request, attempt_context.plan).await
 }
 
-/// Returns the first answer; an attempt that fails leaves the matter to the other one.
+/// Returns the response that arrives first; if one attempt fails, the result of the other.
 async fn first_success<First, Second>(
     mut first: Pin<&mut First>,
     mut second: Pin<&mut Second>,
@@ -289,7 +298,7 @@
     }
 }
 
-/// Tells whether the endpoint itself says that it did not run the request.
+/// Returns whether the endpoint itself reports that it did not run the request.
 pub(crate) fn is_reported_not_run(answer: &EndpointResponse) -> bool {
     let executed = answer.response.headers().get(&EXECUTED);
     let refused = matches!(
@@ -299,6 +308,7 @@
     refused && executed.is_some_and(|value| value.as_bytes() == b"no")
 }
 
+/// Returns a copy of the request if its body is buffered.
 fn buffered_copy(request: &EndpointRequest) -> Option<Box<EndpointRequest>> {
     let RequestBody::Buffered(body) = request.body() else {
         return None;
--- a/crates/gateway/src/endpoint_connection.rs
+++ b/crates/gateway/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, bound to one slot.
+//! [`EndpointConnection`]: a connection to an endpoint, bound to one slot.
 
 use std::{
     net::SocketAddr,
@@ -21,31 +21,33 @@
 
 use crate::request_body::RequestBody;
 
+/// The size limit of the read buffer, and so of the head of a response.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
+/// The most headers in the head of a response.
 const MAX_HEADERS: usize = 100;
 
-/// A connection to an endpoint, bound to one slot: it carries one exchange at a time, so that an
-/// answer is paired with its request by the connection alone.
+/// A connection to an endpoint, bound to one slot. It carries one exchange at a time, so that a
+/// response is matched with its request by the connection alone.
 pub(crate) struct EndpointConnection {
-    /// Sends requests; closing it ends the connection's task.
+    /// Sends requests; dropping it ends the task of the connection.
     pub(crate) sender: SendRequest<RequestBody>,
-    /// When the endpoint was last heard from on it.
+    /// When something was last received on this connection, on the monotonic clock.
     pub(crate) last_received_at: Duration,
 }
 
 /// Why no connection was opened; nothing was sent.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum ConnectError {
-    /// The endpoint refused, or there is no way to it.
+    /// The endpoint refused the connection, or is unreachable.
     #[display("the endpoint refused the connection")]
     Refused,
-    /// It did not answer in time.
+    /// The endpoint did not accept the connection in time.
     #[display("the endpoint did not accept the connection in time")]
     Timeout,
 }
 
 impl EndpointConnection {
-    /// Opens a connection.
+    /// Opens a connection within `time_limit`.
     pub(crate) async fn connect(
         address: SocketAddr,
         time_limit: Duration,
@@ -64,8 +66,8 @@
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|_| ConnectError::Refused)?;
-        // An error of the connection reaches the exchange on it, or finds it closed before the
-        // next one; there is nobody else to tell.
+        // An error of the connection is reported to the exchange on it, or found before the next
+        // one by `is_open`; it needs no handling here.
         tokio::spawn(async move { connection.await.is_ok() });
         Ok(Self {
             sender,
@@ -73,7 +75,7 @@
         })
     }
 
-    /// Tells whether the connection can still carry a request, as far as is known.
+    /// Returns whether the connection can still carry a request, as far as is known.
     pub(crate) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
--- a/crates/gateway/src/endpoint_entry.rs
+++ b/crates/gateway/src/endpoint_entry.rs
@@ -1,4 +1,4 @@
-//! An endpoint as its pool keeps it.
+//! [`EndpointEntry`]: an endpoint and its slots, as stored in a pool.
 
 use std::{
     net::SocketAddr,
@@ -17,58 +17,62 @@
 
 use crate::endpoint_connection::EndpointConnection;
 
-/// What a slot is doing.
+/// The state of a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum SlotPhase {
-    /// Nothing.
+    /// No request uses the slot.
     Idle,
-    /// A request has it.
+    /// A request uses the slot.
     Busy,
-    /// A request that was given up has it, and its answer may still come.
+    /// A request uses the slot that was abandoned by its caller or its deadline; its response may
+    /// still arrive.
     Abandoned,
-    /// Its last request's fate is not known: the endpoint may be working on it until then.
+    /// The outcome of the last request is unknown: the endpoint may be working on it until this
+    /// time.
     Unknown {
-        /// When the longest request there may be is over.
+        /// When the longest request is over, on the monotonic clock.
         until: Duration,
     },
 }
 
-/// One slot of an endpoint.
+/// One slot of an endpoint: the right to have it work on one request at a time.
 pub(crate) struct EndpointSlot {
-    /// The slot share that it belongs to.
+    /// The slot share that the slot belongs to.
     pub(crate) share: ResourceId,
-    /// The share's epoch as of the last refresh.
+    /// The epoch of the share as of the last refresh.
     pub(crate) epoch: OwnerEpoch,
-    /// What it is doing.
+    /// The state of the slot.
     pub(crate) phase: SlotPhase,
-    /// Whether this daemon may use its share now, as of the last refresh.
+    /// Whether this daemon may use the share, as of the last refresh.
     pub(crate) held: bool,
-    /// Whether it stands in the pool's list of free slots.
+    /// Whether the slot is in the list of free slots of the pool.
     pub(crate) in_free_list: bool,
-    /// Its idle connection.
+    /// The idle connection of the slot.
     pub(crate) connection: Option<EndpointConnection>,
-    /// Until when connections that were given up may still count at the endpoint.
+    /// Until when each abandoned connection may still count at the endpoint.
     pub(crate) lingering_until: Vec<Duration>,
 }
 
-/// An endpoint as its pool keeps it.
+/// An endpoint and its slots, as stored in a pool.
 pub(crate) struct EndpointEntry {
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub(crate) address: SocketAddr,
-    /// What is known of it.
+    /// Its load and latency, by which endpoints are compared.
     pub(crate) score: EndpointScore,
-    /// Its slots, by number.
+    /// Its slots, indexed by slot number.
     pub(crate) slots: Vec<EndpointSlot>,
-    /// Whether the VM list and the failure domains let it take requests.
+    /// Whether the VM list and the state of its failure domain allow requests to it.
     pub(crate) open: bool,
-    /// Whether it ever kept a connection open after an answer.
+    /// Whether it ever kept a connection open after a response. If it did, closing one announces
+    /// its shutdown.
     pub(crate) keeps_connections_open: bool,
-    /// Left alone since it refused.
+    /// The backoff after it refused a request or a connection.
     pub(crate) refusal_backoff: EndpointBackoff,
-    /// Left alone since it announced its end.
+    /// The backoff after it announced its shutdown.
     pub(crate) leaving_backoff: EndpointBackoff,
+    /// The number of slots in the VM list; slots beyond it are not used.
     declared_slots: u16,
-    /// The connections that each slot may have at the endpoint, those given up included.
+    /// How many connections each slot may have at the endpoint, abandoned ones included.
     pub(crate) connections_per_slot: usize,
 }
 
@@ -94,8 +98,8 @@
         entry
     }
 
-    /// Follows a change of the number of slots. Slots beyond the new number are kept but no longer
-    /// used: a request may still be on them.
+    /// Updates the number of slots. Slots beyond the new number are kept but not used for new
+    /// requests: a request may still be running on them.
     pub(crate) fn resize(&mut self, slots: u16, shares: u16) {
         for slot in 0..slots {
             if usize::from(slot) < self.slots.len() {
@@ -110,7 +114,7 @@
         self.declared_slots = slots;
     }
 
-    /// Returns the number of slots that it has or had.
+    /// Returns the number of slots, including those that the endpoint no longer has.
     pub(crate) fn all_slots(&self) -> u16 {
         u16::try_from(self.slots.len()).unwrap_or(u16::MAX)
     }
@@ -120,20 +124,22 @@
         self.declared_slots.min(self.all_slots())
     }
 
-    /// Divides the endpoint's connections among its slots. Half of a slot's part is left to the
-    /// holder of its share before this daemon, whose last connections the endpoint may still count.
+    /// Divides the connections of the endpoint among its slots. Half of the connections of a slot
+    /// are left to the previous holder of its share, whose last connections the endpoint may still
+    /// count.
     pub(crate) fn set_connections(&mut self, connections: u16) {
         let each = usize::from(connections) / self.slots.len().max(1);
         self.connections_per_slot = (each / 2).max(1);
     }
 
-    /// Tells whether the endpoint may take requests now.
+    /// Returns whether the endpoint may receive requests now. Its announcement of its shutdown
+    /// counts only if `honor_leaving`.
     pub(crate) fn is_usable(&self, now: Duration, honor_leaving: bool) -> bool {
         let leaves = honor_leaving && self.leaving_backoff.is_active(now);
         self.open && !leaves && !self.refusal_backoff.is_active(now)
     }
 
-    /// Tells whether none of its slots is in use.
+    /// Returns whether none of its slots is in use.
     pub(crate) fn is_idle(&self) -> bool {
         self.slots.iter().all(|slot| slot.phase == SlotPhase::Idle)
     }
@@ -152,16 +158,16 @@
         }
     }
 
-    /// Notes that a connection was given up whose end the endpoint may not have seen: something
-    /// between the two ends may have lost track of it, and the endpoint then counts it until its
-    /// own time-out. Without this count, replacing silent connections again and again would take
-    /// more connections than the endpoint has.
+    /// Records an abandoned connection whose end the endpoint may not have seen: a middlebox may
+    /// have lost track of it, and the endpoint then counts it until its own timeout. Without this
+    /// count, repeatedly replacing silent connections would exceed the connection limit of the
+    /// endpoint.
     pub(crate) fn add_lingering_connection(&mut self, until: Duration) {
         self.lingering_until.push(until);
     }
 
-    /// Tells whether one more connection fits into what the endpoint can hold, besides `giving_up`
-    /// ones that are about to be given up.
+    /// Returns whether one more connection is within the limit of `max_connections`, in addition to
+    /// `giving_up` connections that are about to be abandoned.
     pub(crate) fn may_connect(
         &mut self,
         now: Duration,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request answered through a slot.
+//! One attempt to send a request through a slot.
 
 use std::{
     error::Error,
@@ -24,50 +24,52 @@
     slot_lease::SlotLease, //
 };
 
+/// The most connections tried in one attempt.
 const MAX_CONNECTIONS_TRIED: usize = 2;
+/// How long a kept connection may take to become ready; after that a new one is opened.
 const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A request on its way to an endpoint.
+/// A request as it is sent to an endpoint.
 pub(crate) type EndpointRequest = Request<RequestBody>;
 
-/// How an attempt is made.
+/// The deadlines of an attempt, and whether it may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
-    /// When the request is given up.
+    /// The deadline of the request, on the monotonic clock.
     pub(crate) give_up_at: Duration,
-    /// How long a connection may take to open: a part of the target, so that there is time for
-    /// another endpoint when a VM is gone and answers nothing.
+    /// How long a connection may take to open: a part of the target, so that there is time to try
+    /// another endpoint when a VM has terminated and does not respond.
     pub(crate) connect_timeout: Duration,
     /// Whether the request may run twice.
     pub(crate) idempotent: bool,
 }
 
-/// An answer whose body is still to come.
+/// A response whose body is still to arrive.
 pub(crate) struct EndpointResponse {
-    /// The answer.
+    /// The head and the pending body.
     pub(crate) response: Response<Incoming>,
-    /// The slot that it came through.
+    /// The slot through which it arrived.
     pub(crate) lease: SlotLease,
-    /// The connection that it came on.
+    /// The connection on which it arrived.
     pub(crate) connection: EndpointConnection,
-    /// From sending to the answer's head.
+    /// The time from sending the request to the head of the response.
     pub(crate) latency: Duration,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt did not return a response.
 pub(crate) enum AttemptError {
-    /// Not one byte was written; the request comes back.
+    /// Not one byte was written; returns the request.
     NotRun {
-        /// What to tell the caller if it is not sent again.
+        /// The refusal for the caller if the request is not sent again.
         refusal: Refusal,
         /// The request.
         request: Box<EndpointRequest>,
     },
-    /// Whether the endpoint ran it is not known.
+    /// The endpoint may have run the request.
     Unknown(Refusal),
 }
 
-/// Sends a request through a slot and waits for the head of its answer.
+/// Sends a request through a slot and waits for the head of the response.
 pub(crate) async fn attempt(
     shared: &GatewayState,
     mut lease: SlotLease,
@@ -83,11 +85,12 @@
                 return Err(AttemptError::NotRun { refusal, request });
             }
         };
-        // Asked immediately before the send: a daemon that was paused since it picked the slot
-        // learns here that another one may have the slot by now.
+        // Checked immediately before the request is sent: if this daemon was paused after it picked
+        // the slot, another daemon may hold the share by now.
         if shared.ownership.may_act(lease.grant.0) != Some(lease.grant.1) {
             lease.connection = Some(connection);
-            // The next pick must not meet the other slots of what was lost.
+            // Refreshed at once, so that the next pick does not return other slots of the lost
+            // shares.
             shared.refresh_requested.store(true, Ordering::Relaxed);
             let held = shared.held_shares();
             refresh_pool(lease.pool(), &held, shared.clock.monotonic());
@@ -106,7 +109,9 @@
     Err(AttemptError::NotRun { refusal, request })
 }
 
+/// Why a request that was passed to a connection has no response.
 enum SendError {
+    /// Nothing was sent; returns the slot and the request.
     Unsent(SlotLease, Box<EndpointRequest>),
     Unknown(Refusal),
 }
@@ -147,7 +152,7 @@
     }
 }
 
-/// Tells a fault of the caller's body from one of the endpoint.
+/// Returns the refusal for a failed send: an error in the body of the caller, or of the endpoint.
 fn refusal_for(error: &hyper::Error) -> Refusal {
     let fault = error.source().and_then(|cause| cause.downcast_ref());
     match fault {
@@ -156,7 +161,7 @@
     }
 }
 
-/// Returns the slot's connection, or a new one where it has none that can be trusted.
+/// Returns the connection of the slot, or a new one if it has none that can be trusted.
 async fn connection_for(
     shared: &GatewayState,
     lease: &mut SlotLease,
@@ -174,12 +179,13 @@
     connect(shared, lease, plan).await
 }
 
-/// Returns the slot's connection if it can be trusted with the request.
+/// Returns the connection of the slot if it can be trusted with the request.
 ///
-/// Something between the two ends may have lost track of a connection: what is sent on it then
-/// vanishes, and a request that must not run twice could only be answered "unknown". So such a
-/// request goes out only where the endpoint was heard from a moment ago, and none goes out on a
-/// connection that was quiet since before another one was found silent.
+/// A middlebox may have lost track of an idle connection: requests sent on it then vanish, and for
+/// one that must not run twice the caller could only be told that the outcome is unknown. Such a
+/// request is therefore sent only on a connection on which the endpoint sent something recently,
+/// and no request is sent on a connection that has been silent since before another one was found
+/// silent.
 fn trusted_connection(
     shared: &GatewayState,
     lease: &mut SlotLease,
@@ -200,8 +206,9 @@
         return Some(connection);
     }
     let mut state = lease.pool().lock();
-    // A connection that is merely quiet is better than none: at a low rate each booking finds its
-    // slot's connection quiet, and the endpoint may not have seen the ends of those before it.
+    // A connection that is merely idle is better than none: at a low rate every booking finds the
+    // connection of its slot idle, and the endpoint may still count the connections that were
+    // replaced before.
     if !is_suspect && !state.may_connect(lease.key(), now, 1) {
         return Some(connection);
     }
@@ -211,6 +218,8 @@
     None
 }
 
+/// Opens a connection for the slot, if its share of the connections of the endpoint allows one
+/// more.
 async fn connect(
     shared: &GatewayState,
     lease: &mut SlotLease,
--- a/crates/gateway/src/exchange_outcome.rs
+++ b/crates/gateway/src/exchange_outcome.rs
@@ -1,45 +1,45 @@
-//! What became of a slot's exchange.
+//! [`ExchangeOutcome`]: the outcome of an exchange on a slot.
 
 use std::time::Duration;
 
 use crate::endpoint_connection::EndpointConnection;
 
-/// What became of a slot's exchange.
+/// The outcome of an exchange on a slot.
 pub(crate) enum ExchangeOutcome {
     /// Nothing was sent.
     NotSent {
-        /// The connection that the slot had, if it may be used again.
+        /// The connection of the slot, if it can be reused.
         connection: Option<EndpointConnection>,
     },
-    /// The endpoint could not be connected to.
+    /// No connection to the endpoint could be opened.
     Unconnected,
-    /// The whole answer came.
+    /// The complete response arrived.
     Answered {
-        /// From sending to the answer's head.
+        /// The time from sending the request to the head of the response.
         latency: Duration,
-        /// What the answer says of the endpoint.
+        /// What the response indicates about the endpoint.
         verdict: ResponseVerdict,
-        /// The connection, if it may be used again.
+        /// The connection, if it can be reused.
         connection: Option<EndpointConnection>,
     },
-    /// No answer came, but the longest request there may be is over.
+    /// No response arrived within the longest request, so that the endpoint no longer works on it.
     TimedOut,
-    /// The endpoint may still be working on it.
+    /// The endpoint may still be working on the request.
     Unknown,
 }
 
-/// What an answer says of its endpoint.
+/// What a response indicates about its endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum ResponseVerdict {
-    /// It does its work.
+    /// The endpoint works as expected.
     Good,
-    /// It answered that it failed.
+    /// The endpoint reported an error (5xx other than 503).
     Failed,
-    /// It takes no more for this long (503).
+    /// The endpoint refuses requests for now (503).
     Refusing {
-        /// What its `Retry-After` asks for.
+        /// The time in its `Retry-After`, or zero.
         requested: Duration,
     },
-    /// It closes its connection, which announces its end if it is not its habit.
+    /// The endpoint closes the connection. This announces its shutdown unless it always does so.
     Closing,
 }
--- a/crates/gateway/src/gateway_settings.rs
+++ b/crates/gateway/src/gateway_settings.rs
@@ -10,7 +10,8 @@
 /// The least time that a connection to an endpoint may take to open, however short the target.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The timeouts and limits of the gateway. [`GatewaySettings::new`] gives the defaults.
+/// The timeouts and limits of the gateway. [`GatewaySettings::new`] gives the defaults, and each field
+/// is described at the method that sets it.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     pub(crate) domain: DomainName,
@@ -36,7 +37,6 @@
     pub(crate) refusal_backoff: Duration,
     pub(crate) retry_ratio: f64,
     pub(crate) key_retention: Duration,
-    /// How often expired idempotency keys are looked for.
     pub(crate) key_sweep_interval: Duration,
     pub(crate) traces_enabled: bool,
     pub(crate) peer_address: Option<SocketAddr>,
--- a/crates/gateway/src/hour_counter.rs
+++ b/crates/gateway/src/hour_counter.rs
@@ -1,4 +1,4 @@
-//! The hours that the daemons count together in the table.
+//! [`HourCounter`]: a count of hours that all daemons share in the table.
 
 use std::{
     sync::{
@@ -23,10 +23,13 @@
 
 const HOURS_ROW: &str = "request-keys/hours";
 const HOUR: Duration = Duration::from_secs(60 * 60);
+/// For how long a count that was read may be used without reading it again.
 const HOUR_CACHE_TTL: Duration = Duration::from_secs(60);
-/// One for the hour that has begun, one for a count that moved on since it was read.
+/// Added to the retention: one hour because the current one has already begun, as the count may
+/// also have advanced since it was read.
 const EXPIRY_MARGIN_HOURS: u64 = 1;
 
+/// The count as last read, and since when this version of its row is known.
 #[derive(Clone, Copy, Debug)]
 struct ObservedHour {
     hour: u64,
@@ -35,12 +38,14 @@
     read_at: Duration,
 }
 
-/// The hours that the daemons count together in the table, by which keys are kept.
+/// A count of hours that all daemons share in the table, by which the retention of idempotency keys
+/// is measured.
 ///
-/// A wall clock that is wrong by years would have a key forgotten whose request still runs, and the
-/// repetition booked a second time. So the count moves on by one at the most after a daemon saw it
-/// unchanged for a whole hour of its own monotonic clock: it never runs faster than any daemon's
-/// hours, however many count. While nobody counts it stands, and keys are kept longer.
+/// A wall clock that is wrong by years would remove a key whose request is still running, and a
+/// repeated booking would run a second time. The count therefore advances by at most one after a
+/// daemon has seen it unchanged for a whole hour of its own monotonic clock: it never runs faster
+/// than the clock of any daemon, however many of them count. While no daemon counts it stands
+/// still, and keys are kept for longer.
 pub(crate) struct HourCounter {
     table: Arc<dyn TableService>,
     clock: Arc<dyn ClockSource>,
@@ -48,7 +53,7 @@
 }
 
 impl HourCounter {
-    /// Creates the count over the table.
+    /// Creates a counter over the table.
     pub(crate) fn new(table: Arc<dyn TableService>, clock: Arc<dyn ClockSource>) -> Self {
         Self {
             table,
@@ -57,13 +62,13 @@
         }
     }
 
-    /// Returns the hour after which a key that is reserved now may go.
+    /// Returns the hour after which a key that is reserved now may be removed.
     pub(crate) async fn expiry_hour_for(&self, retention: Duration) -> Result<u64, TableError> {
         let hours = retention.as_secs().div_ceil(HOUR.as_secs());
         Ok(self.cached_hour().await? + hours + EXPIRY_MARGIN_HOURS)
     }
 
-    /// Returns the count, moved on first if it has stood for an hour.
+    /// Returns the count, after advancing it if it was unchanged for an hour.
     pub(crate) async fn advance(&self, rng: &mut StdRng) -> Result<u64, TableError> {
         let last_observed = self.read().await?;
         if self
@@ -83,6 +88,7 @@
         Ok(self.read().await?.hour)
     }
 
+    /// Returns the count; one that was read recently is reused.
     async fn cached_hour(&self) -> Result<u64, TableError> {
         let now = self.clock.monotonic();
         let last_observed = *self
@@ -97,6 +103,7 @@
         }
     }
 
+    /// Reads the count, and keeps the time at which its version was first seen.
     async fn read(&self) -> Result<ObservedHour, TableError> {
         let read_started_at = self.clock.monotonic();
         let row = self.table.read(&RowKey::from(HOURS_ROW)).await?;
--- a/crates/gateway/src/key_record.rs
+++ b/crates/gateway/src/key_record.rs
@@ -1,4 +1,4 @@
-//! What the table keeps of an idempotency key.
+//! [`KeyRecord`]: the row of an idempotency key in the table.
 
 use bytes::Bytes;
 use http::{
@@ -18,43 +18,45 @@
     response_body::ResponseBody,
 };
 
-/// What the table keeps of an idempotency key.
+/// The row of an idempotency key in the table. It is encoded with postcard, so that the order of
+/// the fields is its format.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct KeyRecord {
-    /// Tells one request from another: a key must not be used for two.
+    /// Identifies the request: a key must not be used for two different ones.
     pub(crate) fingerprint: [u8; 16],
-    /// Drawn anew for each reservation, so that a writer whose answer was lost knows its own.
+    /// A random number for each reservation, by which a writer that received no response recognizes
+    /// its own row.
     pub(crate) reservation: u64,
-    /// The hour of the count in the table after which the row may go.
+    /// The hour of the shared count after which the row may be removed.
     pub(crate) expiry_hour: u64,
-    /// What became of the request.
+    /// The outcome of the request.
     pub(crate) state: KeyState,
 }
 
 impl KeyRecord {
-    /// Sets what became of the request.
+    /// Sets the outcome of the request.
     pub(crate) fn with_state(mut self, state: KeyState) -> Self {
         self.state = state;
         self
     }
 }
 
-/// What became of a request with an idempotency key.
+/// The outcome of a request with an idempotency key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) enum KeyState {
-    /// It was begun; if its daemon died, nobody knows more.
+    /// The request was started; if its daemon terminated, the outcome stays unknown.
     Reserved,
-    /// It certainly was not run, so that the key may be used again.
+    /// The request certainly was not run, so that the key may be used again.
     NotRun,
-    /// It may have been run.
+    /// The request may have been run.
     Unknown,
-    /// It was answered.
+    /// The request was answered with this response.
     Answered(StoredResponse),
-    /// It was answered, and the answer was too large to be kept.
+    /// The request was answered, but the response was too large to be stored.
     AnsweredLarge,
 }
 
-/// An answer as the table keeps it.
+/// A response as it is stored in the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct StoredResponse {
     status: u16,
@@ -63,7 +65,7 @@
 }
 
 impl KeyState {
-    /// Leaves out the answer, for a table that does not take a row of its size.
+    /// Drops the stored response, for a table that rejects a row of its size.
     pub(crate) fn without_response(self) -> Self {
         match self {
             Self::Answered(_) => Self::AnsweredLarge,
@@ -73,14 +75,14 @@
 }
 
 impl StoredResponse {
-    /// Returns about how many bytes it takes.
+    /// Returns the approximate size in bytes.
     pub(crate) fn encoded_size_estimate(&self) -> usize {
         let headers = self.headers.iter();
         let headers: usize = headers.map(|(name, value)| name.len() + value.len()).sum();
         headers + self.body.len()
     }
 
-    /// Keeps an answer.
+    /// Creates the record of a response.
     pub(crate) fn new(status: StatusCode, headers: &HeaderMap, body: Bytes) -> Self {
         let headers = headers
             .iter()
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Returns the answer once more, marked as a repetition.
+    /// Returns the stored response, marked as replayed.
     pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let mut answer = Response::new(ResponseBody::buffered(self.body));
         *answer.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
--- a/crates/gateway/src/key_row.rs
+++ b/crates/gateway/src/key_row.rs
@@ -1,4 +1,4 @@
-//! The table's rows of the idempotency keys.
+//! The keys of the rows of idempotency keys, and the fingerprints of their requests.
 
 use blake3::Hasher;
 use http::{
@@ -13,12 +13,14 @@
     WriteId, //
 };
 
-/// Where the rows that list keys by their hour of expiry begin.
+/// The prefix of the rows that list keys by their hour of expiry.
 pub(crate) const INDEX_PREFIX: &str = "request-keys/by-expiry/";
+/// The prefix of the rows of idempotency keys.
 const ROW_PREFIX: &str = "request-keys/by-key/";
+/// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Returns the row of a class's idempotency key.
+/// Returns the key of the row of an idempotency key. Classes do not share keys.
 pub(crate) fn key_row(class: &ClassName, key: &[u8]) -> RowKey {
     let mut hasher = Hasher::new();
     hasher.update(class.as_str().as_bytes());
@@ -27,25 +29,25 @@
     RowKey::from(format!("{ROW_PREFIX}{}", hasher.finalize().to_hex()))
 }
 
-/// Returns the row that lists the keys which one transaction reserved.
+/// Returns the key of the row that lists the keys reserved by one transaction.
 pub(crate) fn expiry_index_row(hour: u64, write: WriteId) -> RowKey {
     RowKey::from(format!("{INDEX_PREFIX}{hour:012}/{write}"))
 }
 
-/// Returns the hour of expiry that an index row is under.
+/// Returns the hour of expiry in the key of an index row.
 pub(crate) fn expiry_index_hour(row: &RowKey) -> Option<u64> {
     let rest = row.as_str().strip_prefix(INDEX_PREFIX)?;
     rest.split('/').next()?.parse().ok()
 }
 
-/// Tells whether a key is one: 1 to 255 visible ASCII characters.
+/// Returns whether an idempotency key is valid: 1 to 255 visible ASCII characters.
 pub(crate) fn is_valid_key(key: &[u8]) -> bool {
     let fits = (1..=MAX_KEY_BYTES).contains(&key.len());
     fits && key.iter().all(u8::is_ascii_graphic)
 }
 
-/// Returns what tells one request from another. The caller's authorization is part of it: nobody
-/// gets another's answer by guessing a key.
+/// Returns a hash that identifies a request. It includes the authorization of the caller, so that a
+/// caller cannot get the response of another one by guessing its key.
 pub(crate) fn fingerprint(
     method: &Method,
     uri: &Uri,
@@ -63,7 +65,7 @@
         authorization,
         body,
     ] {
-        // CAST: a `usize` of these machines fits a `u64`.
+        // CAST: a `usize` of the supported targets fits a `u64`.
         hasher.update(&(part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -1,4 +1,4 @@
-//! Reserves idempotency keys and keeps what became of their requests.
+//! [`KeyStore`]: reserves idempotency keys and records the outcomes of their requests.
 
 use std::{
     sync::{
@@ -58,15 +58,16 @@
     refusal::Refusal,
 };
 
+/// How long writing the pending outcomes may take when the gateway drains.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reserves idempotency keys and keeps what became of their requests.
+/// Reserves idempotency keys and records the outcomes of their requests.
 pub(crate) struct KeyStore {
-    /// The table.
+    /// The table with the rows of the keys.
     pub(crate) table: Arc<dyn TableService>,
-    /// The clock.
+    /// The clock by which all deadlines are computed.
     pub(crate) clock: Arc<dyn ClockSource>,
-    /// The hours by which keys are kept.
+    /// The hours by which the retention of keys is measured.
     pub(crate) hour_counter: HourCounter,
     retention: Duration,
     running_requests: Arc<watch::Sender<usize>>,
@@ -74,16 +75,16 @@
     rng: Mutex<StdRng>,
 }
 
-/// What a request with a key is to do.
+/// How to process a request with a key.
 pub(crate) enum KeyDecision {
-    /// Run: the key is its own.
+    /// Run the request: the key is reserved for it.
     Run(KeyReservation),
-    /// Answer as before.
+    /// Return the stored response of the earlier request.
     Replay(StoredResponse),
 }
 
-/// A key that is reserved for a request. Dropping it keeps the outcome as unknown, so that no way
-/// out of the code frees a key whose request may have run.
+/// A key that is reserved for a request. Dropping it records the outcome as unknown, so that no
+/// code path frees a key whose request may have run.
 pub(crate) struct KeyReservation {
     writer: ActorRef<WriterMessage>,
     row: RowKey,
@@ -96,9 +97,9 @@
 impl KeyStore {
     /// Creates a store over the table.
     ///
-    /// Its numbers are drawn from the machine's entropy and not from the daemon's seed: two daemons
-    /// that were given the same seed would take each other's reservations for their own, and both
-    /// would run the request.
+    /// Reservation numbers are drawn from the entropy of the machine and not from the seed of the
+    /// daemon: two daemons with the same seed would mistake the reservations of each other for
+    /// their own, and both would run the request.
     pub(crate) fn new(
         table: Arc<dyn TableService>,
         clock: Arc<dyn ClockSource>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Reserves a key for a request, or tells why it must not be run.
+    /// Reserves a key for a request, or returns why the request must not be run.
     pub(crate) async fn reserve(
         &self,
         row: RowKey,
@@ -162,32 +163,37 @@
         }
     }
 
-    /// Waits until every request with a key is over, its caller's presence or not, and until what is
-    /// known is written, within bounds: the table may be away.
+    /// Waits until every request with a key is complete, even if its caller disconnected, and until
+    /// the known outcomes are written. Both waits are limited, because the table may be
+    /// unavailable.
     pub(crate) async fn flush(&self, longest: Duration) {
         let mut running_requests = self.running_requests.subscribe();
         let over = running_requests.wait_for(|count| *count == 0);
         if timeout(longest, over).await.is_err() {
-            warn!("[gateway] Requests with idempotency keys are still running at the end.");
+            warn!(
+                "[gateway] Requests with idempotency keys are still running after the longest request; not waiting for them."
+            );
         }
         let Some(writer) = self.live_writer() else {
             return;
         };
         let flushed = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
         if !matches!(flushed, Ok(CallResult::Success(()))) {
-            error!("[gateway] Some requests' outcomes were not kept before the end.");
+            error!(
+                "[gateway] The outcomes of some requests with idempotency keys were not written in time."
+            );
         }
     }
 
-    /// Ends the writer.
+    /// Stops the writer.
     pub(crate) fn stop_writer(&self) {
         if let Some(writer) = self.live_writer() {
             writer.stop(None);
         }
     }
 
-    /// Returns the writer, started at the first need, and anew if it ended before its time: what it
-    /// had not written stays reserved, and so is never run twice.
+    /// Returns the writer, which is started on first use and after it stopped early. Keys whose
+    /// outcomes it had not written stay reserved, and so their requests never run twice.
     async fn writer(&self) -> Result<ActorRef<WriterMessage>, Refusal> {
         if let Some(writer) = self.live_writer() {
             return Ok(writer);
@@ -196,7 +202,7 @@
         let started = Actor::spawn(None, KeyWriter, state).await;
         let (writer, _) = started.map_err(|_| Refusal::KeyUnreserved)?;
         let mut current = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        // Two may have started one at once: the first to get here stays.
+        // Two tasks may have started a writer concurrently: the first one is kept.
         match current.as_ref().filter(|current| is_live(current)) {
             Some(first) => {
                 writer.stop(None);
@@ -233,7 +239,7 @@
 }
 
 impl KeyReservation {
-    /// Keeps what became of the request.
+    /// Records the outcome of the request.
     pub(crate) fn complete(mut self, state: KeyState) {
         self.write(state);
     }
@@ -246,7 +252,7 @@
             expected: RowExpectation::Version(self.version),
             purpose: WritePurpose::RecordOutcome,
         };
-        // Without a writer the key stays reserved, which never runs its request twice.
+        // Without a writer the key stays reserved, and so its request never runs twice.
         self.writer.cast(WriterMessage::Write(write)).ok();
     }
 }
--- a/crates/gateway/src/key_sweeper.rs
+++ b/crates/gateway/src/key_sweeper.rs
@@ -1,4 +1,4 @@
-//! Removes idempotency keys whose retention is over.
+//! Removes idempotency keys whose retention has passed.
 
 use std::{
     sync::Arc,
@@ -28,12 +28,16 @@
     key_store::KeyStore,
 };
 
+/// The daemon that holds this share sweeps.
 const SWEEPER_SHARE: ResourceId = ResourceId::Slots(0);
+/// The most rows deleted in one transaction.
 const REMOVAL_BATCH_ROWS: usize = 50;
+/// The pause between sweeps while more keys may be due.
 const BUSY_SWEEP_DELAY: Duration = Duration::from_millis(200);
 
-/// Removes idempotency keys whose retention is over, for as long as the gateway lives. The daemon
-/// that holds the first slot share does it, to spare the table; two at once would do no harm.
+/// Removes idempotency keys whose retention has passed, until it is aborted. Only the daemon that
+/// holds the first slot share does so, to limit the load on the table; two daemons at once would do
+/// no harm.
 pub(crate) async fn sweep_keys(shared: Arc<GatewayState>, store: Arc<KeyStore>) {
     let idle_pause = shared.settings.key_sweep_interval;
     let mut rng: StdRng = rand::make_rng();
@@ -47,7 +51,7 @@
             Ok(false) => idle_pause,
             Err(error) => {
                 warn!(
-                    "[gateway] Old idempotency keys were not removed: {}.",
+                    "[gateway] Removing expired idempotency keys failed: {}.",
                     error
                 );
                 idle_pause
@@ -57,7 +61,7 @@
     }
 }
 
-/// Removes the keys of one index row; tells whether more may be due.
+/// Removes the keys of one index row. Returns whether more may be due.
 pub(crate) async fn sweep_once(store: &KeyStore, rng: &mut StdRng) -> Result<bool, TableError> {
     let now = store.hour_counter.advance(rng).await?;
     let prefix = RowKey::from(INDEX_PREFIX);
@@ -73,6 +77,7 @@
     Ok(true)
 }
 
+/// Removes the keys of an index row, and then the index row.
 async fn remove_listed(
     store: &KeyStore,
     rng: &mut StdRng,
@@ -94,8 +99,8 @@
     Ok(())
 }
 
-/// Returns the removal of a row, if it is as old as its index row says. It names the version read:
-/// a key that was removed and reserved anew in between must stay.
+/// Returns the deletion of a row, unless the row expires later than its index row. It is
+/// conditional on the version read: a key that was removed and reserved again in between must stay.
 async fn removal_change(
     store: &KeyStore,
     row: &RowKey,
--- a/crates/gateway/src/key_write.rs
+++ b/crates/gateway/src/key_write.rs
@@ -1,4 +1,5 @@
-//! One write of an idempotency key's row, and what the table's answer means for it.
+//! [`KeyWrite`]: a write of the row of an idempotency key, and how the response of the table is
+//! handled.
 
 use std::time::Duration;
 
@@ -21,16 +22,16 @@
     refusal::Refusal,
 };
 
-/// About what a row takes without an answer.
+/// The approximate size in bytes of a row without a response.
 const ROW_OVERHEAD_BYTES: usize = 200;
 
-/// What became of a reservation.
+/// The outcome of a reservation.
 pub(crate) enum ReserveOutcome {
-    /// The key is this request's; its row has this version.
+    /// The key is reserved for this request; its row has this version.
     Granted(RowVersion),
-    /// The request was answered before.
+    /// The request was answered before, with this response.
     Replay(StoredResponse),
-    /// The request is not to be run.
+    /// The request must not be run.
     Refused(Refusal),
 }
 
@@ -38,36 +39,36 @@
 pub(crate) enum WritePurpose {
     /// To reserve the key.
     Reserve {
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<ReserveOutcome>,
-        /// When the request is given up.
+        /// The deadline of the request, on the monotonic clock.
         give_up_at: Duration,
     },
-    /// To keep what became of the request.
+    /// To record the outcome of the request.
     RecordOutcome,
 }
 
-/// One write of an idempotency key's row.
+/// A write of the row of an idempotency key.
 pub(crate) struct KeyWrite {
-    /// The row.
+    /// The key of the row.
     pub(crate) row: RowKey,
-    /// What it is to hold.
+    /// The new content of the row.
     pub(crate) record: KeyRecord,
-    /// What must hold beforehand.
+    /// The condition for the write.
     pub(crate) expected: RowExpectation,
-    /// Why it is written.
+    /// The purpose of the write.
     pub(crate) purpose: WritePurpose,
 }
 
 impl KeyWrite {
-    /// Returns the write as a part of a transaction.
+    /// Returns the change of the row for a transaction.
     pub(crate) fn change(&self) -> RowChange {
-        // A record of plain data always encodes.
+        // Encoding a record of plain data cannot fail.
         let value = postcard::to_allocvec(&self.record).unwrap_or_default();
         RowChange::put(self.row.clone(), self.expected, value)
     }
 
-    /// Returns about how many bytes the write takes.
+    /// Returns the approximate size of the write in bytes.
     pub(crate) fn encoded_size_estimate(&self) -> usize {
         match &self.record.state {
             KeyState::Answered(answer) => ROW_OVERHEAD_BYTES + answer.encoded_size_estimate(),
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Takes in that the write took effect. What comes back is still to be written: the release of
-    /// a key whose request is gone.
+    /// Handles a committed write. Returns a write that is still needed: the release of a key whose
+    /// request no longer waits for it.
     pub(crate) fn on_committed(self, version: RowVersion) -> Option<Self> {
         let WritePurpose::Reserve { reply, .. } = self.purpose else {
             return None;
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes in that the row was not as expected. What comes back is to be written again.
+    /// Handles a row that was not as expected. Returns the write if it must be retried.
     pub(crate) fn on_conflict(mut self, found: Option<TableRow>) -> Option<Self> {
         let Some(row) = found else {
             self.expected = RowExpectation::Absent;
@@ -107,7 +108,8 @@
         self.on_other_row_found(present, row.version)
     }
 
-    /// The row holds this reservation: an earlier write whose answer was lost took effect.
+    /// Handles a row that contains this reservation: an earlier write whose response was lost took
+    /// effect.
     fn on_own_row_found(mut self, present: &KeyRecord, version: RowVersion) -> Option<Self> {
         if *present == self.record {
             return self.on_committed(version);
@@ -116,6 +118,7 @@
         Some(self)
     }
 
+    /// Handles a row that contains the reservation of another request.
     fn on_other_row_found(mut self, present: KeyRecord, version: RowVersion) -> Option<Self> {
         if matches!(self.purpose, WritePurpose::RecordOutcome) {
             return None;
@@ -134,12 +137,12 @@
         }
     }
 
-    /// Takes in that the table gave no answer. What comes back is to be written again.
+    /// Handles an error of the table. Returns the write that must be made next, if any.
     ///
-    /// A reservation whose fate is unknown is written again under the same reservation number: the
-    /// lost write, should it arrive late, and this one exclude each other, and the number tells
-    /// that the row found is its own. When its request's time is over the key is released in the
-    /// same way, so that a repetition is not refused for a request that never ran.
+    /// A reservation with an unknown outcome is written again with the same reservation number: the
+    /// lost write, if it arrives late, and this one exclude each other, and the number identifies
+    /// the row as its own. When the deadline of its request has passed, the key is released in the
+    /// same way, so that a repetition is not refused because of a request that never ran.
     pub(crate) fn on_error(mut self, error: TableError, now: Duration) -> Option<Self> {
         let surely_not_run = error.surely_not_run();
         let WritePurpose::Reserve { reply, give_up_at } = self.purpose else {
@@ -152,7 +155,7 @@
             let purpose = WritePurpose::Reserve { reply, give_up_at };
             return Some(Self { purpose, ..self });
         }
-        // A caller that left needs no answer.
+        // Best effort: the caller may have disconnected.
         reply
             .send(ReserveOutcome::Refused(Refusal::KeyUnreserved))
             .ok();
@@ -170,7 +173,7 @@
 
     fn reply(self, outcome: ReserveOutcome) -> Option<Self> {
         if let WritePurpose::Reserve { reply, .. } = self.purpose {
-            // A caller that left needs no answer.
+            // Best effort: the caller may have disconnected.
             reply.send(outcome).ok();
         }
         None
--- a/crates/gateway/src/key_writer.rs
+++ b/crates/gateway/src/key_writer.rs
@@ -1,4 +1,4 @@
-//! Writes idempotency keys to the table, many in one transaction.
+//! [`KeyWriter`]: writes the rows of idempotency keys in batches.
 
 use std::{
     collections::VecDeque,
@@ -37,35 +37,39 @@
     },
 };
 
+/// The most writes in one transaction.
 const MAX_BATCH_WRITES: usize = 64;
-/// The largest transaction, by the values in it: the table may refuse larger ones.
+/// The size in bytes of the values at which a transaction is full: the table may reject larger
+/// ones.
 const MAX_BATCH_BYTES: usize = 128 * 1024;
-/// Outcomes come from requests that held a slot, so that a table's outage leaves far fewer.
+/// The most writes that wait. Outcomes come from requests that occupied a slot, so that an outage
+/// of the table causes far fewer.
 const MAX_PENDING_WRITES: usize = 4_000;
+/// The pause after a failed transaction.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What the writer is told.
+/// A message to the [`KeyWriter`].
 pub(crate) enum WriterMessage {
     /// Write a row.
     Write(KeyWrite),
-    /// The table answered a batch, or did not.
+    /// A transaction completed or failed.
     Finished {
-        /// The batch.
+        /// The writes of the transaction.
         batch: Vec<KeyWrite>,
-        /// The table's answer.
+        /// The result of the transaction.
         outcome: Result<CommitOutcome, TableError>,
     },
-    /// The pause after a failure is over.
+    /// The pause after a failed transaction has passed.
     Resume,
-    /// Tell when nothing is left to be written.
+    /// Reply when nothing is left to be written.
     Flush(RpcReplyPort<()>),
 }
 
-/// Writes idempotency keys to the table. While one transaction is under way the next one gathers,
-/// so that a busy table gets few and large ones.
+/// An actor that writes the rows of idempotency keys to the table. While one transaction is in
+/// progress the next batch is collected, so that a busy table gets few large transactions.
 pub(crate) struct KeyWriter;
 
-/// What the writer works with.
+/// The state of the [`KeyWriter`].
 pub(crate) struct WriterState {
     table: Arc<dyn TableService>,
     clock: Arc<dyn ClockSource>,
@@ -76,7 +80,7 @@
 }
 
 impl WriterState {
-    /// Creates a writer with nothing to write.
+    /// Creates the state of a writer with nothing to write.
     pub(crate) fn new(table: Arc<dyn TableService>, clock: Arc<dyn ClockSource>) -> Self {
         Self {
             table,
@@ -88,21 +92,26 @@
         }
     }
 
+    /// Adds a write, or gives it up if too many are waiting.
     fn enqueue(&mut self, write: KeyWrite) {
         if self.pending.len() < MAX_PENDING_WRITES {
             self.pending.push_back(write);
             return;
         }
-        // The table has been away for long: reservations are refused, and outcomes beyond the
-        // bound are given up, which leaves their keys reserved and so never runs them twice.
+        // The table has been unavailable for long: reservations are refused, and outcomes beyond
+        // the limit are dropped, which leaves their keys reserved and so never runs their requests
+        // twice.
         match write.purpose {
             WritePurpose::Reserve { .. } => {
                 drop(write.on_error(TableError::Refused, Duration::MAX))
             }
-            WritePurpose::RecordOutcome => error!("[gateway] Gave up keeping a request's outcome."),
+            WritePurpose::RecordOutcome => error!(
+                "[gateway] Too many writes are pending; dropped the outcome of a request with an idempotency key."
+            ),
         }
     }
 
+    /// Removes the next batch from the queue, with at most one write for each row.
     fn next_batch(&mut self) -> Vec<KeyWrite> {
         let mut rows = IndexSet::new();
         let mut batch = Vec::new();
@@ -124,6 +133,7 @@
         batch
     }
 
+    /// Starts the next transaction unless one is in progress.
     fn start_next_batch(&mut self, myself: &ActorRef<WriterMessage>) {
         if self.in_flight {
             return;
@@ -140,11 +150,12 @@
         let myself = myself.clone();
         tokio::spawn(async move {
             let outcome = table.commit(write, changes).await;
-            // A writer that is gone has nothing left to learn.
+            // Best effort: the writer may have stopped.
             myself.cast(WriterMessage::Finished { batch, outcome }).ok();
         });
     }
 
+    /// Handles the result of a transaction and starts the next one.
     fn on_batch_finished(
         &mut self,
         batch: Vec<KeyWrite>,
@@ -163,7 +174,7 @@
                 });
             }
             Err(error) => {
-                warn!("[gateway] Idempotency keys were not written: {}.", error);
+                warn!("[gateway] Writing idempotency keys failed: {}.", error);
                 let now = self.clock.monotonic();
                 self.requeue(batch, |write| write.on_error(error, now));
                 myself.send_after(RETRY_DELAY, || WriterMessage::Resume);
@@ -174,6 +185,7 @@
         self.start_next_batch(myself);
     }
 
+    /// Puts the writes that are still needed at the front of the queue.
     fn requeue<Handle>(&mut self, batch: Vec<KeyWrite>, handle: Handle)
     where
         Handle: FnMut(KeyWrite) -> Option<KeyWrite>,
@@ -186,14 +198,14 @@
 
     fn reply_to_flushes(&mut self) {
         for flush in self.flushes.drain(..) {
-            // Whoever asked may have stopped waiting.
+            // Best effort: the sender may have stopped waiting.
             flush.send(()).ok();
         }
     }
 }
 
-/// Lists a batch's new rows under their hour of expiry, in the same transaction, so that they are
-/// found again without a scan of all keys.
+/// Returns the change that lists the new rows of a batch under their hour of expiry. It is part of
+/// the same transaction, so that the rows are found later without a scan of all keys.
 fn expiry_index_change(batch: &[KeyWrite], write: WriteId) -> Option<RowChange> {
     let rows: Vec<&RowKey> = batch
         .iter()
--- a/crates/gateway/src/keyed_delivery.rs
+++ b/crates/gateway/src/keyed_delivery.rs
@@ -1,4 +1,4 @@
-//! Has a request with an idempotency key answered, at most once for all daemons together.
+//! Records the outcome of requests with idempotency keys.
 
 use bytes::Bytes;
 use http::{
@@ -22,13 +22,13 @@
     response_body::ResponseBody,
 };
 
-/// The largest answer that is kept.
+/// The largest body of a response that is stored, in bytes.
 pub(crate) const MAX_STORED_BODY_BYTES: usize = 32 * 1024;
 
-/// Keeps what became of a request, and returns its answer.
+/// Records the outcome of a request under its key, and returns the response.
 ///
-/// A small answer is taken in whole first: it is then kept even if the caller is gone, and the
-/// caller that asks again gets it.
+/// A small response is read completely first: it is then stored even if the caller disconnects, and
+/// a caller that repeats the request receives it.
 pub(crate) async fn record_outcome(
     reservation: KeyReservation,
     outcome: Result<Response<ResponseBody>, Refusal>,
@@ -44,7 +44,7 @@
         }
     };
     if answer.headers().contains_key(&EXECUTED) {
-        // The endpoint itself said that the request was not run.
+        // The endpoint itself reported that the request was not run.
         reservation.complete(KeyState::NotRun);
         return Ok(answer);
     }
@@ -55,6 +55,7 @@
     record_small_response(reservation, answer).await
 }
 
+/// Returns whether the response is known to be small enough to be stored.
 fn is_storable(answer: &Response<ResponseBody>) -> bool {
     let length = answer.headers().get(CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
@@ -77,7 +78,7 @@
     Ok(Response::from_parts(head, ResponseBody::buffered(whole)))
 }
 
-/// Runs a delivery to its end even if the caller leaves meanwhile, so that its outcome is kept.
+/// Runs a delivery to completion even if the caller disconnects, so that its outcome is recorded.
 pub(crate) async fn run_detached<Delivery>(
     delivery: Delivery,
 ) -> Result<Response<ResponseBody>, Refusal>
@@ -85,7 +86,7 @@
     Delivery: Future<Output = Result<Response<ResponseBody>, Refusal>> + Send + 'static,
 {
     tokio::spawn(delivery).await.unwrap_or_else(|_| {
-        warn!("[gateway] A request's task ended early.");
+        warn!("[gateway] The task of a request with an idempotency key failed; its outcome is unknown.");
         Err(Refusal::EndpointFailed)
     })
 }
--- a/crates/gateway/src/peer_directory.rs
+++ b/crates/gateway/src/peer_directory.rs
@@ -1,4 +1,4 @@
-//! Which daemon can answer for which service.
+//! [`PeerDirectory`]: which daemon can serve which service.
 
 use std::{
     net::SocketAddr,
@@ -36,19 +36,24 @@
 use crate::gateway_state::GatewayState;
 
 const PEER_PREFIX: &str = "request-peers/";
+/// How often the row of this daemon is checked and the rows of the others are read.
 const PEER_LOOP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the row of this daemon is written if its content did not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(30);
-/// A daemon whose row did not change for this long is taken for gone.
+/// A daemon whose row was unchanged for this long is treated as terminated.
 const PEER_ROW_TTL: Duration = Duration::from_secs(90);
+/// The most rows read in one scan.
 const MAX_PEER_ROWS: usize = 200;
 
-/// What a daemon tells the others of itself.
+/// What a daemon publishes about itself: where its listener for callers is, and the services that
+/// it can serve. The row is encoded with postcard, so that the order of the fields is its format.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct PeerRecord {
     address: SocketAddr,
     services: Vec<ServiceName>,
 }
 
+/// A peer, with the version of its row and the time since which it is unchanged.
 struct KnownPeer {
     record: PeerRecord,
     version: RowVersion,
@@ -61,17 +66,17 @@
     rng: StdRng,
 }
 
-/// Which daemon can answer for which service, by rows that the daemons write of themselves.
+/// Which daemon can serve which service, according to rows that the daemons write about themselves.
 ///
-/// What it says may be old: a peer that is gone refuses the connection, and one that lost its slots
-/// says that it did not run the request.
+/// The rows may be outdated: a peer that terminated refuses the connection, and one that lost its
+/// slots reports that it did not run the request.
 pub(crate) struct PeerDirectory {
     table: Arc<dyn TableService>,
     state: Mutex<DirectoryState>,
 }
 
 impl PeerDirectory {
-    /// Creates a directory that knows nobody.
+    /// Creates a directory without peers.
     pub(crate) fn new(table: Arc<dyn TableService>) -> Self {
         Self {
             table,
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Picks a daemon that has slots of a service, other than those to avoid.
+    /// Returns a random daemon that has slots of a service, except those in `avoid`.
     pub(crate) fn pick(&self, service: &ServiceName, avoid: &[SocketAddr]) -> Option<SocketAddr> {
         let mut state = self.lock();
         let is_candidate = |peer: &&KnownPeer| {
@@ -98,17 +103,18 @@
         candidates.get(index).copied()
     }
 
-    /// Withdraws what this daemon told of itself.
+    /// Deletes the row of this daemon.
     pub(crate) async fn withdraw(&self) {
         let Some((record, _)) = self.lock().published.take() else {
             return;
         };
         let change = RowChange::delete(peer_row(record.address), RowExpectation::Any);
         let write = self.new_write_id();
-        // Left there, the row only leads others to a closed door.
+        // Best effort: if the row remains, other daemons only get refused connections.
         self.table.commit(write, vec![change]).await.ok();
     }
 
+    /// Writes the row of this daemon if it changed or a heartbeat is due.
     async fn publish(&self, record: PeerRecord, now: Duration) -> Result<(), TableError> {
         let published = self.lock().published.clone();
         if published.is_some_and(|(last, at)| last == record && now < at + HEARTBEAT_INTERVAL) {
@@ -122,6 +128,7 @@
         Ok(())
     }
 
+    /// Reads the rows of the other daemons.
     async fn scan_peers(
         &self,
         own_address: Option<SocketAddr>,
@@ -156,6 +163,7 @@
     RowKey::from(format!("{PEER_PREFIX}{address}"))
 }
 
+/// Returns the peer of a row, or `None` if the row is invalid or unchanged for too long.
 fn updated_peer(row: TableRow, known: Option<KnownPeer>, now: Duration) -> Option<KnownPeer> {
     let unchanged_since = known
         .filter(|known| known.version == row.version)
@@ -168,8 +176,8 @@
     (now < unchanged_since + PEER_ROW_TTL).then_some(peer)
 }
 
-/// Tells the other daemons for which services this one has slots, and looks for theirs while it has
-/// none of some service. Without the table what was last known is gone by.
+/// Publishes for which services this daemon has slots, and reads the rows of the others while it
+/// has none of some service. Without the table, the last rows read are used.
 pub(crate) async fn run_peer_directory(shared: Arc<GatewayState>) {
     loop {
         sleep(PEER_LOOP_INTERVAL).await;
@@ -182,7 +190,7 @@
         let services = serving.iter().map(|pool| pool.service.clone()).collect();
         if let Some(address) = own_address {
             let record = PeerRecord { address, services };
-            // Told again at the next turn.
+            // Retried in the next iteration.
             shared.peers.publish(record, now).await.ok();
         }
         if !not_serving.is_empty() {
--- a/crates/gateway/src/peer_forward.rs
+++ b/crates/gateway/src/peer_forward.rs
@@ -1,4 +1,4 @@
-//! Hands a request to another daemon, where this one has no slot of its service.
+//! Forwards a request to another daemon if this one has no slot of its service.
 
 use std::time::Duration;
 
@@ -24,20 +24,25 @@
     route_snapshot::RequestClass,
 };
 
+/// The most peers that a request is offered to.
 const MAX_PEERS_TRIED: usize = 3;
-/// How much longer than its peer a daemon waits, so that the peer's own final answer comes first.
+/// How much longer than its peer a daemon waits, so that the final response of the peer arrives
+/// first.
 const PEER_TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
 
+/// Why a peer did not respond.
 enum PeerError {
+    /// Nothing was sent; returns the request.
     Unsent(Box<EndpointRequest>),
+    /// The request may have run.
     Unknown(Refusal),
 }
 
-/// Hands a request to another daemon, which treats it as any caller's but forwards it no further.
+/// Forwards a request to another daemon, which treats it like that of a caller but does not forward
+/// it again.
 ///
-/// Each request takes a connection of its own: it is rare, and so there is none that could have gone
-/// silent. What holds for endpoints holds here: once a byte may have been written it is not sent
-/// again.
+/// Each request uses a new connection: forwarding is rare, and a new connection cannot have gone
+/// silent. As for endpoints, a request is not sent again once a byte of it may have been written.
 pub(crate) async fn forward_to_peer(
     shared: &GatewayState,
     class: &RequestClass,
@@ -72,6 +77,7 @@
     Err(Refusal::NoEndpoint)
 }
 
+/// Sends the request on a new connection and waits for the head of the response.
 async fn send_to_peer(
     shared: &GatewayState,
     mut connection: EndpointConnection,
--- a/crates/gateway/src/pending_exchange.rs
+++ b/crates/gateway/src/pending_exchange.rs
@@ -1,4 +1,5 @@
-//! An exchange whose answer has not come, and what becomes of it when nobody waits any more.
+//! [`PendingExchange`]: an exchange whose response has not arrived, and its completion when nothing
+//! waits for it any more.
 
 use std::{
     pin::Pin,
@@ -29,14 +30,14 @@
     slot_lease::SlotLease,
 };
 
-/// The head of an answer, or why there is none.
+/// The head of a response, or the reason for which there is none.
 pub(crate) type SendResult = Result<Response<Incoming>, TrySendError<EndpointRequest>>;
-/// What comes to a [`SendResult`].
+/// A future that resolves to a [`SendResult`].
 pub(crate) type SendFuture = Pin<Box<dyn Future<Output = SendResult> + Send>>;
 
-/// An exchange whose answer's head has not come. If it is dropped, because the caller left, the
-/// time is over or another attempt was faster, the endpoint may still be working on it: a task
-/// then waits for the answer on its behalf and gives the slot back no earlier.
+/// An exchange whose head of the response has not arrived. If it is dropped, because the caller
+/// disconnected, the deadline passed or another attempt was faster, the endpoint may still be
+/// working on it: a task then waits for the response, and releases the slot only after that.
 pub(crate) struct PendingExchange {
     answer: Option<SendFuture>,
     lease: Option<SlotLease>,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Waits for the answer's head; `None` if the time is over first.
+    /// Waits for the head of the response; returns `None` if the time `left` passes first.
     pub(crate) async fn wait(
         mut self,
         left: Duration,
@@ -70,7 +71,7 @@
         let answer = self.answer.as_mut()?;
         let Ok(outcome) = timeout(left, answer).await else {
             self.report_silence();
-            // A request that timed out takes its connection with it.
+            // The connection of a request that timed out is not reused.
             self.connection = None;
             return None;
         };
@@ -78,8 +79,8 @@
         Some((outcome, self.lease.take()?, self.connection.take()?))
     }
 
-    /// Makes connections that were quiet for as long as this one suspect, so that the next request
-    /// does not meet the same end.
+    /// Marks connections that were idle for as long as this one as silent, so that the next request
+    /// does not time out on one of them.
     fn report_silence(&mut self) {
         let Some(lease) = self.lease.as_ref() else {
             return;
@@ -114,7 +115,7 @@
     }
 }
 
-/// Waits for the answer of an exchange that was given up, so that its slot is known to be free.
+/// Waits for the response of an abandoned exchange, until its slot is known to be free.
 async fn await_abandoned(
     mut answer: SendFuture,
     lease: SlotLease,
@@ -145,7 +146,8 @@
     }
 }
 
-/// Waits until the connection counts as silent, and then makes others like it suspect.
+/// Waits until the connection counts as silent, and then marks others that were idle for as long.
+/// Returns the response if it arrives before.
 async fn await_until_silent(
     pool: &ServicePool,
     answer: &mut SendFuture,
@@ -158,8 +160,8 @@
     None
 }
 
-/// Reads the rest of an answer that nobody wants, and then frees its slot. A connection whose answer
-/// was read in whole can carry the next request.
+/// Reads and discards the rest of a response, and then releases its slot. A connection on which the
+/// complete response was read can be reused.
 pub(crate) async fn drain_response(
     response: Response<Incoming>,
     lease: SlotLease,
@@ -188,6 +190,7 @@
     lease.release(end);
 }
 
+/// Sets the time of the last receipt to now, and drops a closed connection.
 fn mark_received(
     connection: Option<EndpointConnection>,
     lease: &SlotLease,
--- a/crates/gateway/src/pool_outcome.rs
+++ b/crates/gateway/src/pool_outcome.rs
@@ -1,4 +1,4 @@
-//! What a pool learns from the end of an exchange.
+//! Updates a [`PoolState`] by the outcome of an exchange.
 
 use std::time::Duration;
 
@@ -14,7 +14,8 @@
 };
 
 impl PoolState {
-    /// Takes in what became of a slot's exchange.
+    /// Applies the outcome of the exchange on a slot: to the slot, its connections and the score
+    /// and backoffs of its endpoint.
     pub(crate) fn apply_outcome(
         &mut self,
         settings: &GatewaySettings,
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Applies what a response indicates about its endpoint.
     fn record_verdict(
         &mut self,
         settings: &GatewaySettings,
--- a/crates/gateway/src/pool_refresh.rs
+++ b/crates/gateway/src/pool_refresh.rs
@@ -1,4 +1,4 @@
-//! What time and the held shares change in a pool.
+//! Refreshes the slots of a pool by the time and the held shares.
 
 use std::time::Duration;
 
@@ -28,7 +28,8 @@
 /// The shares that this daemon holds and may use, with their epochs.
 pub(crate) type HeldShares = IndexMap<ResourceId, OwnerEpoch>;
 
-/// Looks at a pool's slots again: which are held, whose time is over, which connections to close.
+/// Refreshes the slots of a pool: which are held, which become idle because the longest request is
+/// over, and which idle connections to close.
 pub(crate) fn refresh_pool(pool: &ServicePool, held: &HeldShares, now: Duration) {
     let mut state = pool.lock();
     let idle_limit = pool.settings.endpoint_idle_timeout;
@@ -64,14 +65,15 @@
     report_metrics(pool, &state, unknown);
 }
 
-/// Gives waiting requests their final answer at once when no slot is left to wait for.
+/// Refuses all waiting requests at once when no slot is left to wait for.
 fn refuse_waiters(state: &mut PoolState, now: Duration) {
     while let Some(waiter) = state.queue.pop(now) {
-        // A waiter that left needs no answer.
+        // Best effort: a waiter may have stopped waiting.
         waiter.reply.send(Err(Refusal::NoEndpoint)).ok();
     }
 }
 
+/// Refreshes one slot and closes its connection if it must not be kept.
 fn refresh_slot(
     state: &mut PoolState,
     key: SlotKey,
@@ -102,7 +104,7 @@
 
 fn report_metrics(pool: &ServicePool, state: &PoolState, unknown: usize) {
     let service = pool.service.to_string();
-    // CAST: counts of slots and requests are far below 2^52.
+    // CAST: the numbers of slots and requests are far below 2^52, and are exact as `f64`.
     gauge!(SERVING_SLOTS_METRIC, "service" => service.clone()).set(state.serving_slots as f64);
     gauge!(UNKNOWN_SLOTS_METRIC, "service" => service.clone()).set(unknown as f64);
     gauge!(WAITING_REQUESTS_METRIC, "service" => service).set(state.queue.len() as f64);
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -1,4 +1,4 @@
-//! The endpoints, free slots and waiting requests of one service.
+//! [`PoolState`]: the endpoints, free slots and waiting requests of one service.
 
 use std::{
     net::SocketAddr,
@@ -36,52 +36,56 @@
     slot_lease::SlotLease,
 };
 
+/// The quantile that the latency estimates of a pool track.
 const LATENCY_QUANTILE: f64 = 0.95;
+/// For how long requests wait after the daemon lost all shares of the service.
 const SHARE_RETURN_GRACE_PERIOD: Duration = Duration::from_millis(500);
+/// The most retries that the budget can accumulate.
 const RETRY_BUDGET_BURST: f64 = 10.0;
-/// See the measurement `endpoint_pick`: p99 falls to 0.66 of random's where two give 0.80, and more
-/// than eight bring little.
+/// In the benchmark `endpoint_pick`, p99 falls to 0.66 of that of a random choice, against 0.80
+/// with two samples; more than eight samples improve it little.
 const LOAD_BALANCING_POLICY: LoadBalancingPolicy = LoadBalancingPolicy::LeastCost { samples: 8 };
 
 /// A request that waits for a slot.
 pub(crate) struct SlotWaiter {
-    /// Where the slot or the refusal goes.
+    /// Receives the slot or the refusal.
     pub(crate) reply: oneshot::Sender<Result<SlotLease, Refusal>>,
-    /// Until when it can meet its target.
+    /// The time until which the request can meet its target.
     pub(crate) deadline: Duration,
 }
 
 /// The endpoints, free slots and waiting requests of one service.
 pub(crate) struct PoolState {
-    /// The endpoints.
+    /// The endpoints, indexed by [`EndpointKey`]. Entries of retired endpoints are reused.
     pub(crate) endpoints: Vec<EndpointEntry>,
-    /// Where in the arena an address lies.
+    /// The key of each endpoint by its address.
     pub(crate) by_address: IndexMap<SocketAddr, EndpointKey>,
-    /// The slots that can be picked; each is looked at again when it is.
+    /// The slots that can be picked. Each is checked again when it is.
     pub(crate) free_slots: Vec<SlotKey>,
-    /// The requests that wait.
+    /// The requests that wait for a slot.
     pub(crate) queue: RequestQueue<SlotWaiter>,
-    /// How long requests hold their slots.
+    /// How long requests occupy their slots.
     pub(crate) slot_hold_time: LatencyEstimate,
-    /// How long good answers take.
+    /// The latency of successful responses.
     pub(crate) latency: LatencyEstimate,
-    /// Bounds retries and hedges.
+    /// Limits retries and hedged attempts.
     pub(crate) retry_budget: RetryBudget,
-    /// The slots that serve: held and usable, and not of unknown fate.
+    /// The number of slots that are held, usable and not of unknown outcome.
     pub(crate) serving_slots: usize,
     /// Since when none of its shares is held, if some were before.
     pub(crate) shares_lost_at: Option<Duration>,
-    /// Whether some of its shares are held.
+    /// Whether any of its shares is held.
     pub(crate) holds_shares: bool,
-    /// Whether endpoints' own announcements of their end are heeded.
+    /// Whether endpoints that announced their shutdown are avoided.
     pub(crate) honor_leaving: bool,
-    /// When the log last told of a silent connection.
+    /// When a silent connection was last logged.
     pub(crate) silence_warned_at: Option<Duration>,
     retired: Vec<EndpointKey>,
     rng: SmallRng,
     pick_count: u64,
 }
 
+/// The free slots of a pool as candidates of the load-balancing policy.
 struct FreeSlots<'a> {
     endpoints: &'a [EndpointEntry],
     free_slots: &'a [SlotKey],
@@ -125,8 +129,8 @@
         &mut self.endpoints[key.endpoint.0].slots[usize::from(key.slot)]
     }
 
-    /// Tells whether a slot may have one more connection at its endpoint, besides `giving_up` ones
-    /// that are about to be given up.
+    /// Returns whether a slot may open one more connection to its endpoint, in addition to
+    /// `giving_up` connections that are about to be abandoned.
     pub(crate) fn may_connect(&mut self, key: SlotKey, now: Duration, giving_up: usize) -> bool {
         let max_connections = self.entry(key.endpoint).connections_per_slot;
         self.slot(key).may_connect(now, max_connections, giving_up)
@@ -137,14 +141,15 @@
         self.take_slot_avoiding(now, None)
     }
 
-    /// Puts a slot that was taken, and not used, back.
+    /// Returns a slot that was taken and not used.
     pub(crate) fn release_unused(&mut self, key: SlotKey) {
         self.entry(key.endpoint).score.record_completion();
         self.slot(key).phase = SlotPhase::Idle;
         self.add_to_free_list(Some(key));
     }
 
-    /// Takes a free slot, if there is one, rather not at the endpoint to avoid.
+    /// Takes a free slot, if there is one. A slot of the endpoint `avoid` is taken only if there is
+    /// no other.
     pub(crate) fn take_slot_avoiding(
         &mut self,
         now: Duration,
@@ -166,7 +171,7 @@
         avoided.map(|key| self.mark_busy(key))
     }
 
-    /// Notes whether some of its shares are held.
+    /// Records whether any of its shares is held.
     pub(crate) fn record_held_shares(&mut self, some: bool, now: Duration) {
         match (self.holds_shares, some) {
             (_, true) => self.shares_lost_at = None,
@@ -176,16 +181,17 @@
         self.holds_shares = some;
     }
 
-    /// Returns until when requests may wait for the shares to come back, if they just went.
+    /// Returns until when requests may wait for the shares to return, if they were lost recently.
     ///
-    /// While a newer epoch of another member is told, a daemon may hold nothing for a moment: all of
-    /// them would refuse at the same time what any could answer a few milliseconds later.
+    /// While a member is informed of a newer epoch, all daemons may briefly hold no share: without
+    /// a wait, each of them would refuse requests that any of them could answer a few milliseconds
+    /// later.
     pub(crate) fn share_wait_deadline(&self, now: Duration) -> Option<Duration> {
         let end = self.shares_lost_at? + SHARE_RETURN_GRACE_PERIOD;
         (now < end).then_some(end)
     }
 
-    /// Adds an endpoint, in the place of one that was retired if there is any.
+    /// Adds an endpoint, and reuses the entry of a retired one if there is any.
     pub(crate) fn add(&mut self, entry: EndpointEntry) -> EndpointKey {
         let address = entry.address;
         let key = match self.retired.pop() {
@@ -202,7 +208,7 @@
         key
     }
 
-    /// Forgets the endpoints that are listed no more and on which nothing is in progress.
+    /// Retires the endpoints that are no longer listed and on which no request is in progress.
     pub(crate) fn retire_unlisted<Listed>(&mut self, listed: Listed)
     where
         Listed: Fn(&SocketAddr) -> bool,
@@ -221,7 +227,7 @@
             .retain(|key| !retired.contains(&key.endpoint));
     }
 
-    /// Puts a slot into the list of free ones, if it can be picked.
+    /// Adds a slot to the list of free slots, if it can be picked.
     pub(crate) fn add_to_free_list(&mut self, key: Option<SlotKey>) {
         let Some(key) = key else {
             return;
@@ -234,9 +240,9 @@
         self.free_slots.push(key);
     }
 
-    /// Heeds endpoints' announcements of their end only while at most half of the open ones make
-    /// them: a service whose every endpoint closes each connection now and then would otherwise be
-    /// left without endpoints.
+    /// Updates `honor_leaving`: shutdown announcements of endpoints are honored only while at most
+    /// half of the open ones make them. Otherwise a service whose endpoints all close connections
+    /// now and then would have no endpoint left.
     pub(crate) fn update_honor_leaving(&mut self, now: Duration) {
         let open = self.endpoints.iter().filter(|entry| entry.open);
         let (all, leaving) = open.fold((0, 0), |(all, leaving), entry| {
@@ -248,7 +254,7 @@
         self.honor_leaving = leaving * 2 <= all;
     }
 
-    /// Tells whether any slot of a share is in use.
+    /// Returns whether any slot of a share is in use.
     pub(crate) fn is_share_in_use(&self, share: ResourceId) -> bool {
         self.endpoints
             .iter()
@@ -256,7 +262,7 @@
             .any(|slot| slot.share == share && slot.phase != SlotPhase::Idle)
     }
 
-    /// Closes the idle connections of a share's slots.
+    /// Closes the idle connections of the slots of a share.
     pub(crate) fn close_idle(&mut self, share: ResourceId) {
         let slots = self.endpoints.iter_mut().flat_map(|entry| &mut entry.slots);
         for slot in slots.filter(|slot| slot.share == share) {
@@ -264,6 +270,7 @@
         }
     }
 
+    /// Removes the best free slot from the list, according to the load-balancing policy.
     fn pick_free_slot(&mut self) -> Option<SlotKey> {
         let candidates = FreeSlots {
             endpoints: &self.endpoints,
@@ -279,6 +286,7 @@
         Some(key)
     }
 
+    /// Returns whether a slot is held and idle, and its endpoint usable.
     fn is_usable(&mut self, key: SlotKey, now: Duration) -> bool {
         let honor_leaving = self.honor_leaving;
         let slot = self.slot(key);
@@ -286,6 +294,7 @@
         idle && self.entry(key.endpoint).is_usable(now, honor_leaving)
     }
 
+    /// Marks a slot as used by a request.
     fn mark_busy(&mut self, key: SlotKey) -> SlotKey {
         self.slot(key).phase = SlotPhase::Busy;
         self.entry(key.endpoint).score.record_start();
--- a/crates/gateway/src/pool_updater.rs
+++ b/crates/gateway/src/pool_updater.rs
@@ -1,4 +1,4 @@
-//! Keeps the pools in step with the configuration, the VM list and the held shares.
+//! [`PoolUpdater`]: updates the pools by the configuration, the VM list and the held shares.
 
 use std::{
     net::SocketAddr,
@@ -39,36 +39,36 @@
     slot_key::EndpointKey, //
 };
 
-/// How often every slot is looked at when no share changed: for slots whose time is over, endpoints
-/// that were left alone, and connections that were idle for long.
+/// How often all slots are refreshed if no share changed: for slots that become usable with time,
+/// backoffs that end, and connections that were idle for too long.
 const FULL_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why the pools are looked at.
+/// Why the pools are updated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PoolUpdaterMessage {
     /// The configuration changed.
     Configuration,
     /// The VM list changed.
     Vms,
-    /// Time went by.
+    /// The refresh interval has passed.
     Tick,
 }
 
-/// Keeps the pools in step with the configuration, the VM list and the held shares.
+/// An actor that updates the pools by the configuration, the VM list and the held shares.
 pub(crate) struct PoolUpdater;
 
-/// What the keeper works with.
+/// The state of the [`PoolUpdater`].
 #[derive(Clone)]
 pub(crate) struct PoolUpdaterState {
-    /// The pools.
+    /// The shared state with the pools.
     pub(crate) shared: Arc<GatewayState>,
     /// The configuration in force.
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
-    /// The latest reading of the VM list.
+    /// The latest snapshot of the VM list.
     pub(crate) vms: watch::Receiver<Arc<VmSnapshot>>,
-    /// The shares as of the last look at every slot.
+    /// The held shares as of the last refresh of all slots.
     pub(crate) last_held_shares: HeldShares,
-    /// When every slot was last looked at.
+    /// When all slots were last refreshed, on the monotonic clock.
     pub(crate) last_full_refresh: Duration,
 }
 
@@ -116,7 +116,8 @@
     }
 }
 
-/// Tells the keeper of each change; ends when the channel closes or the keeper is gone.
+/// Sends a message to the updater for each change. Ends when the channel closes or the updater
+/// stops.
 fn forward_changes<Value>(
     mut changes: watch::Receiver<Value>,
     pool_updater: ActorRef<PoolUpdaterMessage>,
@@ -134,7 +135,7 @@
 }
 
 impl PoolUpdaterState {
-    /// Puts the configuration's routes in force.
+    /// Applies the routes of the configuration.
     pub(crate) fn set_routes(&mut self) {
         let configuration = Arc::clone(&self.configuration.borrow_and_update());
         let table = RouteTable::new(&configuration);
@@ -144,7 +145,7 @@
         self.shared.set_routes(routes);
     }
 
-    /// Opens and closes endpoints by the VM list and the failure domains.
+    /// Opens and closes endpoints according to the VM list and the states of the failure domains.
     pub(crate) fn set_endpoints(&mut self) {
         let configuration = Arc::clone(&self.configuration.borrow());
         let snapshot = Arc::clone(&self.vms.borrow_and_update());
@@ -169,6 +170,7 @@
         }
     }
 
+    /// Adds or updates the endpoint of a VM.
     fn set_endpoint(
         &self,
         state: &mut PoolState,
@@ -190,8 +192,8 @@
         entry.set_connections(executor.connections);
     }
 
-    /// Looks at every slot if the held shares changed, or if it is time for the clock's sake. Looking
-    /// at all of them at each tick took 5.4% of a core at 8,900 endpoints.
+    /// Refreshes all slots if the held shares changed, a request found them outdated, or a full
+    /// refresh is due. Refreshing all of them at each tick took 5.4% of a core at 8,900 endpoints.
     fn refresh_if_due(&mut self) {
         let held = self.shared.held_shares();
         let due = self.last_full_refresh + FULL_REFRESH_INTERVAL <= self.shared.clock.monotonic();
@@ -203,13 +205,14 @@
         }
     }
 
-    /// Looks at the held shares and the clock, frees slots whose time is over, and lets waiting
-    /// requests go on.
+    /// Refreshes all slots by the held shares and the clock, and assigns free slots to waiting
+    /// requests.
     pub(crate) fn refresh(&mut self) {
         let held = self.shared.held_shares();
         self.refresh_with(held);
     }
 
+    /// Refreshes all slots by these held shares.
     fn refresh_with(&mut self, held: HeldShares) {
         let now = self.shared.clock.monotonic();
         for pool in self.shared.pools() {
@@ -222,15 +225,16 @@
     }
 }
 
-/// Returns the endpoint of a service on a VM.
+/// Returns the endpoint of the service of a pool on a VM.
 fn executor_of<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
     vm.executor
         .as_ref()
         .filter(|executor| executor.service == pool.service)
 }
 
-/// Returns the addresses at which another service's requests are still in progress: a VM made anew
-/// may serve another service at an address of old, whose slots two pools must not count twice.
+/// Returns the addresses at which requests of other services are still in progress. A recreated VM
+/// may serve another service at an address that was used before, whose slots two pools must not
+/// count twice.
 fn addresses_in_use(pools: &[Arc<ServicePool>], own: &Arc<ServicePool>) -> IndexSet<SocketAddr> {
     let others = pools.iter().filter(|pool| !Arc::ptr_eq(pool, own));
     let mut addresses = IndexSet::new();
@@ -242,6 +246,7 @@
     addresses
 }
 
+/// Returns the key of an endpoint, which is resized or added as needed.
 fn endpoint_key(state: &mut PoolState, executor: &ExecutorRecord, shares: u16) -> EndpointKey {
     if let Some(key) = state.by_address.get(&executor.address).copied() {
         state.entry(key).resize(executor.slots, shares);
--- a/crates/gateway/src/route_snapshot.rs
+++ b/crates/gateway/src/route_snapshot.rs
@@ -1,4 +1,4 @@
-//! The routes in force, with the pool and the metrics of each class.
+//! [`RouteSnapshot`]: the routes in force, with the pool and the metrics of each class.
 
 use std::sync::{
     Arc,
@@ -19,7 +19,7 @@
     service_pool::ServicePool, //
 };
 
-/// A second attempt is made beside a first one that takes longer than this share of them.
+/// A hedged attempt is sent after this quantile of the latency of the class.
 const HEDGE_QUANTILE: f64 = 0.95;
 
 /// The routes in force, with the pool and the metrics of each class.
@@ -29,30 +29,30 @@
     classes: Vec<RequestClass>,
 }
 
-/// The class that a request belongs to.
+/// The class of a request, with its pool, metrics and latency.
 #[derive(Clone)]
 pub(crate) struct RequestClass {
-    /// Its route and target.
+    /// The route, the latency target and the idempotency rule.
     pub(crate) entry: Arc<RouteEntry>,
-    /// Its service's slots.
+    /// The pool of the service.
     pub(crate) pool: Arc<ServicePool>,
-    /// Its metrics.
+    /// The metrics of the class.
     pub(crate) metrics: Arc<ClassMetrics>,
-    /// How long its requests take from their slot to their answer. It is the class's own: beside a
-    /// class of slow requests, those of a fast one would else wait long for a second attempt.
+    /// The time from taking a slot to the response. It is estimated for each class: together with a
+    /// class of slow requests, those of a fast class would wait too long for a hedged attempt.
     pub(crate) latency: Arc<Mutex<LatencyEstimate>>,
 }
 
 impl RequestClass {
-    /// Locks the latency; held for a few steps only.
+    /// Locks the latency estimate. The lock must be held only briefly.
     pub(crate) fn latency(&self) -> MutexGuard<'_, LatencyEstimate> {
         self.latency.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl RouteSnapshot {
-    /// Creates the snapshot of a table; `pool_of` finds or makes a class's pool.
-    /// What was learned of a class in `earlier` is kept.
+    /// Creates the snapshot of a route table. `pool_of` finds or creates the pool of a class.
+    /// Latency estimates of classes in `earlier` are kept.
     pub(crate) fn new<Pools>(table: RouteTable, earlier: &Self, mut pool_of: Pools) -> Self
     where
         Pools: FnMut(&RouteEntry) -> Arc<ServicePool>,
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -1,4 +1,5 @@
-//! The slots of one service's endpoints that this daemon may use, and who waits for them.
+//! [`ServicePool`]: the slots of one service that this daemon may use, and the requests that wait
+//! for them.
 
 use std::{
     net::SocketAddr,
@@ -43,45 +44,53 @@
     slot_lease::SlotLease,
 };
 
+/// An abandoned exchange counts as silent after this many times the latency quantile of the pool.
 const SILENCE_LATENCY_MULTIPLE: u32 = 4;
+/// The shortest silence timeout.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(50);
-/// A slow service would otherwise fill the log with this line.
+/// How often a silent connection is logged for each service: a slow service would otherwise flood
+/// the log.
 const SILENCE_WARNING_INTERVAL: Duration = Duration::from_secs(10);
+/// The longest silence timeout.
 const MAX_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The slots of one service's endpoints that this daemon may use, and who waits for them.
+/// The slots of the endpoints of one service that this daemon may use, and the queue of requests
+/// that wait for them.
 pub(crate) struct ServicePool {
-    /// The service.
+    /// The name of the service.
     pub(crate) service: ServiceName,
-    /// The settings.
+    /// The settings of the gateway.
     pub(crate) settings: Arc<GatewaySettings>,
-    /// The clock.
+    /// The clock by which all deadlines are computed.
     pub(crate) clock: Arc<dyn ClockSource>,
-    /// Told whenever a slot falls idle.
+    /// Notified whenever a slot becomes idle.
     pub(crate) slot_idle: Arc<Notify>,
-    /// Whether there are slots to use, or some may come back in a moment; as of the last refresh.
+    /// Whether there are slots to use, or lost shares may return soon; as of the last refresh.
     can_serve: AtomicBool,
-    /// Idle connections last heard from before this, in nanoseconds, are replaced before use.
+    /// Idle connections on which nothing was received since this time, in nanoseconds on the
+    /// monotonic clock, are replaced before use.
     suspect_before: AtomicU64,
     state: Mutex<PoolState>,
 }
 
-/// What a request wants of a slot.
+/// What a request needs when it acquires a slot.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotDemand {
-    /// When the request arrived.
+    /// When the request arrived, on the monotonic clock.
     pub(crate) arrival: Duration,
-    /// Until when it is to be answered.
+    /// The time by which the request should be answered.
     pub(crate) deadline: Duration,
-    /// An endpoint that it would rather not meet again.
+    /// An endpoint that is avoided if there is another, because an attempt there failed or is slow.
     pub(crate) avoid: Option<SocketAddr>,
 }
 
+/// A slot, or the place in the queue of a request that waits for one.
 enum SlotOffer {
     Taken(SlotLease),
     Queued(QueueKey, oneshot::Receiver<Result<SlotLease, Refusal>>),
 }
 
+/// Removes a request from the queue when it is dropped.
 struct QueueGuard<'a> {
     pool: &'a ServicePool,
     key: QueueKey,
@@ -114,28 +123,29 @@
         }
     }
 
-    /// Locks the state; held for a few steps only, and never while waiting.
+    /// Locks the state. The lock must be held only briefly, and never across an `await`.
     pub(crate) fn lock(&self) -> MutexGuard<'_, PoolState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Tells whether this daemon has slots of the service to use, or just had some and may have
-    /// them again in a moment.
+    /// Returns whether this daemon has slots of the service to use, or lost its shares recently and
+    /// may hold them again soon.
     pub(crate) fn can_serve(&self) -> bool {
         self.can_serve.load(Ordering::Relaxed)
     }
 
-    /// Notes whether there are slots to use.
+    /// Sets whether there are slots to use.
     pub(crate) fn set_can_serve(&self, can_serve: bool) {
         self.can_serve.store(can_serve, Ordering::Relaxed);
     }
 
-    /// Tells whether an idle connection last heard from at this time may be lost as another one was.
+    /// Returns whether an idle connection on which something was last received at this time may be
+    /// silent.
     pub(crate) fn is_suspect(&self, last_received_at: Duration) -> bool {
         to_nanos(last_received_at) < self.suspect_before.load(Ordering::Relaxed)
     }
 
-    /// Takes a slot at once, if one is free.
+    /// Takes a slot if one is free.
     pub(crate) fn try_acquire(self: &Arc<Self>, avoid: Option<SocketAddr>) -> Option<SlotLease> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
@@ -143,7 +153,7 @@
         Some(self.lease(&mut state, key))
     }
 
-    /// Takes a slot, waiting for one within the request's target.
+    /// Takes a slot, and waits for one if necessary until the target of the request passes.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         demand: SlotDemand,
@@ -163,7 +173,7 @@
         }
     }
 
-    /// Gives a slot back that was held for so long, and hands it on to whoever waits.
+    /// Releases a slot that was occupied for the time `held`, and assigns it to a waiting request.
     pub(crate) fn release_slot(
         self: &Arc<Self>,
         key: SlotKey,
@@ -186,13 +196,13 @@
         }
     }
 
-    /// Hands free slots to waiting requests, in the queue's order.
+    /// Assigns free slots to waiting requests, in the order of the queue.
     pub(crate) fn assign_free_slots(self: &Arc<Self>) {
         while let Some((waiter, outcome)) = self.next_assignment() {
             let Err(Ok(lease)) = waiter.reply.send(outcome) else {
                 continue;
             };
-            // The waiter left in this moment: the slot goes back as it was.
+            // The waiter stopped waiting in this moment: the slot is returned unused.
             let key = lease.key();
             let connection = lease.into_connection();
             let mut state = self.lock();
@@ -201,14 +211,14 @@
         }
     }
 
-    /// Returns how long an exchange that was given up may go unheard before its connection counts
+    /// Returns for how long an abandoned exchange may receive nothing before its connection counts
     /// as silent.
     pub(crate) fn silence_timeout(&self) -> Duration {
         let usual = self.lock().latency.quantile() * SILENCE_LATENCY_MULTIPLE;
         usual.clamp(MIN_SILENCE_TIMEOUT, MAX_SILENCE_TIMEOUT)
     }
 
-    /// Notes that nothing was heard on a connection since `sent_at`: idle ones that were quiet for
+    /// Records that a connection received nothing since `sent_at`: connections that were idle for
     /// as long may be lost in the same way, and are replaced before they are used.
     pub(crate) fn mark_silent_connections(&self, sent_at: Duration) {
         let now = self.clock.monotonic();
@@ -224,10 +234,14 @@
         drop(state);
         counter!(SILENT_CONNECTIONS_METRIC, "service" => self.service.to_string()).increment(1);
         if may_warn {
-            warn!("[gateway] A connection to {} went silent.", self.service);
+            warn!(
+                "[gateway] A connection to an endpoint of service {} went silent.",
+                self.service
+            );
         }
     }
 
+    /// Takes a free slot for the next waiting request.
     fn next_assignment(self: &Arc<Self>) -> Option<(SlotWaiter, Result<SlotLease, Refusal>)> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
@@ -243,6 +257,7 @@
         Some((waiter, Ok(lease)))
     }
 
+    /// Takes a free slot, or adds the request to the queue.
     fn take_or_enqueue(self: &Arc<Self>, demand: SlotDemand) -> Result<SlotOffer, Refusal> {
         let now = self.clock.monotonic();
         let mut state = self.lock();
@@ -257,6 +272,7 @@
         self.enqueue(&mut state, demand, now)
     }
 
+    /// Adds the request to the queue, unless admission control refuses it.
     fn enqueue(
         &self,
         state: &mut PoolState,
@@ -291,6 +307,7 @@
         Ok(SlotOffer::Queued(key, receiver))
     }
 
+    /// Creates the lease of a slot that was taken.
     fn lease(self: &Arc<Self>, state: &mut PoolState, key: SlotKey) -> SlotLease {
         let address = state.entry(key.endpoint).address;
         let slot = state.slot(key);
@@ -300,20 +317,20 @@
     }
 }
 
-/// Returns a time in nanoseconds, which suffice for 584 years.
+/// Returns a time in nanoseconds; a `u64` covers 584 years.
 fn to_nanos(time: Duration) -> u64 {
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// Takes out the next request that can still meet its target, and refuses those before it that
-/// cannot: they get their final answer at once, and their slot goes to one that it can help.
+/// Removes and returns the next request that can still meet its target. Requests before it that
+/// cannot are refused at once, so that the slot goes to one that it can help.
 fn next_waiter(state: &mut PoolState, now: Duration) -> Option<SlotWaiter> {
     let needed = state.slot_hold_time.mean();
     while let Some(waiter) = state.queue.pop(now) {
         if now + needed <= waiter.deadline {
             return Some(waiter);
         }
-        // A waiter that left needs no answer.
+        // Best effort: a waiter may have stopped waiting.
         waiter.reply.send(Err(Refusal::QueueTimeout)).ok();
     }
     None
--- a/crates/gateway/src/slot_lease.rs
+++ b/crates/gateway/src/slot_lease.rs
@@ -1,4 +1,4 @@
-//! A slot that a request holds.
+//! [`SlotLease`]: a slot that a request occupies.
 
 use std::{
     net::SocketAddr,
@@ -18,20 +18,22 @@
     slot_key::SlotKey, //
 };
 
-/// A slot that a request holds. Dropping it gives the slot back: free if nothing was sent, and as
-/// of unknown fate otherwise, so that no way out of the code can free a slot too early.
+/// A slot that a request occupies. Dropping it releases the slot: as free if nothing was sent, and
+/// otherwise as one of unknown outcome, so that no code path can free a slot too early.
 pub(crate) struct SlotLease {
-    /// The endpoint's address.
+    /// The address of the endpoint.
     pub(crate) address: SocketAddr,
-    /// The share that the slot belongs to, and the epoch under which it was picked.
+    /// The share of the slot, and the epoch under which the slot was picked.
     pub(crate) grant: (ResourceId, OwnerEpoch),
-    /// The slot's connection, if one was open.
+    /// The connection of the slot, if one was open.
     pub(crate) connection: Option<EndpointConnection>,
-    /// Whether something may have been sent.
+    /// Whether a part of the request may have been sent.
     pub(crate) sent: bool,
     pool: Arc<ServicePool>,
     key: SlotKey,
+    /// When the slot was taken, on the monotonic clock.
     acquired_at: Duration,
+    /// Whether the slot is not yet released.
     is_held: bool,
 }
 
@@ -56,17 +58,17 @@
         }
     }
 
-    /// Returns the pool that the slot is of.
+    /// Returns the pool of the slot.
     pub(crate) fn pool(&self) -> &Arc<ServicePool> {
         &self.pool
     }
 
-    /// Returns the slot's key.
+    /// Returns the key of the slot.
     pub(crate) fn key(&self) -> SlotKey {
         self.key
     }
 
-    /// Gives the slot back.
+    /// Releases the slot with the outcome of its exchange.
     pub(crate) fn release(mut self, outcome: ExchangeOutcome) {
         self.is_held = false;
         self.settle(outcome);
@@ -77,7 +79,8 @@
         self.pool.release_slot(self.key, outcome, is_held);
     }
 
-    /// Forgets the lease; whoever calls this gives the slot back by other means.
+    /// Returns the connection and drops the lease without releasing the slot; the caller must
+    /// return the slot to the pool.
     pub(crate) fn into_connection(mut self) -> Option<EndpointConnection> {
         self.is_held = false;
         self.connection.take()
--- a/crates/gateway/tests/requests/at_most_once.rs
+++ b/crates/gateway/tests/requests/at_most_once.rs
@@ -13,7 +13,8 @@
 
 const TARGET: Duration = Duration::from_millis(200);
 
-/// Sends one booking while both endpoints do `act`, and returns the reply and how often it ran.
+/// Sends one booking while both endpoints perform `act`. Returns the reply and how often the
+/// booking ran.
 async fn post_booking(act: EndpointAction) -> (Reply, u32) {
     let (first, second) = (
         ScriptedEndpoint::start().await,
@@ -35,8 +36,8 @@
     (reply, run_count)
 }
 
-// A booking reaches an endpoint, which fails in one of these ways. A second endpoint is free, and
-// trying again there would look helpful, but would put two guitars on one bench.
+// A booking reaches an endpoint, which fails in one of these ways. A retry at the second, free
+// endpoint could run the booking twice.
 #[tokio::test]
 async fn a_booking_is_sent_once_whatever_the_endpoint_does() {
     let cases = [
@@ -65,8 +66,8 @@
     }
 }
 
-// The endpoint answers, and then closes in the middle of the body. The head has gone to the caller
-// already: its connection is aborted, so that the part is not taken for the whole.
+// The endpoint closes the connection within the body of its response. The head was already sent to
+// the caller: its connection is aborted, so that the part is not taken for the complete response.
 #[tokio::test]
 async fn a_booking_with_a_truncated_response_is_not_sent_again() {
     for part in [
@@ -79,7 +80,7 @@
     }
 }
 
-// An endpoint's own failure is its answer: the booking may well be in its books.
+// The error of an endpoint is its response: the booking may have been recorded.
 #[tokio::test]
 async fn an_endpoints_error_is_forwarded_and_not_retried() {
     for status in ["500 Oops", "502 Bad", "503 Busy", "504 Late"] {
@@ -90,8 +91,8 @@
     }
 }
 
-// One endpoint's process is gone. The connection is refused, so that not one byte was written, and
-// the booking may go to the other endpoint.
+// The process of one endpoint has terminated. Its connection is refused, so that nothing was sent,
+// and the booking may be sent to the other endpoint.
 #[tokio::test]
 async fn a_refused_connection_leads_to_another_endpoint() {
     let (terminated, other) = (
@@ -116,7 +117,8 @@
     );
 }
 
-// Every endpoint's process is gone: the booking certainly did not run, and the caller is told.
+// The processes of all endpoints have terminated: the booking certainly did not run, and the
+// response says so.
 #[tokio::test]
 async fn without_any_connection_the_request_is_reported_not_run() {
     let terminated = ScriptedEndpoint::start().await;
@@ -130,8 +132,8 @@
     assert!(reply.header("retry-after").is_some());
 }
 
-// The endpoint closes its idle connection in the moment in which a booking goes out on it. Whether
-// it read the booking first cannot be known, so that it is not sent again.
+// The endpoint closes its idle connection while a booking is being sent on it. It may have read the
+// booking, so that the booking is not sent again.
 #[tokio::test]
 async fn a_booking_on_a_closing_connection_runs_at_most_once() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -155,7 +157,8 @@
     );
 }
 
-// The endpoint itself says that it did not run the booking. Only then may it go out once more.
+// The endpoint itself reports that it did not run the booking. Only then may the booking be sent
+// again.
 #[tokio::test]
 async fn a_booking_that_an_endpoint_did_not_run_may_be_retried() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -173,8 +176,8 @@
     }
 }
 
-// The caller leaves while its booking is on the way. Its connection's end must not start anything
-// anew, and the endpoint's answer goes to nobody else.
+// The caller disconnects while its booking is in progress. This must not start the booking again,
+// and the response must not reach another caller.
 #[tokio::test]
 async fn the_booking_of_a_caller_that_disconnects_runs_once() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/forwarding.rs
+++ b/crates/gateway/tests/requests/forwarding.rs
@@ -1,4 +1,4 @@
-//! What a request and its answer look like on the other side.
+//! How a request and its response are changed when they are forwarded.
 
 use crate::support::{
     EndpointAction,
--- a/crates/gateway/tests/requests/idempotency_keys.rs
+++ b/crates/gateway/tests/requests/idempotency_keys.rs
@@ -1,7 +1,7 @@
 //! A booking with an idempotency key runs at most once for all daemons together.
 //!
-//! The gateways here are all made with the same seed: taken for the numbers of the reservations, it
-//! once made two daemons believe that each other's reservation was their own, and both ran it.
+//! All gateways here have the same seed: when reservation numbers were drawn from the seed, two
+//! daemons mistook the reservations of each other for their own, and both ran the booking.
 
 use std::{
     sync::Arc,
@@ -32,8 +32,10 @@
 };
 
 const HOUR: Duration = Duration::from_secs(3600);
+/// More reads of the table than one sweep makes.
 const READS_PER_SWEEP: u64 = 10;
 
+/// Starts a gateway that holds the first or the second half of the shares.
 async fn start_daemon(
     endpoint: &ScriptedEndpoint,
     table: &TableStandIn,
@@ -55,7 +57,8 @@
     (endpoint, table, first, second)
 }
 
-// A caller presses "order" twice, and the balancer sends the two to different daemons at once.
+// A caller submits an order twice, and the balancer sends the two requests to different daemons at
+// once.
 #[tokio::test]
 async fn the_same_key_through_two_daemons_at_once_runs_once() {
     let (endpoint, _, first, second) = start_two_daemons().await;
@@ -70,8 +73,8 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// The answer was lost on its way to the caller, who asks again: the first answer comes once more,
-// from any daemon.
+// The response was lost on its way to the caller, which repeats the request: any daemon returns the
+// first response.
 #[tokio::test]
 async fn a_repeated_request_gets_the_first_response() {
     let (endpoint, table, first, second) = start_two_daemons().await;
@@ -85,8 +88,8 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// A daemon dies between sending a booking and keeping its outcome. Whether it ran is known to
-// nobody: a repetition is told so, and never runs it again.
+// A daemon terminates between sending a booking and recording its outcome. Whether the booking ran
+// is unknown: a repetition is refused as unknown, and never runs it again.
 #[tokio::test]
 async fn a_key_whose_daemon_terminated_is_not_run_again() {
     let (endpoint, table, first, second) = start_two_daemons().await;
@@ -108,8 +111,8 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// The caller leaves before the answer. The outcome is kept all the same, and the caller that asks
-// again is not left with "unknown".
+// The caller disconnects before the response. The outcome is recorded nevertheless, so that a
+// repetition receives the response and not "unknown".
 #[tokio::test]
 async fn the_outcome_is_recorded_when_the_caller_disconnected() {
     let (endpoint, _, first, second) = start_two_daemons().await;
@@ -123,9 +126,10 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// The table takes the reservation, and its answer is lost, or it takes it only after the answer
-// was given up, or it takes it twice. Read as "not reserved", the booking would be refused though
-// its key is taken; read as "reserved" without a look, two daemons could both believe so.
+// The table commits the reservation and its response is lost, or commits it only after the writer
+// gave up, or commits it twice. If this counted as "not reserved", the booking would be refused
+// although its key is taken; if it counted as "reserved" without a check, two daemons could both
+// run it.
 #[tokio::test]
 async fn a_lost_response_to_a_reservation_is_resolved() {
     let late = Duration::from_millis(30);
@@ -150,8 +154,8 @@
     }
 }
 
-// The table is away: without a reservation a booking with a key is not run, and the caller is told
-// to come back. When the table returns the same key works.
+// The table is unavailable: without a reservation a booking with a key is not run, and the caller
+// is asked to retry. When the table is available again the same key works.
 #[tokio::test]
 async fn without_the_table_a_booking_with_a_key_is_refused() {
     for fault in [
@@ -176,7 +180,8 @@
         );
         assert!(refused.header("retry-after").is_some());
         assert_eq!(endpoint.request_count(), 0);
-        // The outage outlasts the request: a reservation that took effect unseen is released.
+        // The outage outlasts the request: a reservation that was committed without a response is
+        // released.
         sleep(Duration::from_millis(200)).await;
         table.faults().heal();
         wait_until_answered(async || gateway.post_keyed("a", "k1").await).await;
@@ -184,8 +189,8 @@
     }
 }
 
-// A key is used for another order, or by another customer who guessed it: neither runs the other
-// order nor shows the first one's answer.
+// A key is used for another order, or by another customer who guessed it: the other order must not
+// run, and the first response must not be returned.
 #[tokio::test]
 async fn a_key_of_another_request_is_refused() {
     let (endpoint, _, first, _) = start_two_daemons().await;
@@ -200,7 +205,7 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// The endpoint refused the booking and said that it was not run: its key is free again.
+// The endpoint refused the booking and reported that it was not run: the key may be used again.
 #[tokio::test]
 async fn a_key_whose_request_was_not_run_can_be_used_again() {
     let (endpoint, _, first, second) = start_two_daemons().await;
@@ -212,7 +217,7 @@
     wait_until_answered(async || second.post_keyed("a", "k1").await).await;
 }
 
-// Keys are malformed: refused before anything is reserved.
+// Malformed keys are rejected before anything is reserved.
 #[tokio::test]
 async fn a_malformed_key_is_refused() {
     let (endpoint, table, first, _) = start_two_daemons().await;
@@ -224,8 +229,8 @@
     assert_eq!((endpoint.request_count(), table.rows("").len()), (0, 0));
 }
 
-// Keys are kept for their retention and then removed, so that the table does not grow for ever; the
-// ones that are still due stay.
+// Keys are removed after their retention, so that the table does not grow without limit; keys whose
+// retention has not passed stay.
 #[tokio::test]
 async fn keys_are_removed_after_their_retention_and_no_earlier() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -264,6 +269,7 @@
     assert!(listed.len() <= 2, "{listed:?}");
 }
 
+/// Starts a gateway that sweeps keys every 5 ms by this clock.
 async fn start_sweeper(
     endpoint: &ScriptedEndpoint,
     table: &TableStandIn,
@@ -279,27 +285,29 @@
         .await
 }
 
+/// Returns the hour count in the table.
 fn recorded_hour(table: &TableStandIn) -> u64 {
     let rows = table.rows("request-keys/hours");
     let value = rows.first().map(|row| row.value.clone());
     value.map_or(0, |value| u64::from_be_bytes(value[..].try_into().unwrap()))
 }
 
-// Several reads, so that a look of the sweeper is over at least once among them.
+// Waits for several reads of the table, so that at least one sweep has completed.
 async fn wait_for_sweep(table: &TableStandIn) {
     let before = table.faults().counts().reads;
     wait_until(|| table.faults().counts().reads >= before + READS_PER_SWEEP).await;
 }
 
+/// Advances the clock by an hour and waits until the hour is counted.
 async fn count_one_hour(table: &TableStandIn, clock: &ManualClock, hour: u64) {
     wait_for_sweep(table).await;
     clock.advance(HOUR);
     wait_until(|| recorded_hour(table) == hour).await;
 }
 
-// A caller's order went through, its answer was lost, and the shop sends it again. Meanwhile the
-// daemon that removes old keys woke up with its wall clock years ahead, took the key for expired and
-// removed it: the second order was booked as well. Years by one daemon's wall clock are no hours.
+// An order was run, its response was lost, and the caller repeats it. Meanwhile a daemon whose wall
+// clock was years ahead removed the key as expired, so that the order ran a second time. The wall
+// clock of one daemon must not count for the retention.
 #[tokio::test]
 async fn a_clock_that_is_years_ahead_removes_no_key() {
     let (endpoint, table) = (ScriptedEndpoint::start().await, TableStandIn::new());
@@ -310,7 +318,7 @@
     let sweeping_gateway = start_sweeper(&endpoint, &table, &clock).await;
     wait_for_sweep(&table).await;
     assert_eq!(table.rows("request-keys/by-key/").len(), 1);
-    // A leap of its clock while it runs counts for one hour at the most.
+    // A jump of the clock while the daemon runs counts for at most one hour.
     clock.advance(Duration::from_secs(100 * 365 * 24 * 3600));
     wait_until(|| recorded_hour(&table) == 1).await;
     wait_for_sweep(&table).await;
@@ -320,8 +328,8 @@
     assert_eq!((endpoint.request_count(), recorded_hour(&table)), (1, 1));
 }
 
-// As above, but the daemon that took the order had its wall clock at 1970, so that its key was
-// expired from the first moment for a daemon whose clock was right.
+// As above, but the daemon that received the order had its wall clock at 1970, so that its key was
+// expired at once for a daemon with a correct clock.
 #[tokio::test]
 async fn a_key_reserved_by_a_clock_that_is_years_behind_is_kept() {
     let (endpoint, table) = (ScriptedEndpoint::start().await, TableStandIn::new());
@@ -344,8 +352,8 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// A share changes hands, and for a while two daemons take themselves for the one that counts. Each
-// counted the same hour, so that a key went after half of its retention and its order ran again.
+// During the takeover of a share two daemons believe that they must count the hours. Each counted
+// the same hour, so that a key was removed after half of its retention and its order ran again.
 #[tokio::test]
 async fn two_daemons_that_count_concurrently_count_an_hour_once() {
     let (endpoint, table) = (ScriptedEndpoint::start().await, TableStandIn::new());
--- a/crates/gateway/tests/requests/leaving_endpoints.rs
+++ b/crates/gateway/tests/requests/leaving_endpoints.rs
@@ -1,4 +1,5 @@
-//! What leaves gets nothing new within 3 s, and ends what it has on its own.
+//! An endpoint or failure domain that is leaving receives no new requests within 3 s (the tests
+//! allow 1 s), and completes those in progress.
 
 use std::{
     sync::Arc,
@@ -18,6 +19,7 @@
     TestGateway, //
 };
 
+/// How long the gateway may take to stop sending new requests.
 const PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 async fn start_in_two_domains() -> (ScriptedEndpoint, ScriptedEndpoint, TestGateway) {
@@ -42,7 +44,8 @@
     assert_eq!(endpoint.request_count(), count_before);
 }
 
-/// Has the first endpoint work on one request, and then `leave`.
+/// Makes the first endpoint work on one request, calls `leave`, and checks that the request
+/// completes and that the endpoint receives no new ones.
 async fn assert_completes_held_request<Leave>(leave: Leave)
 where
     Leave: FnOnce(&TestGateway, &ScriptedEndpoint),
@@ -63,7 +66,8 @@
     drop(west);
 }
 
-// The platform is about to stop a VM. What it works on is answered, and nothing new is sent.
+// The platform is about to stop a VM. Its requests in progress are answered, and it receives no new
+// ones.
 #[tokio::test]
 async fn an_endpoint_listed_as_leaving_completes_its_requests_and_gets_no_new_ones() {
     assert_completes_held_request(|gateway, _| {
@@ -72,14 +76,14 @@
     .await;
 }
 
-// The VM is gone from the list, which lags: what it still works on is waited for all the same.
+// The VM is no longer in the list, which may lag: its requests in progress are still waited for.
 #[tokio::test]
 async fn an_endpoint_no_longer_listed_completes_its_requests_and_gets_no_new_ones() {
     assert_completes_held_request(|gateway, _| gateway.update_vms(|vms| drop(vms.vms.remove(0))))
         .await;
 }
 
-// Operators take a failure domain out.
+// An operator takes a failure domain out.
 #[tokio::test]
 async fn a_domain_taken_out_completes_its_requests_and_gets_no_new_ones() {
     assert_completes_held_request(|gateway, _| {
@@ -90,8 +94,8 @@
     .await;
 }
 
-// An endpoint says itself that it ends, with its last answers. The VM list, which lags, still calls
-// it live: heeded too late, requests would meet a closed door.
+// An endpoint announces its shutdown with its last responses, while the VM list, which lags, still
+// has it as live. If the announcement were ignored, requests would be sent to a closed port.
 #[tokio::test]
 async fn an_endpoint_that_announces_its_shutdown_gets_no_new_requests() {
     for last in [
@@ -111,8 +115,8 @@
     }
 }
 
-// Every endpoint of a service closes each connection now and then, as some servers do. That is no
-// announcement of all their ends: the service goes on.
+// Every endpoint of a service closes each connection now and then, as some servers do. This must
+// not be taken for the shutdown of all of them.
 #[tokio::test]
 async fn a_service_that_regularly_closes_connections_stays_available() {
     let (east, west, gateway) = start_in_two_domains().await;
--- a/crates/gateway/tests/requests/main.rs
+++ b/crates/gateway/tests/requests/main.rs
@@ -1,7 +1,7 @@
-//! The request path, as callers and endpoints see it.
+//! Tests of the request path over real sockets, from the view of callers and of endpoints.
 #![expect(
     clippy::unwrap_used,
-    reason = "a helper of a test that cannot go on ends the test"
+    reason = "a test helper that cannot continue must fail the test"
 )]
 
 mod at_most_once;
--- a/crates/gateway/tests/requests/peer_forwarding.rs
+++ b/crates/gateway/tests/requests/peer_forwarding.rs
@@ -1,4 +1,4 @@
-//! A daemon without a slot of a service hands its requests to one that has some.
+//! A daemon without a slot of a service forwards its requests to one that has some.
 
 use jasminebend_standins::TableStandIn;
 
@@ -11,7 +11,8 @@
     wait_until_answered, //
 };
 
-/// A daemon that holds all shares, and one that holds none and knows of it.
+/// Starts a daemon that holds all shares and one that holds none, and waits until the second can
+/// forward to the first.
 async fn start_holder_and_forwarder(endpoint: &ScriptedEndpoint) -> (TestGateway, TestGateway) {
     let table = TableStandIn::new();
     let build = || {
@@ -25,8 +26,8 @@
     (holder, forwarder)
 }
 
-// A service has a single endpoint, and seven daemons divide its slots: some have none. The balancer
-// knows nothing of that, and a caller that lands there would be refused for no reason of its own.
+// A service has a single endpoint, whose slots seven daemons divide: some have none. The balancer
+// does not know this, and without forwarding a caller of such a daemon would be refused.
 #[tokio::test]
 async fn a_daemon_without_slots_forwards_to_one_that_has_some() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -44,8 +45,8 @@
     );
 }
 
-// A booking that was handed on may have run whatever became of it: it is not handed on again, and
-// what the other daemon says of it is passed on.
+// A forwarded booking may have run whatever happens to it: it is not forwarded again, and the
+// report of the other daemon is returned to the caller.
 #[tokio::test]
 async fn a_forwarded_booking_runs_at_most_once() {
     for (act, executed) in [
@@ -69,8 +70,8 @@
     }
 }
 
-// Two daemons believe of each other that they have slots, and neither has: a request must not go
-// to and fro between them.
+// Two daemons each take the other for one that has slots, and neither has any: a request must not
+// loop between them.
 #[tokio::test]
 async fn a_request_is_forwarded_at_most_once() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -93,7 +94,7 @@
     assert_eq!((reply.status, reply.executed()), (503, Some("no")));
 }
 
-// The other daemon is gone, and the directory does not know yet: not one byte was written.
+// The other daemon has terminated, and the directory does not show it yet: nothing was sent.
 #[tokio::test]
 async fn a_request_to_a_terminated_peer_is_reported_not_run() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/planned_stop.rs
+++ b/crates/gateway/tests/requests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts off no request in progress.
+//! A planned stop aborts no request in progress.
 
 use std::sync::Arc;
 
@@ -18,8 +18,8 @@
     wait_until,
 };
 
-// The daemon is told to stop while requests wait and run. Each gets its whole answer, new
-// connections are refused, and the server ends only after the last one.
+// The daemon is asked to stop while requests wait and run. Each receives its complete response, new
+// connections are refused, and the server ends only after the last response.
 #[tokio::test]
 async fn a_drain_answers_every_request_in_progress() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -39,7 +39,8 @@
     let mut answered = 0;
     for reply in pending_replies {
         let reply = reply.await;
-        // A connection that the kernel took and the daemon never did is the balancer's to try again.
+        // A connection that the kernel accepted and the daemon did not is for the balancer to
+        // retry.
         if let Ok(reply) = reply
             && reply.status != 0
         {
@@ -53,8 +54,9 @@
     drop(idle);
 }
 
-// A caller with a kept connection sends its next request while the daemon drains: the answer says
-// that the connection ends, so that the caller goes elsewhere with the one after.
+// A caller has a request in progress on a persistent connection while the daemon drains: the
+// response announces that the connection closes, so that the caller sends its next request
+// elsewhere.
 #[tokio::test]
 async fn a_persistent_connection_closes_after_its_request() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/refusals.rs
+++ b/crates/gateway/tests/requests/refusals.rs
@@ -1,4 +1,4 @@
-//! "Not run" is only ever said of what truly did not run.
+//! A refusal reports "not run" only if the request certainly did not run.
 
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
     }
 }
 
-// Endpoints fail at random while bookings and queries come. A caller that reads "not run" books
-// again: if the first one ran after all, there are two.
+// Endpoints fail at random while bookings and queries arrive. A caller that is told "not run" books
+// again: if the first booking ran after all, there are two.
 #[tokio::test]
 async fn a_request_reported_not_run_never_reached_an_endpoint() {
     for seed in 0..6 {
@@ -87,8 +87,8 @@
     }
 }
 
-// A query may run twice. Its first attempt dies without an answer, and the endpoints refuse the
-// second one: the refusal must not speak for the first.
+// A query may run twice. Its first attempt ends without a response, and the endpoint refuses the
+// second one: this refusal says nothing about the first attempt.
 #[tokio::test]
 async fn a_retry_reported_not_run_does_not_clear_the_first_attempt() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -101,8 +101,8 @@
     assert_ne!(reply.executed(), Some("no"), "{reply:?}");
 }
 
-// The same where no second attempt can be made at all: the other endpoint's process is gone. What
-// the first endpoint did with the query stays unknown.
+// As above where no second attempt is possible: the process of the other endpoint has terminated.
+// Whether the first endpoint ran the query stays unknown.
 #[tokio::test]
 async fn a_refusal_after_a_first_attempt_is_not_reported_as_not_run() {
     for _ in 0..12 {
@@ -120,8 +120,8 @@
     }
 }
 
-// A request that was given up gets its answer at once, with the time to come back, and is not kept
-// waiting so that its caller asks less often.
+// A request that is refused receives its response at once, with the time after which to retry. It
+// is not delayed to slow its caller down.
 #[tokio::test]
 async fn a_refusal_is_immediate_and_has_a_retry_after_header() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -139,8 +139,8 @@
     let mut pending_replies: Vec<_> = (0..5)
         .map(|id| gateway.spawn_post(&id.to_string()))
         .collect();
-    // One has the slot, one the queue: were the others to wait for their deadline, it would take
-    // an hour.
+    // One request has the slot and one is in the queue. If the others waited for their deadline,
+    // that would take an hour.
     wait_until(|| {
         pending_replies
             .iter()
--- a/crates/gateway/tests/requests/request_smuggling.rs
+++ b/crates/gateway/tests/requests/request_smuggling.rs
@@ -1,4 +1,4 @@
-//! Requests whose end two readers could see in different places are refused.
+//! Requests whose end two parsers could find in different places are rejected.
 
 use tokio::io::{
     AsyncReadExt,
@@ -14,8 +14,9 @@
 
 const HIDDEN_REQUEST: &str = "GET /hidden HTTP/1.1\r\nhost: shop\r\n\r\n";
 
-// Each of these heads has two readings. The balancer takes one and the gateway the other: the rest
-// of the body then counts as a request that nobody checked, and its answer goes to somebody else.
+// Each of these heads has two interpretations. If the balancer uses one and the gateway the other,
+// the rest of the body counts as a request that nothing has checked, and its response reaches
+// another caller.
 #[tokio::test]
 async fn ambiguous_heads_are_rejected_and_close_the_connection() {
     let ambiguous_heads = [
@@ -54,8 +55,8 @@
     }
 }
 
-// A second request on the same connection has two lengths, and follows the first one's bytes
-// closely: the watch over heads must find it wherever the reads happen to cut.
+// The second request on a connection has an ambiguous length and directly follows the bytes of the
+// first: the head scanner must find it at any read boundary.
 #[tokio::test]
 async fn a_later_head_with_an_ambiguous_length_is_rejected() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -75,7 +76,8 @@
     );
 }
 
-// The two lengths come in two parts, cut anywhere: the watch over heads must see them whole.
+// The head with an ambiguous length arrives in two parts, split at any byte: the head scanner must
+// see it complete.
 #[tokio::test]
 async fn an_ambiguous_length_is_detected_at_every_read_boundary() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -97,7 +99,8 @@
     assert_eq!(endpoint.request_count(), 0);
 }
 
-// A chunked body's sizes are not what they seem. Read leniently, the body would end elsewhere.
+// The sizes of a chunked body are invalid. A lenient parser would find the end of the body
+// elsewhere.
 #[tokio::test]
 async fn invalid_chunk_sizes_are_rejected() {
     for size in ["zz", "-1", "0x3", "ffffffffffffffffff", "3 3", ""] {
@@ -116,7 +119,7 @@
     }
 }
 
-// A path climbs out of its class's route into another, whose requests may be sent twice.
+// A path leads out of the route of its class into another one, whose requests may be sent twice.
 #[tokio::test]
 async fn dot_segments_are_rejected() {
     for path in [
@@ -137,9 +140,9 @@
     }
 }
 
-// A shop's program sent a booking with a broken head and got a bare 400. Nothing in it said whether the
-// booking was made, so that its operators looked through the books for one that was never begun. The
-// same head after a good request must not be answered before that request's own answer.
+// A caller sent a booking with a malformed head and received a plain 400, which did not state that
+// the booking was not run, so that its operators searched for a booking that never existed. The
+// same head after a valid request must not be answered before that request.
 #[tokio::test]
 async fn a_malformed_head_is_reported_not_run_and_never_before_an_earlier_response() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/resource_limits.rs
+++ b/crates/gateway/tests/requests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Memory and slots are bounded, whatever callers do.
+//! Memory and slots are limited, whatever callers do.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 
 const TIMEOUT: Duration = Duration::from_millis(200);
 
-// Callers connect without end. The ones beyond the bound are refused at once.
+// Callers open ever more connections. Those beyond the limit are refused at once.
 #[tokio::test]
 async fn callers_beyond_the_limit_are_rejected() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -42,7 +42,7 @@
     wait_until_answered(async || gateway.get("/b").await).await;
 }
 
-// A caller sends its head byte by byte, or its body never. Neither takes a slot from anybody.
+// A caller sends its head byte by byte, or never completes its body. Neither occupies a slot.
 #[tokio::test]
 async fn slow_callers_hold_no_slot_and_are_disconnected() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -67,8 +67,8 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// Many callers begin a body and do not end it. What has come of them is held in memory: beyond the
-// bound more are refused, and no memory is taken for them.
+// Many callers begin a body and do not complete it. Their bodies are buffered in memory: beyond the
+// limit further requests are refused before memory is used for them.
 #[tokio::test]
 async fn the_bodies_buffered_in_memory_are_limited() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -95,8 +95,8 @@
     wait_until_answered(async || send_request(gateway.address, "POST /b", "", &body).await).await;
 }
 
-// A caller takes nothing of a large answer. It is cut off, and the answer is not gathered in memory
-// meanwhile: the endpoint is held back.
+// A caller reads nothing of a large response. It is disconnected, and the response is not buffered
+// in memory meanwhile: the endpoint is slowed down by backpressure.
 #[tokio::test]
 async fn a_caller_that_reads_nothing_is_disconnected() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -118,7 +118,7 @@
     assert!(got.len() < large.len() / 2, "{} bytes", got.len());
 }
 
-// Bodies and heads are larger than allowed: refused, with a length or without one.
+// Bodies and heads are larger than allowed, with or without a declared length.
 #[tokio::test]
 async fn oversized_heads_and_bodies_are_rejected() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -143,7 +143,7 @@
     assert_eq!(whole.status, 200);
 }
 
-// A caller that asked before it sends its body is told to go on only if the body is wanted.
+// A caller that sends `Expect: 100-continue` is asked to continue only if its body is accepted.
 #[tokio::test]
 async fn continue_is_sent_only_if_the_body_is_accepted() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/response_integrity.rs
+++ b/crates/gateway/tests/requests/response_integrity.rs
@@ -1,4 +1,5 @@
-//! The right caller gets the right whole answer, or an error that cannot be taken for one.
+//! Each caller receives the complete response to its own request, or an error that cannot be
+//! mistaken for one.
 
 use std::time::Duration;
 
@@ -13,8 +14,8 @@
 
 const TIMEOUT: Duration = Duration::from_millis(100);
 
-// An endpoint's answer is cut, too long, or no answer. A caller that takes a part for the whole
-// believes in a booking that is not there.
+// The response of an endpoint is truncated, too long or invalid. A caller that takes a part for the
+// whole relies on a booking that does not exist.
 #[tokio::test]
 async fn a_broken_response_is_never_delivered_as_complete() {
     let broken = [
@@ -24,7 +25,7 @@
         EndpointAction::Raw(
             "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n",
         ),
-        // Ends where its connection ends, which a crash looks like as well.
+        // Ends where its connection ends, which looks the same after a crash.
         EndpointAction::Close("HTTP/1.1 200 OK\r\n\r\nabc"),
         EndpointAction::Raw(
             "HTTP/1.1 200 OK\r\ncontent-length: 3\r\ncontent-length: 5\r\n\r\nabcde",
@@ -52,8 +53,8 @@
     }
 }
 
-// An endpoint stops in the middle of its answer and keeps the connection. The caller must not wait
-// for ever, nor take what it has for the whole.
+// An endpoint stops within its response and keeps the connection open. The caller must not wait
+// forever, nor take the part for the complete response.
 #[tokio::test]
 async fn a_stalled_response_is_aborted() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -69,8 +70,8 @@
     assert!(!reply.whole, "{reply:?}");
 }
 
-// A chunked answer is cut, and its caller speaks HTTP/1.0, to whom the end of the connection is the
-// end of the answer: passed on as it comes, the part would look whole.
+// A chunked response is truncated, and its caller uses HTTP/1.0, where the end of the connection is
+// the end of the response: forwarded as it arrives, the part would look complete.
 #[tokio::test]
 async fn a_chunked_response_to_an_old_http_caller_is_complete_or_an_error() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -94,8 +95,8 @@
     assert_eq!(send_raw(gateway.address, text).await.status, 502);
 }
 
-// An endpoint sends bytes after its answer's end that look like another answer. On a connection
-// that is used again they would be taken for the next caller's.
+// An endpoint sends bytes after the end of its response that look like another response. On a
+// reused connection they would be taken for the response to the next caller.
 #[tokio::test]
 async fn bytes_after_a_response_never_reach_the_next_caller() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -112,8 +113,8 @@
     }
 }
 
-// An answer comes after its caller was told "504". The connection that it comes on must not be
-// another request's by then.
+// A response arrives after its caller received a 504. By then its connection must not be in use by
+// another request.
 #[tokio::test]
 async fn a_late_response_reaches_no_other_caller() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -136,8 +137,8 @@
     }
 }
 
-// Answers overtake each other across connections. Each is paired with its request by the connection
-// alone, so that many callers at once each get their own.
+// Responses arrive in another order than their requests were sent. Each is matched with its request
+// by the connection alone, so that concurrent callers receive their own.
 #[tokio::test]
 async fn responses_out_of_order_reach_their_own_callers() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/silent_connections.rs
+++ b/crates/gateway/tests/requests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! A connection that went silent is found and replaced.
+//! A connection that went silent is detected and replaced.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 const TARGET: Duration = Duration::from_millis(400);
 
-/// A gateway whose four connections to the endpoint are all open, and then lost track of.
+/// Starts a gateway, opens all its four connections to the endpoint, and makes them silent.
 async fn gateway_with_silent_connections(
     endpoint: &ScriptedEndpoint,
     max_silence: Duration,
@@ -37,8 +37,8 @@
     gateway
 }
 
-// Something between the two ends lost track of every open connection. A query is sent into the
-// void: a second attempt on a fresh connection answers it before its deadline.
+// A middlebox lost track of all open connections. A query that is sent on one of them gets no
+// response: a hedged attempt on a new connection answers it before its deadline.
 #[tokio::test]
 async fn a_query_on_a_silent_connection_is_answered_on_a_new_one() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -47,12 +47,12 @@
     for number in 0..20 {
         missed += usize::from(gateway.get(&format!("/{number}")).await.status != 200);
     }
-    // Four connections are silent; the first miss makes the others suspect.
+    // Four connections are silent; after the first miss the others are replaced.
     assert!(missed <= 1, "{missed} queries missed");
 }
 
-// The same for bookings, which must not be sent twice: after the first one that missed its
-// deadline, all the other silent connections are replaced before use.
+// As above for bookings, which must not be sent twice: after the first one that missed its
+// deadline, the other silent connections are replaced before use.
 #[tokio::test]
 async fn at_most_one_booking_is_lost_to_silent_connections() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -65,8 +65,8 @@
     assert!(missed <= 1, "{missed} bookings missed");
 }
 
-// A connection was quiet for longer than it is trusted. A booking takes a fresh one, so that none
-// at all is lost.
+// A connection was silent for longer than is trusted. A booking uses a new one, so that none is
+// lost.
 #[tokio::test]
 async fn a_booking_is_not_sent_on_a_connection_silent_for_too_long() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/slot_limits.rs
+++ b/crates/gateway/tests/requests/slot_limits.rs
@@ -1,4 +1,5 @@
-//! No endpoint ever sees more than its slots or connections, from all daemons together.
+//! No endpoint receives more requests or connections at once than it has slots for, from all
+//! daemons together.
 
 use std::time::Duration;
 
@@ -35,11 +36,11 @@
 };
 
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Far longer than the endpoint works on anything.
+/// The longest request. The endpoint works on each for much less.
 const LONGEST_REQUEST: Duration = Duration::from_millis(400);
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// A builder whose requests are given up after 100 ms.
+/// Returns a builder whose requests time out after 100 ms.
 fn builder_with_short_timeout(endpoint: &ScriptedEndpoint, slots: u16) -> GatewayBuilder {
     GatewayBuilder::new()
         .with_endpoint(endpoint, slots)
@@ -47,8 +48,9 @@
         .with_settings(|settings| settings.with_request_timeout(1, REQUEST_TIMEOUT))
 }
 
-// Two daemons, each with half of the shares, get 40 requests at once for an endpoint of 4 slots.
-// Were each to count only its own requests, the endpoint would see up to 8 and slow down for all.
+// Two daemons, each with half of the shares, receive 40 requests at once for an endpoint of 4
+// slots. If each counted only its own requests, the endpoint would receive up to 8 at once and slow
+// down for all of them.
 #[tokio::test]
 async fn two_daemons_together_stay_within_the_slots() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -74,8 +76,8 @@
     assert!(log.max_open_connections <= 4);
 }
 
-// A request times out at its caller while the endpoint still works on it. Were its slot given to
-// the next one at once, the endpoint would work on two with one slot.
+// A request times out while the endpoint still works on it. If its slot were given to the next
+// request at once, the endpoint would work on two with one slot.
 #[tokio::test]
 async fn the_slot_of_a_request_that_timed_out_is_not_reused() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -91,8 +93,8 @@
     assert_eq!(endpoint.log().max_running_requests, 1);
 }
 
-// A caller closes its connection while the endpoint works. Nobody waits for the answer any more,
-// but the endpoint is as busy as before.
+// A caller closes its connection while the endpoint works. The response is no longer needed, but
+// the slot is still in use.
 #[tokio::test]
 async fn the_slot_of_a_caller_that_disconnected_is_not_reused() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -108,8 +110,9 @@
     assert_eq!(endpoint.log().max_running_requests, 1);
 }
 
-// The endpoint closes the connection without an answer. It may have crashed, or something between
-// may have cut the connection while the endpoint works on: its slot is of unknown fate.
+// The endpoint closes the connection without a complete response. It may have crashed, or a
+// middlebox may have closed the connection while the endpoint works on: the outcome is unknown and
+// the slot must not be reused yet.
 #[tokio::test]
 async fn the_slot_of_an_aborted_exchange_is_not_reused_for_the_longest_request() {
     for act in [
@@ -130,8 +133,8 @@
     }
 }
 
-// A share was taken over from a daemon that died. Its last requests may still run, so that its
-// slots must stay empty for as long as the ownership says.
+// A share was taken over from a daemon that terminated. The last requests of that daemon may still
+// run, so that the slots must stay unused for the idle time of the share.
 #[tokio::test]
 async fn a_share_taken_over_stays_idle_for_its_idle_time() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -146,8 +149,8 @@
     wait_until_answered(async || gateway.post("b").await).await;
 }
 
-// A daemon is paused between picking a slot and sending. Meanwhile its shares went to another one:
-// what it knew when it picked no longer holds, and only a look immediately before the send tells.
+// A daemon is paused between picking a slot and sending the request. Meanwhile its shares moved to
+// another daemon, which only a check immediately before the send detects.
 #[tokio::test]
 async fn a_daemon_that_lost_its_shares_sends_no_request() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -159,14 +162,15 @@
     assert_eq!(gateway.post("a").await.status, 200);
     gateway.release_shares(0..16);
     assert_eq!(gateway.post("b").await.executed(), Some("no"));
-    // Lost and taken back in between: the new epoch may have to be idle first.
+    // Lost and taken back in between: the new epoch may require an idle time first.
     gateway.hold_shares(0..16, HOUR);
     assert_eq!(gateway.post("c").await.executed(), Some("no"));
     assert_eq!(endpoint.request_count(), 1);
 }
 
-// A new daemon takes a seat, and for a moment no daemon may act on anything. A request that comes
-// just then, or was about to be sent, is answered a moment later and not refused by all of them.
+// A new daemon takes a seat, and for a moment no daemon may act on any share. Requests that arrive
+// or are about to be sent in that moment are answered a little later, and not refused by all
+// daemons.
 #[tokio::test]
 async fn requests_wait_while_shares_are_briefly_lost() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -188,8 +192,8 @@
     }
 }
 
-// A share is given back while a request is in progress on it. If the daemon said "idle" before the
-// answer, the next holder would send a second request to the same slot.
+// A share is released while a request is in progress on it. If the daemon reported it idle before
+// the response, the next holder would send a second request to the same slot.
 #[tokio::test]
 async fn a_share_is_idle_only_when_its_requests_are_answered() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -213,7 +217,8 @@
     wait_until(|| endpoint.log().open_connections == 0).await;
 }
 
-// The table is down. Requests do not need it, and must go on within the slots that are held.
+// The table is unavailable. Requests without idempotency keys do not need it, and are still
+// answered within the held slots.
 #[tokio::test]
 async fn requests_are_answered_without_the_table() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -224,8 +229,8 @@
     assert_eq!(gateway.post("a").await.status, 200);
 }
 
-// Connections go silent again and again. The endpoint never sees their ends, and counts them until
-// its own time-out: replacing them without bound would take all the connections that it has.
+// Connections go silent repeatedly. The endpoint does not see them close, and counts them until its
+// own timeout: replacing them without a limit would use up its connections.
 #[tokio::test]
 async fn silent_connections_are_replaced_within_the_endpoints_limit() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -244,8 +249,9 @@
     );
 }
 
-// Bookings are rare, so that each finds its slot's connection quiet. Replacing a healthy one each
-// time would soon use up the bound, and once left every such slot unusable.
+// Bookings are infrequent, so that each finds the connection of its slot idle. If a healthy
+// connection were replaced each time, the limit would soon be reached and the slot would become
+// unusable.
 #[tokio::test]
 async fn infrequent_bookings_do_not_exhaust_the_connections() {
     let endpoint = ScriptedEndpoint::start().await;
@@ -260,9 +266,9 @@
     assert!(endpoint.log().accepted_connections <= 8);
 }
 
-// Shares move among three daemons all the time, given back or taken over from one that is gone,
-// while the endpoint works for longer than some requests wait and closes some connections. Whatever
-// the order of it all, the endpoint works on no more than its slots.
+// Shares move among three daemons all the time, by release or by takeover, while the endpoint works
+// for longer than some requests wait and closes some connections. In any order of these events, the
+// endpoint works on no more requests than it has slots.
 #[tokio::test]
 async fn moving_shares_never_exceed_an_endpoints_slots() {
     for seed in 0..3 {
@@ -324,7 +330,7 @@
     }
 }
 
-/// Holds a share that must first stay idle for some time.
+/// Makes a daemon hold a share that must first stay idle for some time.
 fn hold_after_idle(gateway: &TestGateway, share: u16, epoch: OwnerEpoch, idle: Duration) {
     let resource = ResourceId::Slots(share);
     let ownership = gateway.ownership.clone();
--- a/crates/gateway/tests/requests/support/caller.rs
+++ b/crates/gateway/tests/requests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that sees every byte.
+//! A caller that sends raw bytes and parses the response itself.
 
 use std::{
     net::SocketAddr,
@@ -14,15 +14,19 @@
     time::timeout,
 };
 
+/// How long a connection may take to close.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a caller got.
+/// A response as the caller received it.
 #[derive(Debug)]
 pub(crate) struct Reply {
+    /// The status code, or zero if the response has none.
     pub(crate) status: u16,
+    /// The status line and the headers, in lower case.
     pub(crate) head: String,
+    /// The decoded body.
     pub(crate) body: String,
-    /// Whether the framing says that the body is whole.
+    /// Whether the framing shows that the body is complete.
     pub(crate) whole: bool,
 }
 
@@ -46,21 +50,24 @@
         reply
     }
 
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(": "));
         lines.find(|(own, _)| *own == name).map(|(_, value)| value)
     }
 
-    /// Whether the request was run, as the refusal says.
+    /// Returns the `Jasminebend-Executed` header: whether the request was run.
     pub(crate) fn executed(&self) -> Option<&str> {
         self.header("jasminebend-executed")
     }
 
+    /// Returns the `Jasminebend-Reason` header.
     pub(crate) fn reason(&self) -> Option<&str> {
         self.header("jasminebend-reason")
     }
 }
 
+/// Decodes a chunked body, up to the first error.
 fn decode_chunked(mut rest: &str) -> String {
     let mut whole = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
@@ -81,16 +88,17 @@
     stream
 }
 
-/// Sends bytes and reads until the connection ends.
+/// Sends bytes on a new connection and reads until it closes.
 pub(crate) async fn send_raw(address: SocketAddr, bytes: &str) -> Reply {
     let mut stream = open_and_send(address, bytes).await;
     let mut got = Vec::new();
     let read = timeout(READ_TIMEOUT, stream.read_to_end(&mut got)).await;
-    let closed_cleanly = read.expect("the connection never ended").is_ok();
+    let closed_cleanly = read.expect("the connection did not close in time").is_ok();
     Reply::parse(&got, closed_cleanly)
 }
 
-/// Sends one request; `headers` are whole lines.
+/// Sends one request on a new connection. `line` is the method and the target; `headers` are
+/// complete header lines.
 pub(crate) async fn send_request(
     address: SocketAddr,
     line: &str,
--- a/crates/gateway/tests/requests/support/mod.rs
+++ b/crates/gateway/tests/requests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway over scripted endpoints, and a caller that sees every byte.
+//! Test support: a gateway with scripted endpoints, and a caller that sends raw bytes.
 
 mod caller;
 mod scripted_endpoint;
--- a/crates/gateway/tests/requests/support/scripted_endpoint.rs
+++ b/crates/gateway/tests/requests/support/scripted_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that does with each request as its script says.
+//! [`ScriptedEndpoint`]: an HTTP endpoint that processes requests as its script says.
 
 use std::{
     collections::VecDeque,
@@ -29,13 +29,14 @@
 /// What the endpoint does with a request.
 #[derive(Clone, Debug)]
 pub(crate) enum EndpointAction {
-    /// Answers 200 with the request's path.
+    /// Responds 200 with the path of the request.
     Answer,
-    /// Works until [`ScriptedEndpoint::release`], whatever becomes of the connection, and answers.
+    /// Works until [`ScriptedEndpoint::release`], whatever happens to the connection, and then
+    /// responds.
     Hold,
-    /// Works for this long, whatever becomes of the connection, and answers.
+    /// Works for this long, whatever happens to the connection, and then responds.
     Work(Duration),
-    /// Reads on and never answers: the connection went silent.
+    /// Keeps reading and never responds, as if the connection went silent.
     Silent,
     /// Writes these bytes.
     Raw(&'static str),
@@ -43,23 +44,32 @@
     Close(&'static str),
 }
 
+/// What an endpoint has received, and its script.
 #[derive(Default)]
 pub(crate) struct RequestLog {
-    /// How often each `X-Request-Id` was run.
+    /// How often the request with each `X-Request-Id` was run.
     pub(crate) runs_by_request_id: IndexMap<String, u32>,
-    /// The heads seen.
+    /// The heads and bodies of the requests received.
     pub(crate) request_heads: Vec<String>,
+    /// The requests in progress now.
     pub(crate) running_requests: usize,
+    /// The most requests in progress at once.
     pub(crate) max_running_requests: usize,
+    /// The connections that are open now.
     pub(crate) open_connections: usize,
+    /// The most connections open at once.
     pub(crate) max_open_connections: usize,
+    /// The connections accepted so far.
     pub(crate) accepted_connections: usize,
+    /// Connections with a lower number are silent.
     silent_before_connection: usize,
+    /// The action for requests without one of their own; `Answer` if unset.
     default_action: Option<EndpointAction>,
+    /// The actions for the next requests.
     next_actions: VecDeque<EndpointAction>,
 }
 
-/// An endpoint that does with each request as its script says.
+/// An HTTP endpoint that processes requests as its script says.
 pub(crate) struct ScriptedEndpoint {
     pub(crate) address: SocketAddr,
     log: Arc<Mutex<RequestLog>>,
@@ -87,24 +97,24 @@
         }
     }
 
-    /// Does this with the next request that has no act yet.
+    /// Adds an action for the next request that has none yet.
     pub(crate) fn push_action(&self, act: EndpointAction) -> &Self {
         self.log().next_actions.push_back(act);
         self
     }
 
-    /// Does this with every request that has no act of its own.
+    /// Sets the action for all requests without an action of their own.
     pub(crate) fn set_default_action(&self, act: EndpointAction) -> &Self {
         self.log().default_action = Some(act);
         self
     }
 
-    /// Lets held requests be answered, now and from now on.
+    /// Lets requests with [`EndpointAction::Hold`] complete, now and from now on.
     pub(crate) fn release(&self) {
         self.released.send_replace(true);
     }
 
-    /// Loses track of every connection that is open now: what comes on it vanishes.
+    /// Makes all connections that are open now silent: requests on them get no response.
     pub(crate) fn silence_open_connections(&self) {
         let mut log = self.log();
         log.silent_before_connection = log.accepted_connections;
@@ -114,7 +124,7 @@
         self.log.lock().unwrap()
     }
 
-    /// Returns how many requests came.
+    /// Returns how many requests were received.
     pub(crate) fn request_count(&self) -> usize {
         self.log().request_heads.len()
     }
@@ -161,6 +171,7 @@
     change(&mut log.lock().unwrap());
 }
 
+/// Records a request and returns its action.
 fn start_request(log: &Mutex<RequestLog>, head: &str) -> EndpointAction {
     let mut log = log.lock().unwrap();
     log.running_requests += 1;
@@ -175,6 +186,7 @@
         .unwrap_or(EndpointAction::Answer)
 }
 
+/// Performs an action. Returns whether the connection stays open.
 async fn perform_action(
     act: EndpointAction,
     head: &str,
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway over scripted endpoints.
+//! [`TestGateway`]: a gateway with scripted endpoints.
 
 use std::{
     net::SocketAddr,
@@ -52,12 +52,15 @@
     caller::send_request, //
 };
 
+/// The number of slot shares into which the slots of an endpoint are divided.
 pub(crate) const SHARE_COUNT: u16 = 16;
 
+/// How often a condition is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How long a condition may take to become true.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Builds a gateway of a daemon in the domain `east` that holds all shares.
+/// Builds the gateway of a daemon in the failure domain `east` that holds all shares.
 pub(crate) struct GatewayBuilder {
     settings: GatewaySettings,
     vms: Vec<VmRecord>,
@@ -66,6 +69,7 @@
     rule: IdempotencyRule,
     table: TableStandIn,
     clock: Arc<dyn ClockSource>,
+    /// Whether the address of the gateway is published to the other daemons.
     announces_peer_address: bool,
 }
 
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Has the other daemons know where this one is.
+    /// Publishes the address of the gateway to the other daemons.
     pub(crate) fn with_peer_address(mut self) -> Self {
         self.announces_peer_address = true;
         self
@@ -94,7 +98,7 @@
         self
     }
 
-    /// Adds an endpoint with so many slots, in the domain `east`.
+    /// Adds an endpoint with this many slots in the failure domain `east`.
     pub(crate) fn with_endpoint(self, endpoint: &ScriptedEndpoint, slots: u16) -> Self {
         self.with_endpoint_in(endpoint.address, slots, "east")
     }
@@ -210,7 +214,7 @@
     }
 }
 
-/// A gateway that serves callers.
+/// A running gateway, and handles to what it depends on.
 pub(crate) struct TestGateway {
     pub(crate) address: SocketAddr,
     pub(crate) gateway: Arc<Gateway>,
@@ -226,17 +230,19 @@
         send_request(self.address, &format!("GET {path}"), "", "").await
     }
 
+    /// Sends a booking.
     pub(crate) async fn post(&self, id: &str) -> Reply {
         let headers = format!("x-request-id: {id}\r\n");
         send_request(self.address, "POST /bookings", &headers, "guitar").await
     }
 
+    /// Sends a booking with an idempotency key.
     pub(crate) async fn post_keyed(&self, id: &str, key: &str) -> Reply {
         let headers = format!("x-request-id: {id}\r\nidempotency-key: {key}\r\n");
         send_request(self.address, "POST /bookings", &headers, "guitar").await
     }
 
-    /// Sends a request in a task of its own.
+    /// Sends a booking in a separate task.
     pub(crate) fn spawn_post(&self, id: &str) -> JoinHandle<Reply> {
         let address = self.address;
         let headers = format!("x-request-id: {id}\r\n");
@@ -245,6 +251,7 @@
         )
     }
 
+    /// Makes the daemon hold these shares in a new epoch, unused for the time `idle`.
     pub(crate) fn hold_shares(&self, shares: Range<u16>, idle: Duration) {
         for share in shares {
             self.ownership
@@ -252,6 +259,7 @@
         }
     }
 
+    /// Makes the daemon lose these shares.
     pub(crate) fn release_shares(&self, shares: Range<u16>) {
         for share in shares {
             self.ownership.lose(ResourceId::Slots(share));
@@ -267,7 +275,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition is true.
 pub(crate) async fn wait_until<Condition>(condition: Condition)
 where
     Condition: Fn() -> bool,
@@ -277,10 +285,12 @@
             sleep(POLL_INTERVAL).await;
         }
     };
-    timeout(WAIT_TIMEOUT, held).await.expect("it never held");
+    timeout(WAIT_TIMEOUT, held)
+        .await
+        .expect("the condition did not become true in time");
 }
 
-/// Asks until the answer is 200.
+/// Sends requests until one is answered with 200.
 pub(crate) async fn wait_until_answered<Asking>(asking: Asking)
 where
     Asking: AsyncFn() -> Reply,
@@ -292,5 +302,5 @@
     };
     timeout(WAIT_TIMEOUT, answered)
         .await
-        .expect("it was never answered");
+        .expect("no request was answered with 200 in time");
 }
--- a/crates/gateway/tests/requests/traces.rs
+++ b/crates/gateway/tests/requests/traces.rs
@@ -1,4 +1,4 @@
-//! A span for each hop of a request.
+//! The trace spans of a request, one for each hop.
 
 use std::sync::LazyLock;
 
@@ -14,7 +14,7 @@
     send_request, //
 };
 
-/// The process has one tracer provider: spans are told apart by their trace.
+/// The process has a single tracer provider: tests select their spans by the trace ID.
 static SPAN_EXPORTER: LazyLock<InMemorySpanExporter> = LazyLock::new(|| {
     let exporter = InMemorySpanExporter::default();
     let provider = SdkTracerProvider::builder()
