--- a/crates/gateway/src/delivery.rs
+++ b/crates/gateway/src/delivery.rs
@@ -88,19 +88,19 @@
         let queue = self.trace.map(RequestTrace::start_queue_span);
         let lease = self.class.pool.acquire(self.demand).await?;
         drop(queue);
-        let waited = self
+        let queue_time = self
             .shared
             .clock
             .monotonic()
             .saturating_sub(self.demand.arrival);
-        self.class.metrics.queue_seconds.record(waited);
+        self.class.metrics.queue_seconds.record(queue_time);
         let sent_at = self.shared.clock.monotonic();
         let outcome = self.deliver(lease, request).await;
-        if let Ok(answer) = &outcome
-            && !answer.response.status().is_server_error()
+        if let Ok(endpoint_response) = &outcome
+            && !endpoint_response.response.status().is_server_error()
         {
-            let taken = self.shared.clock.monotonic().saturating_sub(sent_at);
-            self.class.latency().observe(taken);
+            let elapsed = self.shared.clock.monotonic().saturating_sub(sent_at);
+            self.class.latency().observe(elapsed);
         }
         if self.may_have_run && outcome.as_ref().is_ok_and(is_reported_not_run) {
             // The endpoint only reports on its own attempt; an earlier one may have run.
@@ -126,20 +126,22 @@
             let copy = buffered_copy(&request);
             let outcome = self.attempt_hedged(lease, request).await;
             (lease, request) = match outcome {
-                Ok(answer) => match self.retry_after_response(&answer, copy) {
-                    Some(next) => {
-                        let latency = answer.latency;
-                        let connection = Some(answer.connection);
-                        tokio::spawn(drain_response(
-                            answer.response,
-                            answer.lease,
-                            connection,
-                            latency,
-                        ));
-                        next
+                Ok(endpoint_response) => {
+                    match self.retry_after_response(&endpoint_response, copy) {
+                        Some(next) => {
+                            let latency = endpoint_response.latency;
+                            let connection = Some(endpoint_response.connection);
+                            tokio::spawn(drain_response(
+                                endpoint_response.response,
+                                endpoint_response.lease,
+                                connection,
+                                latency,
+                            ));
+                            next
+                        }
+                        None => return Ok(endpoint_response),
                     }
-                    None => return Ok(answer),
-                },
+                }
                 Err(AttemptError::NotRun { refusal, request }) => {
                     reason = refusal;
                     (self.class.pool.acquire(self.demand).await?, request)
@@ -194,12 +196,12 @@
         }
         let latency = self.class.latency();
         let target = self.class.entry.latency_target;
-        let usual = match latency.samples() >= MIN_LATENCY_SAMPLES {
+        let typical_latency = match latency.samples() >= MIN_LATENCY_SAMPLES {
             true => latency.quantile(),
             false => target / DEFAULT_HEDGE_DELAY_DIVISOR,
         };
         Some(
-            usual
+            typical_latency
                 .max(target / MIN_HEDGE_DELAY_DIVISOR)
                 .max(MIN_HEDGE_DELAY),
         )
@@ -208,11 +210,11 @@
     /// Reserves a retry after a response that reports an error, if the request may be sent again.
     fn retry_after_response(
         &mut self,
-        answer: &EndpointResponse,
+        endpoint_response: &EndpointResponse,
         copy: Option<Box<EndpointRequest>>,
     ) -> Option<(SlotLease, Box<EndpointRequest>)> {
-        let status = answer.response.status();
-        let not_run = is_reported_not_run(answer);
+        let status = endpoint_response.response.status();
+        let not_run = is_reported_not_run(endpoint_response);
         let failed = matches!(
             status,
             StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
@@ -288,21 +290,21 @@
 {
     tokio::select! {
         outcome = first.as_mut() => match outcome {
-            Ok(answer) => Ok(answer),
+            Ok(endpoint_response) => Ok(endpoint_response),
             Err(_) => second.await,
         },
         outcome = second.as_mut() => match outcome {
-            Ok(answer) => Ok(answer),
+            Ok(endpoint_response) => Ok(endpoint_response),
             Err(_) => first.await,
         },
     }
 }
 
 /// Returns whether the endpoint itself reports that it did not run the request.
-pub(crate) fn is_reported_not_run(answer: &EndpointResponse) -> bool {
-    let executed = answer.response.headers().get(&EXECUTED);
+pub(crate) fn is_reported_not_run(endpoint_response: &EndpointResponse) -> bool {
+    let executed = endpoint_response.response.headers().get(&EXECUTED);
     let refused = matches!(
-        answer.response.status(),
+        endpoint_response.response.status(),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS
     );
     refused && executed.is_some_and(|value| value.as_bytes() == b"no")
--- a/crates/gateway/src/endpoint_entry.rs
+++ b/crates/gateway/src/endpoint_entry.rs
@@ -115,28 +115,28 @@
     }
 
     /// Returns the number of slots, including those that the endpoint no longer has.
-    pub(crate) fn all_slots(&self) -> u16 {
+    pub(crate) fn slot_count(&self) -> u16 {
         u16::try_from(self.slots.len()).unwrap_or(u16::MAX)
     }
 
     /// Returns the number of slots that the endpoint has now.
-    pub(crate) fn usable_slots(&self) -> u16 {
-        self.declared_slots.min(self.all_slots())
+    pub(crate) fn usable_slot_count(&self) -> u16 {
+        self.declared_slots.min(self.slot_count())
     }
 
     /// Divides the connections of the endpoint among its slots. Half of the connections of a slot
     /// are left to the previous holder of its share, whose last connections the endpoint may still
     /// count.
     pub(crate) fn set_connections(&mut self, connections: u16) {
-        let each = usize::from(connections) / self.slots.len().max(1);
-        self.connections_per_slot = (each / 2).max(1);
+        let per_slot = usize::from(connections) / self.slots.len().max(1);
+        self.connections_per_slot = (per_slot / 2).max(1);
     }
 
     /// Returns whether the endpoint may receive requests now. Its announcement of its shutdown
     /// counts only if `honor_leaving`.
     pub(crate) fn is_usable(&self, now: Duration, honor_leaving: bool) -> bool {
-        let leaves = honor_leaving && self.leaving_backoff.is_active(now);
-        self.open && !leaves && !self.refusal_backoff.is_active(now)
+        let is_leaving = honor_leaving && self.leaving_backoff.is_active(now);
+        self.open && !is_leaving && !self.refusal_backoff.is_active(now)
     }
 
     /// Returns whether none of its slots is in use.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -98,7 +98,7 @@
             return Err(AttemptError::NotRun { refusal, request });
         }
         match send(shared, lease, connection, request, plan).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(SendError::Unknown(refusal)) => return Err(AttemptError::Unknown(refusal)),
             Err(SendError::Unsent(returned_lease, returned_request)) => {
                 (lease, request) = (returned_lease, returned_request)
@@ -125,10 +125,10 @@
 ) -> Result<EndpointResponse, SendError> {
     lease.sent = true;
     let sent_at = shared.clock.monotonic();
-    let answer = Box::pin(connection.sender.try_send_request(*request));
-    let pending = PendingExchange::new(answer, lease, connection, sent_at);
-    let left = plan.give_up_at.saturating_sub(sent_at);
-    let Some((outcome, mut lease, mut connection)) = pending.wait(left).await else {
+    let response_future = Box::pin(connection.sender.try_send_request(*request));
+    let pending = PendingExchange::new(response_future, lease, connection, sent_at);
+    let remaining = plan.give_up_at.saturating_sub(sent_at);
+    let Some((outcome, mut lease, mut connection)) = pending.wait(remaining).await else {
         return Err(SendError::Unknown(Refusal::EndpointTimeout));
     };
     match outcome {
@@ -229,8 +229,8 @@
     if !lease.pool().lock().may_connect(lease.key(), now, 0) {
         return None;
     }
-    let left = plan.give_up_at.saturating_sub(now);
-    let time_limit = plan.connect_timeout.min(left);
+    let remaining = plan.give_up_at.saturating_sub(now);
+    let time_limit = plan.connect_timeout.min(remaining);
     EndpointConnection::connect(lease.address, time_limit, now)
         .await
         .ok()
--- a/crates/gateway/src/header_rules.rs
+++ b/crates/gateway/src/header_rules.rs
@@ -61,14 +61,14 @@
     match first {
         None if request.version() == Version::HTTP_10 => Ok(()),
         None => Err(Refusal::Malformed("it has no Host header")),
-        Some(host) if is_host(host.as_bytes()) => Ok(()),
+        Some(host) if is_valid_host(host.as_bytes()) => Ok(()),
         Some(_) => Err(Refusal::Malformed("its Host header is no host")),
     }
 }
 
-fn is_host(host: &[u8]) -> bool {
-    let legal = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:[]%".contains(byte);
-    host.iter().all(legal)
+fn is_valid_host(host: &[u8]) -> bool {
+    let is_legal = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:[]%".contains(byte);
+    host.iter().all(is_legal)
 }
 
 fn check_framing(headers: &HeaderMap) -> Result<(), Refusal> {
@@ -99,23 +99,23 @@
     if !path.contains(['.', '%']) {
         return Ok(());
     }
-    let plain = path.to_ascii_lowercase();
-    let plain = plain.replace("%2e", ".");
-    let plain = plain
+    let decoded_path = path.to_ascii_lowercase();
+    let decoded_path = decoded_path.replace("%2e", ".");
+    let decoded_path = decoded_path
         .replace("%2f", "/")
         .replace("%5c", "/")
         .replace('\\', "/");
-    let dotted = plain
+    let has_dot_segments = decoded_path
         .split('/')
         .any(|segment| segment == "." || segment == "..");
-    match dotted {
+    match has_dot_segments {
         true => Err(Refusal::Malformed("its path has dot segments")),
         false => Ok(()),
     }
 }
 
 /// Returns the host of a request, without its port.
-pub(crate) fn host_of<Body>(request: &Request<Body>) -> &str {
+pub(crate) fn request_host<Body>(request: &Request<Body>) -> &str {
     if let Some(host) = request.uri().host() {
         return host;
     }
@@ -142,7 +142,7 @@
     headers.remove(TE);
     headers.remove(&FORWARDED);
     headers.append(VIA, VIA_VALUE);
-    add_forwarded(headers, caller);
+    append_forwarded_for(headers, caller);
 }
 
 /// Converts the head of the response of an endpoint into the one that is sent to the caller.
@@ -161,7 +161,7 @@
 }
 
 fn remove_hop_headers(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in connection_options(headers) {
         headers.remove(name);
     }
     headers.remove(CONNECTION);
@@ -174,7 +174,7 @@
 
 /// Returns the headers that `Connection` names, except those that frame or address the message:
 /// otherwise a caller could make the gateway drop the length of a body that it forwards.
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(CONNECTION)
         .iter()
@@ -187,13 +187,13 @@
 }
 
 /// Appends the address of the caller to `X-Forwarded-For`.
-fn add_forwarded(headers: &mut HeaderMap, caller: IpAddr) {
-    let own = caller.to_string();
-    let whole = match headers.get(&FORWARDED_FOR).and_then(|v| v.to_str().ok()) {
-        Some(earlier) => format!("{earlier}, {own}"),
-        None => own,
+fn append_forwarded_for(headers: &mut HeaderMap, caller: IpAddr) {
+    let caller_address = caller.to_string();
+    let forwarded_for = match headers.get(&FORWARDED_FOR).and_then(|v| v.to_str().ok()) {
+        Some(earlier) => format!("{earlier}, {caller_address}"),
+        None => caller_address,
     };
-    if let Ok(value) = HeaderValue::from_str(&whole) {
+    if let Ok(value) = HeaderValue::from_str(&forwarded_for) {
         headers.insert(&FORWARDED_FOR, value);
     }
 }
--- a/crates/gateway/src/key_record.rs
+++ b/crates/gateway/src/key_record.rs
@@ -97,17 +97,17 @@
 
     /// Returns the stored response, marked as replayed.
     pub(crate) fn into_response(self) -> Response<ResponseBody> {
-        let mut answer = Response::new(ResponseBody::buffered(self.body));
-        *answer.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
+        let mut response = Response::new(ResponseBody::buffered(self.body));
+        *response.status_mut() = StatusCode::from_u16(self.status).unwrap_or(StatusCode::OK);
         for (name, value) in self.headers {
             let name = HeaderName::try_from(name);
             let value = HeaderValue::from_bytes(&value);
             if let (Ok(name), Ok(value)) = (name, value) {
-                answer.headers_mut().append(name, value);
+                response.headers_mut().append(name, value);
             }
         }
         let replayed = HeaderValue::from_static("true");
-        answer.headers_mut().insert(&REPLAYED, replayed);
-        answer
+        response.headers_mut().insert(&REPLAYED, replayed);
+        response
     }
 }
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -141,14 +141,14 @@
         writer
             .cast(WriterMessage::Write(write))
             .map_err(|_| Refusal::KeyUnreserved)?;
-        let left = give_up_at.saturating_sub(self.clock.monotonic());
-        let outcome = timeout(left, outcome)
+        let remaining = give_up_at.saturating_sub(self.clock.monotonic());
+        let outcome = timeout(remaining, outcome)
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)?;
         match outcome {
             ReserveOutcome::Refused(refusal) => Err(refusal),
-            ReserveOutcome::Replay(answer) => Ok(KeyDecision::Replay(answer)),
+            ReserveOutcome::Replay(stored_response) => Ok(KeyDecision::Replay(stored_response)),
             ReserveOutcome::Granted(version) => {
                 self.running_requests.send_modify(|count| *count += 1);
                 Ok(KeyDecision::Run(KeyReservation {
@@ -168,8 +168,8 @@
     /// unavailable.
     pub(crate) async fn flush(&self, longest: Duration) {
         let mut running_requests = self.running_requests.subscribe();
-        let over = running_requests.wait_for(|count| *count == 0);
-        if timeout(longest, over).await.is_err() {
+        let all_complete = running_requests.wait_for(|count| *count == 0);
+        if timeout(longest, all_complete).await.is_err() {
             warn!(
                 "[gateway] Requests with idempotency keys are still running after the longest request; not waiting for them."
             );
@@ -177,8 +177,8 @@
         let Some(writer) = self.live_writer() else {
             return;
         };
-        let flushed = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
-        if !matches!(flushed, Ok(CallResult::Success(()))) {
+        let flush_result = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
+        if !matches!(flush_result, Ok(CallResult::Success(()))) {
             error!(
                 "[gateway] The outcomes of some requests with idempotency keys were not written in time."
             );
@@ -199,8 +199,8 @@
             return Ok(writer);
         }
         let state = WriterState::new(Arc::clone(&self.table), Arc::clone(&self.clock));
-        let started = Actor::spawn(None, KeyWriter, state).await;
-        let (writer, _) = started.map_err(|_| Refusal::KeyUnreserved)?;
+        let spawned = Actor::spawn(None, KeyWriter, state).await;
+        let (writer, _) = spawned.map_err(|_| Refusal::KeyUnreserved)?;
         let mut current = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         // Two tasks may have started a writer concurrently: the first one is kept.
         match current.as_ref().filter(|current| is_live(current)) {
@@ -216,8 +216,8 @@
     }
 
     async fn expiry_hour(&self, give_up_at: Duration) -> Result<u64, Refusal> {
-        let left = give_up_at.saturating_sub(self.clock.monotonic());
-        timeout(left, self.hour_counter.expiry_hour_for(self.retention))
+        let remaining = give_up_at.saturating_sub(self.clock.monotonic());
+        timeout(remaining, self.hour_counter.expiry_hour_for(self.retention))
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)
--- a/crates/gateway/src/key_write.rs
+++ b/crates/gateway/src/key_write.rs
@@ -71,7 +71,9 @@
     /// Returns the approximate size of the write in bytes.
     pub(crate) fn encoded_size_estimate(&self) -> usize {
         match &self.record.state {
-            KeyState::Answered(answer) => ROW_OVERHEAD_BYTES + answer.encoded_size_estimate(),
+            KeyState::Answered(stored_response) => {
+                ROW_OVERHEAD_BYTES + stored_response.encoded_size_estimate()
+            }
             _ => ROW_OVERHEAD_BYTES,
         }
     }
@@ -131,7 +133,9 @@
             return self.refuse(Refusal::KeyMismatch);
         }
         match present.state {
-            KeyState::Answered(answer) => self.reply(ReserveOutcome::Replay(answer)),
+            KeyState::Answered(stored_response) => {
+                self.reply(ReserveOutcome::Replay(stored_response))
+            }
             KeyState::AnsweredLarge => self.refuse(Refusal::KeyAnswered),
             _ => self.refuse(Refusal::KeyInUse),
         }
--- a/crates/gateway/src/key_writer.rs
+++ b/crates/gateway/src/key_writer.rs
@@ -190,8 +190,8 @@
     where
         Handle: FnMut(KeyWrite) -> Option<KeyWrite>,
     {
-        let left: Vec<_> = batch.into_iter().filter_map(handle).collect();
-        for write in left.into_iter().rev() {
+        let still_needed: Vec<_> = batch.into_iter().filter_map(handle).collect();
+        for write in still_needed.into_iter().rev() {
             self.pending.push_front(write);
         }
     }
--- a/crates/gateway/src/keyed_delivery.rs
+++ b/crates/gateway/src/keyed_delivery.rs
@@ -33,8 +33,8 @@
     reservation: KeyReservation,
     outcome: Result<Response<ResponseBody>, Refusal>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let answer = match outcome {
-        Ok(answer) => answer,
+    let response = match outcome {
+        Ok(response) => response,
         Err(refusal) => {
             reservation.complete(match refusal.surely_not_run() {
                 true => KeyState::NotRun,
@@ -43,39 +43,42 @@
             return Err(refusal);
         }
     };
-    if answer.headers().contains_key(&EXECUTED) {
+    if response.headers().contains_key(&EXECUTED) {
         // The endpoint itself reported that the request was not run.
         reservation.complete(KeyState::NotRun);
-        return Ok(answer);
+        return Ok(response);
     }
-    if !is_storable(&answer) {
+    if !is_storable(&response) {
         reservation.complete(KeyState::AnsweredLarge);
-        return Ok(answer);
+        return Ok(response);
     }
-    record_small_response(reservation, answer).await
+    record_small_response(reservation, response).await
 }
 
 /// Returns whether the response is known to be small enough to be stored.
-fn is_storable(answer: &Response<ResponseBody>) -> bool {
-    let length = answer.headers().get(CONTENT_LENGTH);
+fn is_storable(response: &Response<ResponseBody>) -> bool {
+    let length = response.headers().get(CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
-    let ended = http_body::Body::is_end_stream(answer.body());
-    ended || length.is_some_and(|length| length <= MAX_STORED_BODY_BYTES)
+    let has_ended = http_body::Body::is_end_stream(response.body());
+    has_ended || length.is_some_and(|length| length <= MAX_STORED_BODY_BYTES)
 }
 
 async fn record_small_response(
     reservation: KeyReservation,
-    answer: Response<ResponseBody>,
+    response: Response<ResponseBody>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let (head, body) = answer.into_parts();
-    let Ok(whole) = Limited::new(body, MAX_STORED_BODY_BYTES).collect().await else {
+    let (head, body) = response.into_parts();
+    let Ok(collected) = Limited::new(body, MAX_STORED_BODY_BYTES).collect().await else {
         reservation.complete(KeyState::Unknown);
         return Err(Refusal::EndpointFailed);
     };
-    let whole: Bytes = whole.to_bytes();
-    let kept = StoredResponse::new(head.status, &head.headers, whole.clone());
-    reservation.complete(KeyState::Answered(kept));
-    Ok(Response::from_parts(head, ResponseBody::buffered(whole)))
+    let collected: Bytes = collected.to_bytes();
+    let stored_response = StoredResponse::new(head.status, &head.headers, collected.clone());
+    reservation.complete(KeyState::Answered(stored_response));
+    Ok(Response::from_parts(
+        head,
+        ResponseBody::buffered(collected),
+    ))
 }
 
 /// Runs a delivery to completion even if the caller disconnects, so that its outcome is recorded.
--- a/crates/gateway/src/peer_directory.rs
+++ b/crates/gateway/src/peer_directory.rs
@@ -89,7 +89,11 @@
     }
 
     /// Returns a random daemon that has slots of a service, except those in `avoid`.
-    pub(crate) fn pick(&self, service: &ServiceName, avoid: &[SocketAddr]) -> Option<SocketAddr> {
+    pub(crate) fn pick_peer(
+        &self,
+        service: &ServiceName,
+        avoid: &[SocketAddr],
+    ) -> Option<SocketAddr> {
         let mut state = self.lock();
         let is_candidate = |peer: &&KnownPeer| {
             peer.record.services.contains(service) && !avoid.contains(&peer.record.address)
--- a/crates/gateway/src/peer_forward.rs
+++ b/crates/gateway/src/peer_forward.rs
@@ -54,7 +54,7 @@
     request.headers_mut().insert(&FORWARDED, forwarded_marker);
     let mut tried = Vec::new();
     while tried.len() < MAX_PEERS_TRIED {
-        let Some(peer) = shared.peers.pick(&class.entry.service, &tried) else {
+        let Some(peer) = shared.peers.pick_peer(&class.entry.service, &tried) else {
             break;
         };
         tried.push(peer);
@@ -69,7 +69,7 @@
         let _span =
             trace.map(|trace| trace.start_attempt_span(peer.to_string(), request.headers_mut()));
         match send_to_peer(shared, connection, request, plan).await {
-            Ok(answer) => return forward_peer_response(answer, &shared.settings),
+            Ok(response) => return forward_peer_response(response, &shared.settings),
             Err(PeerError::Unsent(returned)) => request = returned,
             Err(PeerError::Unknown(refusal)) => return Err(refusal),
         }
@@ -85,11 +85,11 @@
     plan: AttemptPlan,
 ) -> Result<Response<Incoming>, PeerError> {
     let now = shared.clock.monotonic();
-    let left = plan.give_up_at.saturating_sub(now) + PEER_TIMEOUT_MARGIN;
-    let answer = connection.sender.try_send_request(*request);
-    match timeout(left, answer).await {
+    let remaining = plan.give_up_at.saturating_sub(now) + PEER_TIMEOUT_MARGIN;
+    let response = connection.sender.try_send_request(*request);
+    match timeout(remaining, response).await {
         Err(_) => Err(PeerError::Unknown(Refusal::EndpointTimeout)),
-        Ok(Ok(answer)) => Ok(answer),
+        Ok(Ok(response)) => Ok(response),
         Ok(Err(mut error)) => Err(match error.take_message() {
             Some(request) => PeerError::Unsent(Box::new(request)),
             None => PeerError::Unknown(Refusal::EndpointFailed),
--- a/crates/gateway/src/pending_exchange.rs
+++ b/crates/gateway/src/pending_exchange.rs
@@ -39,7 +39,7 @@
 /// disconnected, the deadline passed or another attempt was faster, the endpoint may still be
 /// working on it: a task then waits for the response, and releases the slot only after that.
 pub(crate) struct PendingExchange {
-    answer: Option<SendFuture>,
+    response_future: Option<SendFuture>,
     lease: Option<SlotLease>,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
@@ -49,13 +49,13 @@
 impl PendingExchange {
     /// Creates the exchange of a request that is being sent.
     pub(crate) fn new(
-        answer: SendFuture,
+        response_future: SendFuture,
         lease: SlotLease,
         connection: EndpointConnection,
         sent_at: Duration,
     ) -> Self {
         Self {
-            answer: Some(answer),
+            response_future: Some(response_future),
             lease: Some(lease),
             connection: Some(connection),
             sent_at,
@@ -63,19 +63,19 @@
         }
     }
 
-    /// Waits for the head of the response; returns `None` if the time `left` passes first.
+    /// Waits for the head of the response; returns `None` if the time `remaining` passes first.
     pub(crate) async fn wait(
         mut self,
-        left: Duration,
+        remaining: Duration,
     ) -> Option<(SendResult, SlotLease, EndpointConnection)> {
-        let answer = self.answer.as_mut()?;
-        let Ok(outcome) = timeout(left, answer).await else {
+        let response_future = self.response_future.as_mut()?;
+        let Ok(outcome) = timeout(remaining, response_future).await else {
             self.report_silence();
             // The connection of a request that timed out is not reused.
             self.connection = None;
             return None;
         };
-        self.answer = None;
+        self.response_future = None;
         Some((outcome, self.lease.take()?, self.connection.take()?))
     }
 
@@ -96,7 +96,8 @@
 
 impl Drop for PendingExchange {
     fn drop(&mut self) {
-        let (Some(answer), Some(lease)) = (self.answer.take(), self.lease.take()) else {
+        let (Some(response_future), Some(lease)) = (self.response_future.take(), self.lease.take())
+        else {
             return;
         };
         let Ok(handle) = Handle::try_current() else {
@@ -106,7 +107,7 @@
         let unreported_since = (!self.silence_reported).then_some(self.sent_at);
         let connection = self.connection.take();
         handle.spawn(await_abandoned(
-            answer,
+            response_future,
             lease,
             connection,
             self.sent_at,
@@ -117,21 +118,21 @@
 
 /// Waits for the response of an abandoned exchange, until its slot is known to be free.
 async fn await_abandoned(
-    mut answer: SendFuture,
+    mut response_future: SendFuture,
     lease: SlotLease,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
     unreported_since: Option<Duration>,
 ) {
     let pool = Arc::clone(lease.pool());
-    let longest = pool.settings.longest_request;
+    let longest_request = pool.settings.longest_request;
     let early_result = match unreported_since {
-        Some(sent_at) => await_until_silent(&pool, &mut answer, sent_at).await,
+        Some(sent_at) => await_until_silent(&pool, &mut response_future, sent_at).await,
         None => None,
     };
     let (head, connection) = match early_result {
         Some(head) => (Ok(head), connection),
-        None => (timeout(longest, answer).await, None),
+        None => (timeout(longest_request, response_future).await, None),
     };
     match head {
         Err(_) => lease.release(ExchangeOutcome::TimedOut),
@@ -150,10 +151,10 @@
 /// Returns the response if it arrives before.
 async fn await_until_silent(
     pool: &ServicePool,
-    answer: &mut SendFuture,
+    response_future: &mut SendFuture,
     sent_at: Duration,
 ) -> Option<SendResult> {
-    if let Ok(head) = timeout(pool.silence_timeout(), answer).await {
+    if let Ok(head) = timeout(pool.silence_timeout(), response_future).await {
         return Some(head);
     }
     pool.mark_silent_connections(sent_at);
@@ -168,9 +169,9 @@
     connection: Option<EndpointConnection>,
     latency: Duration,
 ) {
-    let longest = lease.pool().settings.longest_request;
+    let longest_request = lease.pool().settings.longest_request;
     let mut body = response.into_body();
-    let whole = timeout(longest, async {
+    let read_to_end = timeout(longest_request, async {
         while let Some(frame) = body.frame().await {
             if frame.is_err() {
                 return false;
@@ -178,7 +179,7 @@
         }
         true
     });
-    let end = match whole.await {
+    let outcome = match read_to_end.await {
         Ok(true) => ExchangeOutcome::Answered {
             latency,
             verdict: ResponseVerdict::Good,
@@ -187,7 +188,7 @@
         Ok(false) => ExchangeOutcome::Unknown,
         Err(_) => ExchangeOutcome::TimedOut,
     };
-    lease.release(end);
+    lease.release(outcome);
 }
 
 /// Sets the time of the last receipt to now, and drops a closed connection.
--- a/crates/gateway/src/pool_refresh.rs
+++ b/crates/gateway/src/pool_refresh.rs
@@ -43,7 +43,7 @@
         let honor_leaving = state.honor_leaving;
         let entry = &state.endpoints[endpoint];
         let usable = entry.is_usable(now, honor_leaving);
-        for slot in 0..entry.all_slots() {
+        for slot in 0..entry.slot_count() {
             let key = SlotKey {
                 endpoint: EndpointKey(endpoint),
                 slot,
@@ -84,7 +84,7 @@
     let awaiting_shares = state.share_wait_deadline(now).is_some();
     let entry = state.entry(key.endpoint);
     let open = entry.open;
-    let is_declared = key.slot < entry.usable_slots();
+    let is_declared = key.slot < entry.usable_slot_count();
     let slot = state.slot(key);
     let epoch = held.get(&slot.share).filter(|_| is_declared);
     slot.held = epoch.is_some();
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -80,7 +80,7 @@
     pub(crate) honor_leaving: bool,
     /// When a silent connection was last logged.
     pub(crate) silence_warned_at: Option<Duration>,
-    retired: Vec<EndpointKey>,
+    retired_keys: Vec<EndpointKey>,
     rng: SmallRng,
     pick_count: u64,
 }
@@ -113,7 +113,7 @@
             holds_shares: false,
             honor_leaving: true,
             silence_warned_at: None,
-            retired: Vec::new(),
+            retired_keys: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             pick_count: 0,
         }
@@ -155,20 +155,20 @@
         now: Duration,
         avoid: Option<SocketAddr>,
     ) -> Option<SlotKey> {
-        let mut avoided = None;
+        let mut fallback = None;
         while let Some(key) = self.pick_free_slot() {
             if !self.is_usable(key, now) {
                 continue;
             }
-            let unwanted = avoid == Some(self.entry(key.endpoint).address);
-            if unwanted && avoided.is_none() {
-                avoided = Some(key);
+            let is_avoided = avoid == Some(self.entry(key.endpoint).address);
+            if is_avoided && fallback.is_none() {
+                fallback = Some(key);
                 continue;
             }
-            self.add_to_free_list(avoided);
+            self.add_to_free_list(fallback);
             return Some(self.mark_busy(key));
         }
-        avoided.map(|key| self.mark_busy(key))
+        fallback.map(|key| self.mark_busy(key))
     }
 
     /// Records whether any of its shares is held.
@@ -194,7 +194,7 @@
     /// Adds an endpoint, and reuses the entry of a retired one if there is any.
     pub(crate) fn add(&mut self, entry: EndpointEntry) -> EndpointKey {
         let address = entry.address;
-        let key = match self.retired.pop() {
+        let key = match self.retired_keys.pop() {
             Some(key) => {
                 self.endpoints[key.0] = entry;
                 key
@@ -209,22 +209,22 @@
     }
 
     /// Retires the endpoints that are no longer listed and on which no request is in progress.
-    pub(crate) fn retire_unlisted<Listed>(&mut self, listed: Listed)
+    pub(crate) fn retire_unlisted<Listed>(&mut self, is_listed: Listed)
     where
         Listed: Fn(&SocketAddr) -> bool,
     {
         let endpoints = &mut self.endpoints;
-        let retired = &mut self.retired;
+        let retired_keys = &mut self.retired_keys;
         self.by_address.retain(|address, key| {
-            let keep = listed(address) || !endpoints[key.0].is_idle();
+            let keep = is_listed(address) || !endpoints[key.0].is_idle();
             if !keep {
-                retired.push(*key);
+                retired_keys.push(*key);
                 endpoints[key.0].slots.clear();
             }
             keep
         });
         self.free_slots
-            .retain(|key| !retired.contains(&key.endpoint));
+            .retain(|key| !retired_keys.contains(&key.endpoint));
     }
 
     /// Adds a slot to the list of free slots, if it can be picked.
@@ -245,13 +245,14 @@
     /// now and then would have no endpoint left.
     pub(crate) fn update_honor_leaving(&mut self, now: Duration) {
         let open = self.endpoints.iter().filter(|entry| entry.open);
-        let (all, leaving) = open.fold((0, 0), |(all, leaving), entry| {
-            (
-                all + 1,
-                leaving + usize::from(entry.leaving_backoff.is_active(now)),
-            )
-        });
-        self.honor_leaving = leaving * 2 <= all;
+        let (open_count, leaving_count) =
+            open.fold((0, 0), |(open_count, leaving_count), entry| {
+                (
+                    open_count + 1,
+                    leaving_count + usize::from(entry.leaving_backoff.is_active(now)),
+                )
+            });
+        self.honor_leaving = leaving_count * 2 <= open_count;
     }
 
     /// Returns whether any slot of a share is in use.
@@ -276,10 +277,15 @@
             endpoints: &self.endpoints,
             free_slots: &self.free_slots,
         };
-        let mean = self.latency.mean();
+        let mean_latency = self.latency.mean();
         let count = self.free_slots.len();
-        let index =
-            LOAD_BALANCING_POLICY.pick(&candidates, count, self.pick_count, mean, &mut self.rng)?;
+        let index = LOAD_BALANCING_POLICY.pick(
+            &candidates,
+            count,
+            self.pick_count,
+            mean_latency,
+            &mut self.rng,
+        )?;
         self.pick_count = self.pick_count.wrapping_add(1);
         let key = self.free_slots.swap_remove(index);
         self.slot(key).in_free_list = false;
--- a/crates/gateway/src/pool_updater.rs
+++ b/crates/gateway/src/pool_updater.rs
@@ -151,22 +151,23 @@
         let snapshot = Arc::clone(&self.vms.borrow_and_update());
         let pools = self.shared.pools();
         for pool in &pools {
-            let foreign = addresses_in_use(&pools, pool);
-            let executors = snapshot.vms.iter().filter_map(|vm| executor_of(vm, pool));
-            let listed: IndexSet<_> = executors.map(|executor| executor.address).collect();
+            let addresses_in_other_pools = addresses_in_use(&pools, pool);
+            let executors = snapshot.vms.iter().filter_map(|vm| executor_for(vm, pool));
+            let listed_addresses: IndexSet<_> =
+                executors.map(|executor| executor.address).collect();
             let mut state = pool.lock();
             for entry in &mut state.endpoints {
                 entry.open = false;
             }
             for vm in &snapshot.vms {
-                let Some(executor) = executor_of(vm, pool) else {
+                let Some(executor) = executor_for(vm, pool) else {
                     continue;
                 };
-                if !foreign.contains(&executor.address) {
+                if !addresses_in_other_pools.contains(&executor.address) {
                     self.set_endpoint(&mut state, vm, executor, &configuration);
                 }
             }
-            state.retire_unlisted(|address| listed.contains(address));
+            state.retire_unlisted(|address| listed_addresses.contains(address));
         }
     }
 
@@ -180,15 +181,15 @@
     ) {
         let settings = &self.shared.settings;
         let key = endpoint_key(state, executor, settings.slot_shares);
-        let near = vm.domain == settings.domain;
-        let distance = match near {
+        let in_own_domain = vm.domain == settings.domain;
+        let round_trip_time = match in_own_domain {
             true => Duration::ZERO,
             false => settings.cross_domain_round_trip_time,
         };
         let entry = state.entry(key);
-        let domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
-        entry.open = vm.state == VmState::Live && domain_in;
-        entry.score = entry.score.with_round_trip_time(distance);
+        let is_domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
+        entry.open = vm.state == VmState::Live && is_domain_in;
+        entry.score = entry.score.with_round_trip_time(round_trip_time);
         entry.set_connections(executor.connections);
     }
 
@@ -196,8 +197,9 @@
     /// refresh is due. Refreshing all of them at each tick took 5.4% of a core at 8,900 endpoints.
     fn refresh_if_due(&mut self) {
         let held = self.shared.held_shares();
-        let due = self.last_full_refresh + FULL_REFRESH_INTERVAL <= self.shared.clock.monotonic();
-        if due
+        let is_due =
+            self.last_full_refresh + FULL_REFRESH_INTERVAL <= self.shared.clock.monotonic();
+        if is_due
             || held != self.last_held_shares
             || self.shared.refresh_requested.swap(false, Ordering::Relaxed)
         {
@@ -226,7 +228,7 @@
 }
 
 /// Returns the endpoint of the service of a pool on a VM.
-fn executor_of<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
+fn executor_for<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
     vm.executor
         .as_ref()
         .filter(|executor| executor.service == pool.service)
--- a/crates/gateway/src/prepared_request.rs
+++ b/crates/gateway/src/prepared_request.rs
@@ -72,8 +72,8 @@
     if size.is_some_and(|size| size > settings.max_body_bytes) {
         return Err(Refusal::TooLarge);
     }
-    let small = size.filter(|size| *size <= settings.max_buffered_body_bytes);
-    let Some(size) = small else {
+    let buffered_size = size.filter(|size| *size <= settings.max_buffered_body_bytes);
+    let Some(size) = buffered_size else {
         let body =
             RequestBody::streamed(body, settings.max_body_bytes, settings.body_stall_timeout);
         return Ok(PreparedRequest::new(head, body));
@@ -82,26 +82,26 @@
     let permit = Arc::clone(&shared.buffered_body_permits)
         .try_acquire_many_owned(permits)
         .map_err(|_| Refusal::MemoryFull)?;
-    let whole = collect(
+    let collected = collect(
         body,
         settings.max_buffered_body_bytes,
         settings.body_stall_timeout,
     )
     .await?;
     Ok(PreparedRequest {
-        body: whole.clone(),
+        body: collected.clone(),
         _permit: Some(permit),
-        ..PreparedRequest::new(head, RequestBody::buffered(whole))
+        ..PreparedRequest::new(head, RequestBody::buffered(collected))
     })
 }
 
 async fn collect(body: Incoming, max_bytes: u64, time_limit: Duration) -> Result<Bytes, Refusal> {
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
-    let whole = timeout(time_limit, Limited::new(body, max_bytes).collect())
+    let collected = timeout(time_limit, Limited::new(body, max_bytes).collect())
         .await
         .map_err(|_| Refusal::BodyStalled)?;
-    match whole {
-        Ok(whole) => Ok(whole.to_bytes()),
+    match collected {
+        Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(Refusal::TooLarge),
         Err(_) => Err(Refusal::Malformed("its body is cut short or badly framed")),
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -157,7 +157,7 @@
 
     /// Returns when the caller may retry, if a retry can help.
     pub(crate) fn retry_after(self) -> Option<Duration> {
-        let after = match self {
+        let delay = match self {
             Self::Overloaded { retry_after } | Self::QueueFull { retry_after } => retry_after,
             Self::NoEndpoint
             | Self::MemoryFull
@@ -167,12 +167,12 @@
             | Self::KeyInUse => MIN_RETRY_AFTER,
             _ => return None,
         };
-        Some(after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
+        Some(delay.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     /// Returns whether the connection of the caller must be closed, because the rest of the request
     /// was not read.
-    fn ends_connection(self) -> bool {
+    fn closes_connection(self) -> bool {
         matches!(
             self,
             Self::Malformed(_)
@@ -187,9 +187,9 @@
     /// Converts the refusal into a response.
     pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let text = Bytes::from(format!("{self}\n"));
-        let mut answer = Response::new(ResponseBody::buffered(text));
-        *answer.status_mut() = self.status();
-        let headers = answer.headers_mut();
+        let mut response = Response::new(ResponseBody::buffered(text));
+        *response.status_mut() = self.status();
+        let headers = response.headers_mut();
         let executed = match self {
             Self::KeyAnswered => "yes",
             _ if self.surely_not_run() => "no",
@@ -201,14 +201,14 @@
             CONTENT_TYPE,
             HeaderValue::from_static("text/plain; charset=utf-8"),
         );
-        if let Some(after) = self.retry_after() {
-            let secs = after.as_millis().div_ceil(1000);
+        if let Some(delay) = self.retry_after() {
+            let secs = delay.as_millis().div_ceil(1000);
             let secs = u32::try_from(secs).unwrap_or(u32::MAX);
             headers.insert(RETRY_AFTER, HeaderValue::from(secs));
         }
-        if self.ends_connection() {
+        if self.closes_connection() {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     }
 }
--- a/crates/gateway/src/request_handler.rs
+++ b/crates/gateway/src/request_handler.rs
@@ -29,7 +29,7 @@
     },
     header_rules::{
         check_head,
-        host_of, //
+        request_host, //
     },
     key_row::{
         fingerprint,
@@ -76,15 +76,15 @@
     // Heads after a chunked body are not scanned (see `RequestHeadScanner`), so that such a request
     // is the last one on its connection.
     let closes_connection = request.headers().contains_key(TRANSFER_ENCODING);
-    let mut answer = match process_request(&shared, request, caller, arrival).await {
-        Ok(answer) => answer,
+    let mut response = match process_request(&shared, request, caller, arrival).await {
+        Ok(response) => response,
         Err(refusal) => refuse(refusal),
     };
     if closes_connection {
         let close = HeaderValue::from_static("close");
-        answer.headers_mut().insert(CONNECTION, close);
+        response.headers_mut().insert(CONNECTION, close);
     }
-    answer
+    response
 }
 
 fn refuse(refusal: Refusal) -> Response<ResponseBody> {
@@ -104,7 +104,7 @@
     check_head(&request)?;
     let routes = shared.routes();
     let class = routes
-        .find(host_of(&request), request.uri().path())
+        .find(request_host(&request), request.uri().path())
         .ok_or(Refusal::NoRoute)?;
     class.metrics.requests.increment(1);
     let is_http_1_0 = request.version() == Version::HTTP_10;
@@ -133,7 +133,7 @@
         trace,
         prepared,
     };
-    let answer = match key {
+    let response = match key {
         _ if !forwarded && !job.class.pool.can_serve() => job.forward_to_peer().await,
         None => job.deliver().await,
         Some(key) => deliver_keyed(job, &key).await,
@@ -143,7 +143,7 @@
     if elapsed <= class.entry.latency_target {
         class.metrics.within_target.increment(1);
     }
-    Ok(answer)
+    Ok(response)
 }
 
 /// A request that is ready to be sent, with its routing and deadlines.
@@ -161,7 +161,7 @@
     /// Forwards the request to another daemon, which also reserves its idempotency key.
     async fn forward_to_peer(self) -> Result<Response<ResponseBody>, Refusal> {
         self.class.metrics.forwards.increment(1);
-        let answer = forward_to_peer(
+        let response = forward_to_peer(
             &self.shared,
             &self.class,
             self.plan,
@@ -169,9 +169,9 @@
             self.prepared.request,
         )
         .await?;
-        match self.is_http_1_0 && !answer.headers().contains_key(CONTENT_LENGTH) {
-            true => buffer_response(answer, self.shared.settings.max_body_bytes).await,
-            false => Ok(answer),
+        match self.is_http_1_0 && !response.headers().contains_key(CONTENT_LENGTH) {
+            true => buffer_response(response, self.shared.settings.max_body_bytes).await,
+            false => Ok(response),
         }
     }
 
@@ -180,7 +180,7 @@
         let trace = self.trace.as_ref();
         let delivery = Delivery::new(&self.shared, &self.class, self.plan, self.demand, trace);
         let outcome = match delivery.run(self.prepared.request).await {
-            Ok(answer) => forward_response(answer, self.is_http_1_0).await,
+            Ok(response) => forward_response(response, self.is_http_1_0).await,
             Err(refusal) => Err(refusal),
         };
         if let Some(trace) = self.trace {
@@ -223,7 +223,7 @@
         .reserve(row, request_fingerprint, job.plan.give_up_at)
         .await?
     {
-        KeyDecision::Replay(answer) => Ok(answer.into_response()),
+        KeyDecision::Replay(response) => Ok(response.into_response()),
         KeyDecision::Run(reservation) => {
             let delivery = async move { record_outcome(reservation, job.deliver().await).await };
             run_detached(delivery).await
--- a/crates/gateway/src/request_head_scanner.rs
+++ b/crates/gateway/src/request_head_scanner.rs
@@ -61,7 +61,7 @@
         while !bytes.is_empty() {
             bytes = match &mut self.state {
                 ScannerState::Untracked => return,
-                ScannerState::Body(left) => skip_body(left, bytes),
+                ScannerState::Body(remaining_bytes) => skip_body(remaining_bytes, bytes),
                 ScannerState::Head(_) => self.scan_head(bytes),
             };
             if matches!(self.state, ScannerState::Body(0)) {
@@ -91,14 +91,14 @@
             return bytes;
         };
         let buffered_length = buffered.len();
-        let found = match buffered_length {
+        let result = match buffered_length {
             0 => parse_head(bytes),
             _ => {
                 buffered.extend_from_slice(bytes);
                 parse_head(buffered)
             }
         };
-        match found {
+        match result {
             HeadScan::Partial => {
                 self.buffer_partial_head(bytes, buffered_length);
                 &[]
@@ -146,12 +146,12 @@
     }
 }
 
-fn skip_body<'a>(left: &mut u64, bytes: &'a [u8]) -> &'a [u8] {
-    let count = usize::try_from(*left)
+fn skip_body<'a>(remaining_bytes: &mut u64, bytes: &'a [u8]) -> &'a [u8] {
+    let count = usize::try_from(*remaining_bytes)
         .unwrap_or(usize::MAX)
         .min(bytes.len());
     // CAST: a `usize` of the supported targets fits a `u64`.
-    *left -= count as u64;
+    *remaining_bytes -= count as u64;
     &bytes[count..]
 }
 
@@ -166,27 +166,27 @@
 }
 
 fn classify_framing(headers: &[httparse::Header<'_>], size: usize) -> HeadScan {
-    let named = |name: &'static str| {
+    let headers_named = |name: &'static str| {
         headers
             .iter()
             .filter(move |header| header.name.eq_ignore_ascii_case(name))
     };
-    let lengths = named("content-length").count();
-    let chunked = named("transfer-encoding").next().is_some();
-    if lengths > 1 || (lengths == 1 && chunked) {
+    let lengths = headers_named("content-length").count();
+    let is_chunked = headers_named("transfer-encoding").next().is_some();
+    if lengths > 1 || (lengths == 1 && is_chunked) {
         return HeadScan::Untracked {
             ambiguous_length: true,
         };
     }
-    if chunked && !is_last_coding_chunked(headers) {
+    if is_chunked && !is_last_coding_chunked(headers) {
         return HeadScan::Malformed;
     }
-    if chunked {
+    if is_chunked {
         return HeadScan::Untracked {
             ambiguous_length: false,
         };
     }
-    let length = named("content-length").next();
+    let length = headers_named("content-length").next();
     let length = length.map_or(Some(0), |header| {
         let digits = header.value.iter().all(u8::is_ascii_digit);
         let text = str::from_utf8(header.value).ok().filter(|_| digits)?;
@@ -198,7 +198,7 @@
     }
 }
 
-/// Returns whether `chunked` is the last transfer coding.
+/// Returns whether `is_chunked` is the last transfer coding.
 fn is_last_coding_chunked(headers: &[httparse::Header<'_>]) -> bool {
     let last_header = headers
         .iter()
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -75,17 +75,19 @@
     /// Forwards the response of an endpoint. The slot is released once the complete body has
     /// arrived.
     pub(crate) fn from_endpoint(
-        answer: EndpointResponse,
+        endpoint_response: EndpointResponse,
         verdict: ResponseVerdict,
     ) -> Response<Self> {
-        let settings = &answer.lease.pool().settings;
+        let settings = &endpoint_response.lease.pool().settings;
         let stall_timeout = settings.body_stall_timeout;
-        let longest = settings.longest_request.saturating_sub(answer.latency);
-        let (head, incoming) = answer.response.into_parts();
+        let remaining_time = settings
+            .longest_request
+            .saturating_sub(endpoint_response.latency);
+        let (head, incoming) = endpoint_response.response.into_parts();
         let slot = ResponseSlot {
-            lease: answer.lease,
-            connection: answer.connection,
-            latency: answer.latency,
+            lease: endpoint_response.lease,
+            connection: endpoint_response.connection,
+            latency: endpoint_response.latency,
             verdict,
         };
         if incoming.is_end_stream() {
@@ -97,7 +99,7 @@
             slot: Some(slot),
             stall_timeout,
             stall_timer: None,
-            deadline_timer: Box::pin(sleep(longest)),
+            deadline_timer: Box::pin(sleep(remaining_time)),
         };
         Response::from_parts(head, Self::Streamed(Box::new(streamed)))
     }
@@ -106,10 +108,10 @@
 impl ResponseBody {
     /// Forwards the response of another daemon.
     pub(crate) fn from_peer(
-        answer: Response<Incoming>,
+        peer_response: Response<Incoming>,
         settings: &GatewaySettings,
     ) -> Response<Self> {
-        answer.map(|incoming| match incoming.is_end_stream() {
+        peer_response.map(|incoming| match incoming.is_end_stream() {
             true => Self::Buffered(Full::default()),
             false => Self::Streamed(Box::new(StreamedResponse {
                 incoming: Some(incoming),
@@ -222,21 +224,21 @@
                 let frame = Pin::new(body).poll_frame(context);
                 frame.map_err(|never| match never {})
             }
-            Self::Streamed(answer) => answer.poll(context),
+            Self::Streamed(streamed) => streamed.poll(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Buffered(body) => body.is_end_stream(),
-            Self::Streamed(answer) => answer.incoming.is_none(),
+            Self::Streamed(streamed) => streamed.incoming.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => body.size_hint(),
-            Self::Streamed(answer) => answer
+            Self::Streamed(streamed) => streamed
                 .incoming
                 .as_ref()
                 .map_or_else(|| SizeHint::with_exact(0), Body::size_hint),
--- a/crates/gateway/src/response_rules.rs
+++ b/crates/gateway/src/response_rules.rs
@@ -38,29 +38,32 @@
 
 /// Converts the response of an endpoint into the one for the caller.
 pub(crate) async fn forward_response(
-    mut answer: EndpointResponse,
+    mut endpoint_response: EndpointResponse,
     is_http_1_0: bool,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let verdict = response_verdict(&answer);
-    let framed = is_framed(&answer.response);
-    if !framed || answer.response.status() == StatusCode::SWITCHING_PROTOCOLS {
+    let verdict = response_verdict(&endpoint_response);
+    let has_framing = is_framed(&endpoint_response.response);
+    if !has_framing || endpoint_response.response.status() == StatusCode::SWITCHING_PROTOCOLS {
         // A response that ends where its connection ends cannot be told from a truncated one.
         tokio::spawn(drain_response(
-            answer.response,
-            answer.lease,
+            endpoint_response.response,
+            endpoint_response.lease,
             None,
-            answer.latency,
+            endpoint_response.latency,
         ));
         return Err(Refusal::EndpointFailed);
     }
-    if !is_reported_not_run(&answer) {
-        answer.response.headers_mut().remove(&EXECUTED);
+    if !is_reported_not_run(&endpoint_response) {
+        endpoint_response.response.headers_mut().remove(&EXECUTED);
     }
-    let sized = answer.response.headers().contains_key(CONTENT_LENGTH);
-    prepare_response_head(answer.response.headers_mut());
-    let max_bytes = answer.lease.pool().settings.max_body_bytes;
-    let response = ResponseBody::from_endpoint(answer, verdict);
-    match is_http_1_0 && !sized {
+    let has_length = endpoint_response
+        .response
+        .headers()
+        .contains_key(CONTENT_LENGTH);
+    prepare_response_head(endpoint_response.response.headers_mut());
+    let max_bytes = endpoint_response.lease.pool().settings.max_body_bytes;
+    let response = ResponseBody::from_endpoint(endpoint_response, verdict);
+    match is_http_1_0 && !has_length {
         true => buffer_response(response, max_bytes).await,
         false => Ok(response),
     }
@@ -68,14 +71,14 @@
 
 /// Converts the response of another daemon into the one for the caller.
 pub(crate) fn forward_peer_response(
-    mut answer: Response<Incoming>,
+    mut peer_response: Response<Incoming>,
     settings: &GatewaySettings,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    if !is_framed(&answer) || answer.status() == StatusCode::SWITCHING_PROTOCOLS {
+    if !is_framed(&peer_response) || peer_response.status() == StatusCode::SWITCHING_PROTOCOLS {
         return Err(Refusal::EndpointFailed);
     }
-    prepare_response_head(answer.headers_mut());
-    Ok(ResponseBody::from_peer(answer, settings))
+    prepare_response_head(peer_response.headers_mut());
+    Ok(ResponseBody::from_peer(peer_response, settings))
 }
 
 /// Reads a response completely, for a caller that uses HTTP/1.0: the end of the connection would be
@@ -86,13 +89,13 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     let (head, body) = response.into_parts();
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
-    let whole = Limited::new(body, max_bytes)
+    let collected = Limited::new(body, max_bytes)
         .collect()
         .await
         .map_err(|_| Refusal::EndpointFailed)?;
     Ok(Response::from_parts(
         head,
-        ResponseBody::buffered(whole.to_bytes()),
+        ResponseBody::buffered(collected.to_bytes()),
     ))
 }
 
@@ -103,13 +106,13 @@
         || has_token(response.headers(), TRANSFER_ENCODING, "chunked")
 }
 
-fn response_verdict(answer: &EndpointResponse) -> ResponseVerdict {
-    let status = answer.response.status();
+fn response_verdict(endpoint_response: &EndpointResponse) -> ResponseVerdict {
+    let status = endpoint_response.response.status();
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        let requested = requested_backoff(&answer.response);
+        let requested = requested_backoff(&endpoint_response.response);
         return ResponseVerdict::Refusing { requested };
     }
-    let closes = has_token(answer.response.headers(), CONNECTION, "close");
+    let closes = has_token(endpoint_response.response.headers(), CONNECTION, "close");
     match status.is_server_error() {
         true => ResponseVerdict::Failed,
         false if closes => ResponseVerdict::Closing,
--- a/crates/gateway/src/route_snapshot.rs
+++ b/crates/gateway/src/route_snapshot.rs
@@ -64,13 +64,13 @@
                 entry: Arc::new(entry.clone()),
                 pool: pool_of(entry),
                 metrics: Arc::new(ClassMetrics::new(&entry.class)),
-                latency: earlier.latency_of(&entry.class),
+                latency: earlier.latency_estimate_for(&entry.class),
             })
             .collect();
         Self { table, classes }
     }
 
-    fn latency_of(&self, name: &ClassName) -> Arc<Mutex<LatencyEstimate>> {
+    fn latency_estimate_for(&self, name: &ClassName) -> Arc<Mutex<LatencyEstimate>> {
         let known = self.classes.iter().find(|class| class.entry.class == *name);
         known.map_or_else(
             || Arc::new(Mutex::new(LatencyEstimate::new(HEDGE_QUANTILE))),
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -164,11 +164,13 @@
         };
         let _queue_guard = QueueGuard { pool: self, key };
         let now = self.clock.monotonic();
-        let awaited = self.lock().share_wait_deadline(now);
-        let until = demand.deadline.min(awaited.unwrap_or(demand.deadline));
-        match timeout(until.saturating_sub(now), reply).await {
+        let share_deadline = self.lock().share_wait_deadline(now);
+        let wait_deadline = demand
+            .deadline
+            .min(share_deadline.unwrap_or(demand.deadline));
+        match timeout(wait_deadline.saturating_sub(now), reply).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) | Err(_) if awaited.is_some() => Err(Refusal::NoEndpoint),
+            Ok(Err(_)) | Err(_) if share_deadline.is_some() => Err(Refusal::NoEndpoint),
             Ok(Err(_)) | Err(_) => Err(Refusal::QueueTimeout),
         }
     }
@@ -188,10 +190,10 @@
         }
         state.apply_outcome(&self.settings, key, outcome, now);
         state.add_to_free_list(Some(key));
-        let wanted = !state.queue.is_empty();
+        let has_waiters = !state.queue.is_empty();
         drop(state);
         self.slot_idle.notify_waiters();
-        if wanted {
+        if has_waiters {
             self.assign_free_slots();
         }
     }
@@ -214,8 +216,8 @@
     /// Returns for how long an abandoned exchange may receive nothing before its connection counts
     /// as silent.
     pub(crate) fn silence_timeout(&self) -> Duration {
-        let usual = self.lock().latency.quantile() * SILENCE_LATENCY_MULTIPLE;
-        usual.clamp(MIN_SILENCE_TIMEOUT, MAX_SILENCE_TIMEOUT)
+        let typical_timeout = self.lock().latency.quantile() * SILENCE_LATENCY_MULTIPLE;
+        typical_timeout.clamp(MIN_SILENCE_TIMEOUT, MAX_SILENCE_TIMEOUT)
     }
 
     /// Records that a connection received nothing since `sent_at`: connections that were idle for
@@ -287,9 +289,9 @@
         if admission.slot_count == 0 && state.share_wait_deadline(now).is_none() {
             return Err(Refusal::NoEndpoint);
         }
-        let left = demand.deadline.saturating_sub(now);
+        let remaining = demand.deadline.saturating_sub(now);
         if admission.slot_count > 0
-            && let AdmissionDecision::Refuse { retry_after } = admission.decide(left)
+            && let AdmissionDecision::Refuse { retry_after } = admission.decide(remaining)
         {
             return Err(Refusal::Overloaded { retry_after });
         }
@@ -325,9 +327,9 @@
 /// Removes and returns the next request that can still meet its target. Requests before it that
 /// cannot are refused at once, so that the slot goes to one that it can help.
 fn next_waiter(state: &mut PoolState, now: Duration) -> Option<SlotWaiter> {
-    let needed = state.slot_hold_time.mean();
+    let expected_hold_time = state.slot_hold_time.mean();
     while let Some(waiter) = state.queue.pop(now) {
-        if now + needed <= waiter.deadline {
+        if now + expected_hold_time <= waiter.deadline {
             return Some(waiter);
         }
         // Best effort: a waiter may have stopped waiting.
