--- a/crates/gateway/src/request_head_scanner.rs
+++ b/crates/gateway/src/request_head_scanner.rs
@@ -12,6 +12,8 @@
 /// such requests and picks one of the lengths. A proxy between the caller and this gateway may have
 /// picked the other one, and would take the rest of the body for the head of another request
 /// (request smuggling).
+///
+/// It also detects a malformed or oversized first head, to which the gateway responds itself.
 #[derive(Debug)]
 pub(crate) struct RequestHeadScanner {
     state: ScannerState,
--- a/crates/gateway/tests/requests/at_most_once.rs
+++ b/crates/gateway/tests/requests/at_most_once.rs
@@ -13,15 +13,15 @@
 
 const TARGET: Duration = Duration::from_millis(200);
 
-/// Sends one booking while both endpoints perform `act`. Returns the reply and how often the
+/// Sends one booking while both endpoints perform `action`. Returns the reply and how often the
 /// booking ran.
-async fn post_booking(act: EndpointAction) -> (Reply, u32) {
+async fn post_booking(action: EndpointAction) -> (Reply, u32) {
     let (first, second) = (
         ScriptedEndpoint::start().await,
         ScriptedEndpoint::start().await,
     );
-    first.set_default_action(act.clone());
-    second.set_default_action(act);
+    first.set_default_action(action.clone());
+    second.set_default_action(action);
     let gateway = GatewayBuilder::new()
         .with_endpoint(&first, 2)
         .with_endpoint(&second, 2)
@@ -55,8 +55,8 @@
             502,
         ),
     ];
-    for (case, act, status) in cases {
-        let (reply, run_count) = post_booking(act).await;
+    for (case, action, status) in cases {
+        let (reply, run_count) = post_booking(action).await;
         assert_eq!(
             (reply.status, reply.executed()),
             (status, Some("unknown")),
@@ -75,7 +75,7 @@
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n",
     ] {
         let (reply, run_count) = post_booking(EndpointAction::Close(part)).await;
-        assert!(!reply.whole, "{reply:?}");
+        assert!(!reply.is_complete, "{reply:?}");
         assert_eq!(run_count, 1);
     }
 }
--- a/crates/gateway/tests/requests/forwarding.rs
+++ b/crates/gateway/tests/requests/forwarding.rs
@@ -17,7 +17,7 @@
         .await;
     let reply = gateway.get("/slots?day=1").await;
     assert_eq!((reply.status, reply.body.as_str()), (200, "/slots?day=1"));
-    assert!(reply.whole);
+    assert!(reply.is_complete);
 }
 
 #[tokio::test]
@@ -79,12 +79,12 @@
         .await;
     let large = "x".repeat(200_000);
     let reply = send_request(gateway.address, "POST /a", "", &large).await;
-    assert_eq!((reply.body.as_str(), reply.whole), ("abcde", true));
+    assert_eq!((reply.body.as_str(), reply.is_complete), ("abcde", true));
     assert!(endpoint.log().request_heads[0].ends_with(&large));
     let text =
         "POST /a HTTP/1.1\r\nhost: shop\r\ntransfer-encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let reply = send_raw(gateway.address, text).await;
-    assert_eq!((reply.status, reply.whole), (200, true));
+    assert_eq!((reply.status, reply.is_complete), (200, true));
 }
 
 #[tokio::test]
--- a/crates/gateway/tests/requests/peer_forwarding.rs
+++ b/crates/gateway/tests/requests/peer_forwarding.rs
@@ -49,7 +49,7 @@
 // report of the other daemon is returned to the caller.
 #[tokio::test]
 async fn a_forwarded_booking_runs_at_most_once() {
-    for (act, executed) in [
+    for (action, executed) in [
         (EndpointAction::Close(""), Some("unknown")),
         (
             EndpointAction::Raw(
@@ -60,7 +60,7 @@
     ] {
         let endpoint = ScriptedEndpoint::start().await;
         let (_holder, forwarder) = start_holder_and_forwarder(&endpoint).await;
-        endpoint.set_default_action(act);
+        endpoint.set_default_action(action);
         let reply = forwarder.post("a").await;
         assert!(reply.status >= 500);
         assert_eq!(reply.executed(), executed);
--- a/crates/gateway/tests/requests/planned_stop.rs
+++ b/crates/gateway/tests/requests/planned_stop.rs
@@ -44,7 +44,7 @@
         if let Ok(reply) = reply
             && reply.status != 0
         {
-            assert!(reply.status == 200 && reply.whole, "{reply:?}");
+            assert!(reply.status == 200 && reply.is_complete, "{reply:?}");
             answered += 1;
         }
     }
--- a/crates/gateway/tests/requests/refusals.rs
+++ b/crates/gateway/tests/requests/refusals.rs
@@ -80,7 +80,7 @@
             if rule == IdempotencyRule::Never {
                 assert!(run_count <= 1, "seed {seed}, request {id}");
             }
-            if reply.status == 200 && reply.whole {
+            if reply.status == 200 && reply.is_complete {
                 assert_eq!(reply.body, "/bookings", "seed {seed}, request {id}");
             }
         }
--- a/crates/gateway/tests/requests/request_smuggling.rs
+++ b/crates/gateway/tests/requests/request_smuggling.rs
@@ -113,9 +113,15 @@
             "POST /a HTTP/1.1\r\nhost: shop\r\ntransfer-encoding: chunked\r\n\r\n{size}\r\nabc\r\n0\r\n\r\n{HIDDEN_REQUEST}"
         );
         let reply = send_raw(gateway.address, &text).await;
-        assert!(reply.status >= 400 || !reply.whole, "{size:?}: {reply:?}");
-        let whole = |head: &String| head.contains(" /hidden ");
-        assert!(!endpoint.log().request_heads.iter().any(whole), "{size:?}");
+        assert!(
+            reply.status >= 400 || !reply.is_complete,
+            "{size:?}: {reply:?}"
+        );
+        let is_hidden_request = |head: &String| head.contains(" /hidden ");
+        assert!(
+            !endpoint.log().request_heads.iter().any(is_hidden_request),
+            "{size:?}"
+        );
     }
 }
 
--- a/crates/gateway/tests/requests/response_integrity.rs
+++ b/crates/gateway/tests/requests/response_integrity.rs
@@ -36,19 +36,19 @@
         ),
         EndpointAction::Raw("HTTP/9.9 200 OK\r\n\r\n"),
     ];
-    for act in broken {
+    for action in broken {
         for version in ["1.1", "1.0"] {
             let endpoint = ScriptedEndpoint::start().await;
-            endpoint.set_default_action(act.clone());
+            endpoint.set_default_action(action.clone());
             let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
             let gateway = builder.start().await;
             let text = format!(
                 "POST /a HTTP/{version}\r\nhost: shop\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
             );
             let reply = send_raw(gateway.address, &text).await;
-            let error = reply.whole && reply.status == 502;
-            let aborted = !reply.whole;
-            assert!(error || aborted, "{act:?} to HTTP/{version}: {reply:?}");
+            let error = reply.is_complete && reply.status == 502;
+            let aborted = !reply.is_complete;
+            assert!(error || aborted, "{action:?} to HTTP/{version}: {reply:?}");
         }
     }
 }
@@ -67,7 +67,7 @@
         .start()
         .await;
     let reply = gateway.post("a").await;
-    assert!(!reply.whole, "{reply:?}");
+    assert!(!reply.is_complete, "{reply:?}");
 }
 
 // A chunked response is truncated, and its caller uses HTTP/1.0, where the end of the connection is
--- a/crates/gateway/tests/requests/slot_limits.rs
+++ b/crates/gateway/tests/requests/slot_limits.rs
@@ -115,12 +115,12 @@
 // the slot must not be reused yet.
 #[tokio::test]
 async fn the_slot_of_an_aborted_exchange_is_not_reused_for_the_longest_request() {
-    for act in [
+    for action in [
         EndpointAction::Close(""),
         EndpointAction::Close("HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nab"),
     ] {
         let endpoint = ScriptedEndpoint::start().await;
-        endpoint.push_action(act);
+        endpoint.push_action(action);
         let builder = builder_with_short_timeout(&endpoint, 1);
         let gateway = builder
             .with_settings(|settings| settings.with_longest_request(3 * REQUEST_TIMEOUT))
--- a/crates/gateway/tests/requests/support/caller.rs
+++ b/crates/gateway/tests/requests/support/caller.rs
@@ -27,7 +27,7 @@
     /// The decoded body.
     pub(crate) body: String,
     /// Whether the framing shows that the body is complete.
-    pub(crate) whole: bool,
+    pub(crate) is_complete: bool,
 }
 
 impl Reply {
@@ -39,13 +39,13 @@
             status: status.unwrap_or(0),
             head: head.to_ascii_lowercase(),
             body: body.to_owned(),
-            whole: closed_cleanly && status.is_some(),
+            is_complete: closed_cleanly && status.is_some(),
         };
         if reply.header("transfer-encoding").is_some() {
-            reply.whole = body.ends_with("0\r\n\r\n");
+            reply.is_complete = body.ends_with("0\r\n\r\n");
             reply.body = decode_chunked(body);
         } else if let Some(length) = reply.header("content-length") {
-            reply.whole = length.parse() == Ok(body.len());
+            reply.is_complete = length.parse() == Ok(body.len());
         }
         reply
     }
@@ -53,7 +53,9 @@
     /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let mut lines = self.head.lines().filter_map(|line| line.split_once(": "));
-        lines.find(|(own, _)| *own == name).map(|(_, value)| value)
+        lines
+            .find(|(header, _)| *header == name)
+            .map(|(_, value)| value)
     }
 
     /// Returns the `Jasminebend-Executed` header: whether the request was run.
@@ -69,16 +71,16 @@
 
 /// Decodes a chunked body, up to the first error.
 fn decode_chunked(mut rest: &str) -> String {
-    let mut whole = String::new();
+    let mut decoded = String::new();
     while let Some((size, tail)) = rest.split_once("\r\n") {
         let size = usize::from_str_radix(size, 16).unwrap_or(0);
         let Some(part) = tail.get(..size).filter(|_| size > 0) else {
             break;
         };
-        whole.push_str(part);
+        decoded.push_str(part);
         rest = tail[size..].trim_start_matches("\r\n");
     }
-    whole
+    decoded
 }
 
 /// Opens a connection and sends bytes on it.
--- a/crates/gateway/tests/requests/support/scripted_endpoint.rs
+++ b/crates/gateway/tests/requests/support/scripted_endpoint.rs
@@ -98,14 +98,14 @@
     }
 
     /// Adds an action for the next request that has none yet.
-    pub(crate) fn push_action(&self, act: EndpointAction) -> &Self {
-        self.log().next_actions.push_back(act);
+    pub(crate) fn push_action(&self, action: EndpointAction) -> &Self {
+        self.log().next_actions.push_back(action);
         self
     }
 
     /// Sets the action for all requests without an action of their own.
-    pub(crate) fn set_default_action(&self, act: EndpointAction) -> &Self {
-        self.log().default_action = Some(act);
+    pub(crate) fn set_default_action(&self, action: EndpointAction) -> &Self {
+        self.log().default_action = Some(action);
         self
     }
 
@@ -154,8 +154,8 @@
             while stream.read(&mut [0; 64]).await.is_ok_and(|read| read > 0) {}
             break;
         }
-        let act = start_request(&log, &head);
-        let open = perform_action(act, &head, &mut stream, released.clone()).await;
+        let action = start_request(&log, &head);
+        let open = perform_action(action, &head, &mut stream, released.clone()).await;
         update_log(&log, |log| log.running_requests -= 1);
         if !open {
             break;
@@ -188,12 +188,12 @@
 
 /// Performs an action. Returns whether the connection stays open.
 async fn perform_action(
-    act: EndpointAction,
+    action: EndpointAction,
     head: &str,
     stream: &mut TcpStream,
     mut released: watch::Receiver<bool>,
 ) -> bool {
-    match act {
+    match action {
         EndpointAction::Answer => send_path_response(head, stream).await,
         EndpointAction::Hold => {
             released.wait_for(|released| *released).await.ok();
@@ -251,6 +251,6 @@
 fn header_field(head: &str, name: &str) -> Option<String> {
     let mut lines = head.lines().filter_map(|line| line.split_once(": "));
     lines
-        .find(|(own, _)| own.eq_ignore_ascii_case(name))
+        .find(|(header, _)| header.eq_ignore_ascii_case(name))
         .map(|(_, value)| value.to_owned())
 }
