--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -45,8 +45,10 @@
 /// to a head in progress.
 pub(crate) struct CallerStream {
     stream: TcpStream,
+    /// How long a write may be pending.
     stall_timeout: Duration,
     write_timer: Option<Pin<Box<Sleep>>>,
+    /// How long the head of a request may take to arrive.
     head_timeout: Duration,
     head_timer: Option<Pin<Box<Sleep>>>,
     head_scanner: RequestHeadScanner,
--- a/crates/gateway/src/class_metrics.rs
+++ b/crates/gateway/src/class_metrics.rs
@@ -11,13 +11,13 @@
 
 /// Connections to endpoints that were found silent, by service.
 pub(crate) const SILENT_CONNECTIONS_METRIC: &str = "jasminebend_gateway_silent_connections_total";
-/// Requests to which the gateway itself responded, by reason.
+/// Requests to which the gateway itself responded, by class and reason.
 pub(crate) const REFUSALS_METRIC: &str = "jasminebend_gateway_refusals_total";
 /// Open connections of callers.
 pub(crate) const CALLERS_METRIC: &str = "jasminebend_gateway_callers";
 /// Slots that are held, usable and not of unknown outcome, by service.
 pub(crate) const SERVING_SLOTS_METRIC: &str = "jasminebend_gateway_serving_slots";
-/// Slots whose last request was abandoned or has an unknown outcome, by service.
+/// Slots whose last request has an unknown outcome, by service.
 pub(crate) const UNKNOWN_SLOTS_METRIC: &str = "jasminebend_gateway_unknown_slots";
 /// Requests that wait for a slot, by service.
 pub(crate) const WAITING_REQUESTS_METRIC: &str = "jasminebend_gateway_waiting_requests";
--- a/crates/gateway/src/delivery.rs
+++ b/crates/gateway/src/delivery.rs
@@ -35,7 +35,7 @@
 
 /// The most times that a request is sent, hedged attempts included.
 const MAX_SENDS: u32 = 3;
-/// The most endpoints tried for a request, including those that no connection could be opened to.
+/// The most attempts for a request, including those for which no connection could be opened.
 const MAX_ATTEMPTS: u32 = 8;
 /// The fewest latency samples from which the hedge delay is derived.
 const MIN_LATENCY_SAMPLES: u64 = 100;
@@ -120,7 +120,7 @@
         mut lease: SlotLease,
         mut request: Box<EndpointRequest>,
     ) -> Result<EndpointResponse, Refusal> {
-        let mut reason = Refusal::Unconnected;
+        let mut last_refusal = Refusal::Unconnected;
         for _ in 0..MAX_ATTEMPTS {
             self.demand.avoid = Some(lease.address);
             let copy = buffered_copy(&request);
@@ -143,7 +143,7 @@
                     }
                 }
                 Err(AttemptError::NotRun { refusal, request }) => {
-                    reason = refusal;
+                    last_refusal = refusal;
                     (self.class.pool.acquire(self.demand).await?, request)
                 }
                 Err(AttemptError::Unknown(refusal)) => {
@@ -152,7 +152,7 @@
                 }
             };
         }
-        Err(reason)
+        Err(last_refusal)
     }
 
     /// Makes an attempt, and a hedged one in parallel if the first takes longer than most.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -53,8 +53,11 @@
 /// [`Gateway::drain`].
 pub struct Gateway {
     shared: Arc<GatewayState>,
+    /// The running [`PoolUpdater`], or `None` before it has started.
     pool_updater: Mutex<Option<ActorRef<PoolUpdaterMessage>>>,
+    /// Becomes true when the gateway drains.
     stop: watch::Sender<bool>,
+    /// The number of listeners that are being served.
     open_listeners: watch::Sender<usize>,
     key_sweeper_task: AbortHandle,
     peer_directory_task: AbortHandle,
--- a/crates/gateway/src/gateway_edges.rs
+++ b/crates/gateway/src/gateway_edges.rs
@@ -25,6 +25,6 @@
     pub table: Arc<dyn TableService>,
     /// The clock by which all deadlines are computed.
     pub clock: Arc<dyn ClockSource>,
-    /// Seeds the random choices between endpoints. Idempotency reservations do not use it.
+    /// The seed of all random choices.
     pub seed: u64,
 }
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -2,8 +2,7 @@
 
 use http::HeaderName;
 
-/// Whether a request that was not answered was run: `no` or `unknown`; `yes` if it was run but its
-/// response is not stored.
+/// Whether a request that was not answered was run: `no` or `unknown`.
 pub(crate) static EXECUTED: HeaderName = HeaderName::from_static("jasminebend-executed");
 
 /// The reason for which the gateway itself responded, as one word.
--- a/crates/gateway/src/hour_counter.rs
+++ b/crates/gateway/src/hour_counter.rs
@@ -21,20 +21,25 @@
 };
 use rand::rngs::StdRng;
 
+/// The row of the count, as a big-endian `u64`.
 const HOURS_ROW: &str = "request-keys/hours";
+/// How long the count must be unchanged before a daemon advances it.
 const HOUR: Duration = Duration::from_secs(60 * 60);
 /// For how long a count that was read may be used without reading it again.
 const HOUR_CACHE_TTL: Duration = Duration::from_secs(60);
-/// Added to the retention: one hour because the current one has already begun, as the count may
-/// also have advanced since it was read.
+/// One for the hour that has already begun, and one for a count that has advanced since it was
+/// read.
 const EXPIRY_MARGIN_HOURS: u64 = 1;
 
 /// The count as last read, and since when this version of its row is known.
 #[derive(Clone, Copy, Debug)]
 struct ObservedHour {
     hour: u64,
+    /// The version of the row, or `None` if there is no row yet.
     version: Option<RowVersion>,
+    /// When this version was first read, on the monotonic clock.
     first_seen: Duration,
+    /// When the last read of the row began, on the monotonic clock.
     read_at: Duration,
 }
 
@@ -70,19 +75,14 @@
 
     /// Returns the count, after advancing it if it was unchanged for an hour.
     pub(crate) async fn advance(&self, rng: &mut StdRng) -> Result<u64, TableError> {
-        let last_observed = self.read().await?;
-        if self
-            .clock
-            .monotonic()
-            .saturating_sub(last_observed.first_seen)
-            < HOUR
-        {
-            return Ok(last_observed.hour);
+        let observed = self.read().await?;
+        if self.clock.monotonic().saturating_sub(observed.first_seen) < HOUR {
+            return Ok(observed.hour);
         }
-        let expected = last_observed
+        let expected = observed
             .version
             .map_or(RowExpectation::Absent, RowExpectation::Version);
-        let value = (last_observed.hour + 1).to_be_bytes().to_vec();
+        let value = (observed.hour + 1).to_be_bytes().to_vec();
         let change = RowChange::put(HOURS_ROW, expected, value);
         self.table.commit(WriteId::new(rng), vec![change]).await?;
         Ok(self.read().await?.hour)
@@ -95,10 +95,9 @@
             .last_observed
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        match last_observed
-            .filter(|last_observed| now.saturating_sub(last_observed.read_at) < HOUR_CACHE_TTL)
+        match last_observed.filter(|observed| now.saturating_sub(observed.read_at) < HOUR_CACHE_TTL)
         {
-            Some(last_observed) => Ok(last_observed.hour),
+            Some(observed) => Ok(observed.hour),
             None => Ok(self.read().await?.hour),
         }
     }
@@ -115,14 +114,14 @@
             .last_observed
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let unchanged = last_observed.filter(|last_observed| last_observed.version == version);
-        let read = ObservedHour {
+        let unchanged = last_observed.filter(|observed| observed.version == version);
+        let observed = ObservedHour {
             hour,
             version,
-            first_seen: unchanged.map_or(now, |last_observed| last_observed.first_seen),
+            first_seen: unchanged.map_or(now, |observed| observed.first_seen),
             read_at: read_started_at,
         };
-        *last_observed = Some(read);
-        Ok(read)
+        *last_observed = Some(observed);
+        Ok(observed)
     }
 }
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -90,7 +90,7 @@
     row: RowKey,
     record: KeyRecord,
     version: RowVersion,
-    settled: bool,
+    outcome_recorded: bool,
     running_requests: Arc<watch::Sender<usize>>,
 }
 
@@ -156,7 +156,7 @@
                     row,
                     record,
                     version,
-                    settled: false,
+                    outcome_recorded: false,
                     running_requests: Arc::clone(&self.running_requests),
                 }))
             }
@@ -166,10 +166,10 @@
     /// Waits until every request with a key is complete, even if its caller disconnected, and until
     /// the known outcomes are written. Both waits are limited, because the table may be
     /// unavailable.
-    pub(crate) async fn flush(&self, longest: Duration) {
+    pub(crate) async fn flush(&self, longest_request: Duration) {
         let mut running_requests = self.running_requests.subscribe();
         let all_complete = running_requests.wait_for(|count| *count == 0);
-        if timeout(longest, all_complete).await.is_err() {
+        if timeout(longest_request, all_complete).await.is_err() {
             warn!(
                 "[gateway] Requests with idempotency keys are still running after the longest request; not waiting for them."
             );
@@ -223,6 +223,7 @@
             .map_err(|_| Refusal::KeyUnreserved)
     }
 
+    /// Returns the writer if it is running.
     fn live_writer(&self) -> Option<ActorRef<WriterMessage>> {
         let writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         writer.as_ref().filter(|writer| is_live(writer)).cloned()
@@ -245,7 +246,7 @@
     }
 
     fn write(&mut self, state: KeyState) {
-        self.settled = true;
+        self.outcome_recorded = true;
         let write = KeyWrite {
             row: self.row.clone(),
             record: self.record.clone().with_state(state),
@@ -259,7 +260,7 @@
 
 impl Drop for KeyReservation {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.outcome_recorded {
             self.write(KeyState::Unknown);
         }
         self.running_requests.send_modify(|count| *count -= 1);
--- a/crates/gateway/src/key_writer.rs
+++ b/crates/gateway/src/key_writer.rs
@@ -74,8 +74,11 @@
     table: Arc<dyn TableService>,
     clock: Arc<dyn ClockSource>,
     rng: StdRng,
+    /// The writes that are not part of a transaction yet.
     pending: VecDeque<KeyWrite>,
+    /// Whether a transaction is in progress, or the pause after a failed one.
     in_flight: bool,
+    /// Flush requests that have not been answered.
     flushes: Vec<RpcReplyPort<()>>,
 }
 
--- a/crates/gateway/src/peer_directory.rs
+++ b/crates/gateway/src/peer_directory.rs
@@ -35,6 +35,7 @@
 
 use crate::gateway_state::GatewayState;
 
+/// The prefix of the rows of all daemons.
 const PEER_PREFIX: &str = "request-peers/";
 /// How often the row of this daemon is checked and the rows of the others are read.
 const PEER_LOOP_INTERVAL: Duration = Duration::from_secs(1);
@@ -60,6 +61,7 @@
     unchanged_since: Duration,
 }
 
+/// The known peers, and what this daemon last published and when.
 struct DirectoryState {
     peers: IndexMap<RowKey, KnownPeer>,
     published: Option<(PeerRecord, Duration)>,
--- a/crates/gateway/src/pool_refresh.rs
+++ b/crates/gateway/src/pool_refresh.rs
@@ -34,7 +34,7 @@
     let mut state = pool.lock();
     let idle_limit = pool.settings.endpoint_idle_timeout;
     let mut serving_slots = 0;
-    let mut unknown = 0;
+    let mut unknown_slots = 0;
     state.update_honor_leaving(now);
     let mut slots = state.endpoints.iter().flat_map(|entry| &entry.slots);
     let holds_shares = slots.any(|slot| held.contains_key(&slot.share));
@@ -52,7 +52,7 @@
             let slot = state.slot(key);
             let is_unavailable =
                 matches!(slot.phase, SlotPhase::Unknown { .. } | SlotPhase::Abandoned);
-            unknown += usize::from(is_unavailable);
+            unknown_slots += usize::from(is_unavailable);
             serving_slots += usize::from(usable && slot.held && !is_unavailable);
             state.add_to_free_list(Some(key).filter(|_| usable));
         }
@@ -62,7 +62,7 @@
     if serving_slots == 0 && state.share_wait_deadline(now).is_none() {
         refuse_waiters(&mut state, now);
     }
-    report_metrics(pool, &state, unknown);
+    report_metrics(pool, &state, unknown_slots);
 }
 
 /// Refuses all waiting requests at once when no slot is left to wait for.
@@ -102,10 +102,10 @@
     });
 }
 
-fn report_metrics(pool: &ServicePool, state: &PoolState, unknown: usize) {
+fn report_metrics(pool: &ServicePool, state: &PoolState, unknown_slots: usize) {
     let service = pool.service.to_string();
     // CAST: the numbers of slots and requests are far below 2^52, and are exact as `f64`.
     gauge!(SERVING_SLOTS_METRIC, "service" => service.clone()).set(state.serving_slots as f64);
-    gauge!(UNKNOWN_SLOTS_METRIC, "service" => service.clone()).set(unknown as f64);
+    gauge!(UNKNOWN_SLOTS_METRIC, "service" => service.clone()).set(unknown_slots as f64);
     gauge!(WAITING_REQUESTS_METRIC, "service" => service).set(state.queue.len() as f64);
 }
--- a/crates/gateway/src/request_head_scanner.rs
+++ b/crates/gateway/src/request_head_scanner.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Returns whether `is_chunked` is the last transfer coding.
+/// Returns whether `chunked` is the last transfer coding.
 fn is_last_coding_chunked(headers: &[httparse::Header<'_>]) -> bool {
     let last_header = headers
         .iter()
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -52,9 +52,12 @@
 /// A response that is forwarded as the endpoint or the peer sends it.
 pub(crate) struct StreamedResponse {
     incoming: Option<Incoming>,
+    /// The slot, or `None` for the response of a peer or once it is released.
     slot: Option<ResponseSlot>,
     stall_timeout: Duration,
+    /// Expires after `stall_timeout` without a frame; `None` after each frame.
     stall_timer: Option<Pin<Box<Sleep>>>,
+    /// Expires when the longest request is over.
     deadline_timer: Pin<Box<Sleep>>,
 }
 
@@ -176,11 +179,11 @@
         Poll::Pending
     }
 
-    fn abort_body(&mut self, fault: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn abort_body(&mut self, error: BodyError) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.incoming = None;
         // The endpoint may still be working: dropping the lease keeps the slot out of use.
         self.slot = None;
-        Poll::Ready(Some(Err(fault)))
+        Poll::Ready(Some(Err(error)))
     }
 
     fn finish(&mut self) {
--- a/crates/gateway/src/response_rules.rs
+++ b/crates/gateway/src/response_rules.rs
@@ -1,4 +1,4 @@
-//! Converts responses of endpoints and peers, and derives what they tell about the endpoint.
+//! Converts responses of endpoints and peers, and derives what they indicate about the endpoint.
 
 use std::time::Duration;
 
