--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -37,10 +37,14 @@
         graph: &JobGraph,
         now: Duration,
     ) -> Admission {
-        let demand = long_running_cpu(graph);
+        let requested = long_running_cpu(graph);
         let is_enabled = self.settings.switches.has(PolicyPart::Admission);
         let already_accepted = self.jobs.contains_key(&key) || self.grants.contains(key, now);
-        if demand == 0 || !is_enabled || already_accepted || !self.former_grants_have_settled(now) {
+        if requested == 0
+            || !is_enabled
+            || already_accepted
+            || !self.former_grants_have_settled(now)
+        {
             return Admission::Granted;
         }
         let Some(rule) = self.queue_rules.get(queue) else {
@@ -48,23 +52,23 @@
         };
         let pool = Arc::clone(&rule.pool);
         let demands = self.pool_demands.entry(Arc::clone(&pool)).or_default();
-        let short_need = demands.short.required_cpu(now);
+        let short_task_need = demands.short.required_cpu(now);
         let task_cpu = demands.short.typical_task_cpu(now);
         let waiting = self.waiting_long_running_cpu(&pool);
         let promised_cpu = waiting.saturating_add(self.grants.total(now));
-        let room = self
+        let available = self
             .unpromised_cpu(&pool, task_cpu)
             .saturating_sub(promised_cpu);
-        let required = short_need.saturating_add(demand);
-        if room >= required {
-            self.grants.grant(key, demand, now);
+        let required = short_task_need.saturating_add(requested);
+        if available >= required {
+            self.grants.grant(key, requested, now);
             return Admission::Granted;
         }
         Admission::Refused(CpuShortage {
-            requested: demand,
-            available: room,
-            short_task_need: short_need,
-            retry_after: self.retry_after(&pool, required - room, now),
+            requested,
+            available,
+            short_task_need,
+            retry_after: self.retry_after(&pool, required - available, now),
         })
     }
 
