--- a/crates/cluster/src/cluster_actor.rs
+++ b/crates/cluster/src/cluster_actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns what the daemons share.
+//! The actor that runs the ownership protocol.
 
 use ractor::{
     Actor,
@@ -11,7 +11,8 @@
     cluster_state::ClusterState, //
 };
 
-/// The actor that owns what the daemons share. Everything slow runs in tasks that report back.
+/// The actor that runs the ownership protocol of this daemon. Everything slow runs in separate tasks,
+/// which send their results back to the actor.
 pub(crate) struct ClusterActor;
 
 impl Actor for ClusterActor {
@@ -24,7 +25,7 @@
         myself: ActorRef<Self::Msg>,
         mut state: ClusterState,
     ) -> Result<Self::State, ActorProcessingErr> {
-        state.begin(&myself);
+        state.start(&myself);
         Ok(state)
     }
 
@@ -43,7 +44,7 @@
         _myself: ActorRef<Self::Msg>,
         state: &mut ClusterState,
     ) -> Result<(), ActorProcessingErr> {
-        state.end();
+        state.stop();
         Ok(())
     }
 }
--- a/crates/cluster/src/cluster_edges.rs
+++ b/crates/cluster/src/cluster_edges.rs
@@ -1,4 +1,4 @@
-//! What the cluster part reaches outside the process.
+//! The external services of the cluster part.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
     VmList, //
 };
 
-/// What the cluster part reaches outside the process.
+/// The external services of the cluster part, and the seed of its random numbers.
 #[derive(Clone, Debug)]
 pub struct ClusterEdges {
     /// The platform's table service.
@@ -18,9 +18,10 @@
     /// The platform's VM list.
     #[debug(skip)]
     pub vm_list: Arc<dyn VmList>,
-    /// The clock.
+    /// The clock from which all durations and deadlines are computed.
     #[debug(skip)]
     pub clock: Arc<dyn ClockSource>,
-    /// The seed of all that is drawn at random; differs at each start of a process.
+    /// The seed of all random numbers. It must differ at each start of a process, because the
+    /// process's nonce is drawn from it.
     pub seed: u64,
 }
--- a/crates/cluster/src/cluster_error.rs
+++ b/crates/cluster/src/cluster_error.rs
@@ -1,4 +1,4 @@
-//! Why the cluster part cannot start.
+//! The reasons why the cluster part cannot start.
 
 use std::{
     io,
@@ -10,25 +10,25 @@
     Error, //
 };
 
-/// Why the cluster part cannot start.
+/// The reason why the cluster part cannot start.
 #[derive(Debug, Display, Error)]
 pub enum ClusterError {
-    /// The address for peers cannot be listened on.
+    /// The address for peers cannot be bound.
     #[display("cannot listen for peers on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         #[error(source)]
         cause: io::Error,
     },
-    /// The number of seats is out of range.
+    /// The number of seats is not in the range from 1 to 64.
     #[display("{seats} seats are set; give from 1 to 64")]
     Seats {
-        /// The number given.
+        /// The number of seats from the settings.
         seats: u8,
     },
-    /// The actor did not start.
-    #[display("the cluster part did not start")]
+    /// The cluster actor could not be spawned.
+    #[display("the cluster actor did not start")]
     Actor,
 }
--- a/crates/cluster/src/cluster_handle.rs
+++ b/crates/cluster/src/cluster_handle.rs
@@ -1,4 +1,4 @@
-//! The rest of the daemon's hold on the cluster part.
+//! The interface of the cluster part to the rest of the daemon.
 
 use std::{
     sync::{
@@ -42,14 +42,15 @@
     cluster_actor::ClusterActor,
     cluster_message::ClusterMessage,
     cluster_state::ClusterState,
-    cluster_view::ClusterView,
-    status_report::status_of,
+    held_resources_view::HeldResourcesView,
+    status_report::cluster_status,
     trace_span, //
 };
 
+/// The maximum number of seats: a peer's report has one bit per seat in a `u64`.
 const MAX_SEATS: u8 = 64;
 
-/// The rest of the daemon's hold on the cluster part; copies are of the same part.
+/// The interface of the cluster part to the rest of the daemon. Clones refer to the same actor.
 #[derive(Clone, Debug)]
 pub struct ClusterHandle {
     #[debug(skip)]
@@ -63,7 +64,7 @@
 }
 
 impl ClusterHandle {
-    /// Starts to listen for peers over TCP, and to take a seat.
+    /// Starts to listen for peers over TCP, and to claim a seat.
     ///
     /// # Errors
     ///
@@ -72,11 +73,11 @@
         settings: ClusterSettings,
         edges: ClusterEdges,
     ) -> Result<Self, ClusterError> {
-        let link = Arc::new(TcpLink::new(settings.peer_listen)?);
+        let link = Arc::new(TcpLink::new(settings.peer_listen_address)?);
         Self::start_with_link(settings, edges, link).await
     }
 
-    /// Starts over another link between daemons.
+    /// Starts with another implementation of the network between daemons.
     ///
     /// # Errors
     ///
@@ -86,7 +87,7 @@
         edges: ClusterEdges,
         link: Arc<dyn PeerLink>,
     ) -> Result<Self, ClusterError> {
-        let seats = settings.rule.seats;
+        let seats = settings.ownership.seats;
         if seats == 0 || seats > MAX_SEATS {
             return Err(ClusterError::Seats { seats });
         }
@@ -107,36 +108,44 @@
         })
     }
 
-    /// Returns what this daemon holds.
+    /// Returns a view of the resources that this daemon holds.
     pub fn ownership(&self) -> Arc<dyn OwnershipView> {
-        Arc::new(ClusterView::new(self.machine.clone(), self.clock.clone()))
+        Arc::new(HeldResourcesView::new(
+            self.machine.clone(),
+            self.clock.clone(),
+        ))
     }
 
-    /// Returns the configuration in force; its version never falls.
+    /// Returns the configuration in force. Its version never decreases.
     pub fn configuration(&self) -> watch::Receiver<Arc<Configuration>> {
         self.configuration.clone()
     }
 
-    /// Returns the VM list as last read.
+    /// Returns the newest VM list that was read.
     pub fn vms(&self) -> watch::Receiver<Arc<VmSnapshot>> {
         self.vms.clone()
     }
 
-    /// Adds a part that acts on what is held; it is asked to fall idle before anything is given away.
+    /// Adds a part of the daemon that acts on held resources. Before a resource is released, the
+    /// cluster part waits until this part has no work on it in progress.
     pub fn add_user(&self, user: Arc<dyn ResourceUser>) {
-        let _ = self.actor.send_message(ClusterMessage::AddUser(user));
+        let _ = self
+            .actor
+            .send_message(ClusterMessage::AddResourceUser(user));
     }
 
-    /// Proposes a change of the configuration, and waits until it is accepted.
+    /// Proposes a change of the configuration, and waits until it is accepted or the proposal timeout
+    /// expires.
     ///
     /// # Errors
     ///
-    /// Returns whether the change was not accepted, and why, or may still come into force.
+    /// Returns [`ProposalError::NotAccepted`] with the reason if the change is not in force and will
+    /// not be, and [`ProposalError::Unknown`] if it may still come into force.
     pub async fn propose(
         &self,
         change: ConfigurationChange,
     ) -> Result<ConfigurationVersion, ProposalError> {
-        let _span = trace_span::begin("cluster propose");
+        let _span = trace_span::start("cluster propose");
         let proposed = self
             .actor
             .call(|reply| ClusterMessage::Propose(change, reply), None);
@@ -146,26 +155,26 @@
         }
     }
 
-    /// Returns what operators see of the members.
+    /// Returns the status that operators see, as known to this daemon.
     pub fn status(&self) -> ClusterStatus {
         let machine = self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         let configuration = self.configuration.borrow().clone();
-        status_of(&machine, &configuration, self.clock.monotonic())
+        cluster_status(&machine, &configuration, self.clock.monotonic())
     }
 
-    /// Tells whether this daemon has a seat and may start work.
+    /// Returns whether this daemon holds a seat, may start work and is not leaving.
     pub fn ready(&self) -> bool {
         let machine = self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         machine.may_start(self.clock.monotonic()) && !machine.is_leaving()
     }
 
-    /// Uses other keys between daemons from now on.
+    /// Replaces the keys that authenticate frames between daemons.
     pub fn set_keys(&self, keys: KeyRing) {
         let _ = self.actor.send_message(ClusterMessage::SetKeys(keys));
     }
 
-    /// Gives up all that is held, once its users are idle, and the seat. While the table is out of
-    /// reach this waits for it; whoever is in a hurry stops waiting.
+    /// Releases all held resources, each once its users are idle, gives up the seat, and stops. This
+    /// waits while the table is unavailable, without a time limit; callers apply their own timeout.
     pub async fn leave(&self) {
         let _ = self
             .actor
@@ -174,7 +183,7 @@
         self.stop();
     }
 
-    /// Stops at once, as a process that dies does: nothing is given up.
+    /// Stops immediately, as a crash would: no resources are released and the seat is kept.
     pub fn stop(&self) {
         self.actor.stop(None);
     }
--- a/crates/cluster/src/cluster_message.rs
+++ b/crates/cluster/src/cluster_message.rs
@@ -1,4 +1,4 @@
-//! What the cluster actor is told.
+//! The messages of the cluster actor.
 
 use std::{
     sync::Arc,
@@ -24,37 +24,38 @@
     ConfigurationChange,
     ProbeOutcome,
     ProposalError,
-    commit_end::CommitEnd,
-    row_error::RowError, //
+    row_error::RowError,
+    write_outcome::WriteOutcome, //
 };
 
-/// How an operator learns what became of a change.
+/// The port through which the outcome of a proposed change is returned.
 pub(crate) type ProposalReply = RpcReplyPort<Result<ConfigurationVersion, ProposalError>>;
 
-/// What the cluster actor is told.
+/// A message to the cluster actor.
 pub(crate) enum ClusterMessage {
-    /// Time went on.
+    /// The tick interval has passed.
     Tick,
-    /// Frames arrived; the reply asks for more, so that few wait here.
-    Frames(Vec<Bytes>, RpcReplyPort<()>),
-    /// A poll of the table ended.
-    Polled(Result<TableSnapshot, RowError>, Duration),
-    /// A write ended.
-    CommitEnded(CommitEnd),
-    /// A probe ended.
-    ProbeEnded(HolderId, ProbeOutcome),
-    /// Nothing that was begun on a resource is in progress.
-    Released(ResourceId),
-    /// The VM list was read, or could not be.
-    VmsRead(Option<VmSnapshot>),
-    /// The document of a committed version was read, or could not be.
+    /// Frames were received from peers. The reply requests the next batch, so that at most one batch
+    /// is in the mailbox.
+    FramesReceived(Vec<Bytes>, RpcReplyPort<()>),
+    /// A poll of the shared rows ended; the duration is the time at which it was requested.
+    PollFinished(Result<TableSnapshot, RowError>, Duration),
+    /// A write of the shared rows ended.
+    CommitFinished(WriteOutcome),
+    /// A probe of a silent process ended.
+    ProbeFinished(HolderId, ProbeOutcome),
+    /// No work on a resource to be released is in progress any more.
+    ResourceIdle(ResourceId),
+    /// A read of the VM list ended; `None` if it failed.
+    VmListRead(Option<VmSnapshot>),
+    /// A read of the document of a committed version ended; `None` if it failed or found no document.
     DocumentRead(u64, Option<Configuration>),
-    /// An operator wants a change.
+    /// An operator proposes a change of the configuration.
     Propose(ConfigurationChange, ProposalReply),
-    /// A part acts on what is held.
-    AddUser(Arc<dyn ResourceUser>),
-    /// Other keys are in use from now on.
+    /// Adds a part of the daemon that acts on held resources.
+    AddResourceUser(Arc<dyn ResourceUser>),
+    /// Replaces the keys that authenticate frames between daemons.
     SetKeys(KeyRing),
-    /// Everything is to be given up.
+    /// Releases all resources and the seat; the reply is sent when this is complete.
     Leave(RpcReplyPort<()>),
 }
--- a/crates/cluster/src/cluster_state.rs
+++ b/crates/cluster/src/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What the cluster actor works on.
+//! The state of the cluster actor.
 
 use std::{
     sync::{
@@ -49,40 +49,60 @@
     PeerLink,
     cluster_message::ClusterMessage,
     proposal_queue::ProposalQueue,
-    vm_absences::VmAbsences, //
+    vm_absence_tracker::VmAbsenceTracker, //
 };
 
-/// No answer of the table is waited for longer: it would be too old to act on.
+/// The time limit of a call of the table service or of a read of the VM list. A later response would
+/// be too old to act on.
 pub(crate) const TABLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the cluster actor works on.
+/// The state of the cluster actor. All times are on the daemon's monotonic clock.
 pub(crate) struct ClusterState {
     pub(crate) settings: ClusterSettings,
     pub(crate) edges: ClusterEdges,
     pub(crate) link: Arc<dyn PeerLink>,
+    /// The ownership protocol, which [`crate::ClusterHandle`] and its views read too.
     pub(crate) machine: Arc<Mutex<MemberMachine>>,
     pub(crate) codec: PeerCodec,
-    pub(crate) random: StdRng,
+    pub(crate) rng: StdRng,
+    /// The configuration in force.
     pub(crate) configuration: watch::Sender<Arc<Configuration>>,
+    /// The newest VM list that was read.
     pub(crate) vms: watch::Sender<Arc<VmSnapshot>>,
     pub(crate) proposals: ProposalQueue,
-    pub(crate) fetching: bool,
-    pub(crate) fetch_due: Duration,
-    pub(crate) asked_peers_at: Duration,
-    pub(crate) users: Vec<Arc<dyn ResourceUser>>,
-    pub(crate) absences: VmAbsences,
-    pub(crate) polling: bool,
-    pub(crate) poll_wanted: bool,
-    pub(crate) polled_at: Option<Duration>,
-    pub(crate) poll_due: Duration,
-    pub(crate) vm_due: Duration,
-    pub(crate) vm_read_at: Duration,
-    pub(crate) reset_due: Duration,
-    pub(crate) refusals: IndexMap<HolderId, u8>,
-    waiting: IndexSet<ResourceId>,
-    leaving: Vec<RpcReplyPort<()>>,
-    pub(crate) table_lost: bool,
-    pub(crate) starts_work: bool,
+    /// Whether a read of a document from the table is in progress.
+    pub(crate) fetch_in_progress: bool,
+    /// The earliest time of the next read of a document from the table.
+    pub(crate) next_fetch_at: Duration,
+    /// When a document was last requested from a peer; zero before the first time.
+    pub(crate) last_document_request_at: Duration,
+    /// The parts of the daemon that act on held resources.
+    pub(crate) resource_users: Vec<Arc<dyn ResourceUser>>,
+    pub(crate) absence_tracker: VmAbsenceTracker,
+    /// Whether a poll of the shared rows is in progress.
+    pub(crate) poll_in_progress: bool,
+    /// Whether a poll ahead of schedule is requested.
+    pub(crate) poll_requested: bool,
+    /// When the last poll began; `None` before the first one.
+    pub(crate) last_poll_at: Option<Duration>,
+    /// When the next scheduled poll is due.
+    pub(crate) next_poll_at: Duration,
+    /// When the next read of the VM list is due.
+    pub(crate) next_vm_list_read_at: Duration,
+    /// When the VM list was last read successfully; zero before the first time.
+    pub(crate) last_vm_list_read_at: Duration,
+    /// When the connections to unresponsive peers are next replaced.
+    pub(crate) next_reset_at: Duration,
+    /// The number of consecutive refused probes of each silent process.
+    pub(crate) refused_probes: IndexMap<HolderId, u8>,
+    /// The resources being released on which users still have work in progress.
+    releasing: IndexSet<ResourceId>,
+    /// The pending replies to [`ClusterMessage::Leave`].
+    leave_replies: Vec<RpcReplyPort<()>>,
+    /// Whether the last poll failed.
+    pub(crate) table_unreadable: bool,
+    /// Whether this daemon may start work, as last logged.
+    pub(crate) reported_may_start: bool,
 }
 
 impl ClusterState {
@@ -91,81 +111,86 @@
         edges: ClusterEdges,
         link: Arc<dyn PeerLink>,
     ) -> Self {
-        let mut random = StdRng::seed_from_u64(edges.seed);
+        let mut rng = StdRng::seed_from_u64(edges.seed);
         let daemon = DaemonRecord {
-            nonce: random.random(),
+            nonce: rng.random(),
             peer: link.address(),
             admin: settings.admin_address,
             domain: settings.domain.clone(),
             vm: settings.vm.clone(),
         };
         let codec = PeerCodec::new(daemon.nonce, settings.keys);
-        let absences = VmAbsences::new(settings.vm.clone(), settings.vm_absence);
-        let machine = MemberMachine::new(settings.rule, daemon);
+        let absence_tracker = VmAbsenceTracker::new(settings.vm.clone(), settings.min_vm_absence);
+        let machine = MemberMachine::new(settings.ownership, daemon);
         Self {
             machine: Arc::new(Mutex::new(machine)),
             codec,
-            random,
+            rng,
             configuration: watch::channel(Arc::default()).0,
             vms: watch::channel(Arc::default()).0,
             proposals: ProposalQueue::default(),
-            fetching: false,
-            fetch_due: Duration::ZERO,
-            asked_peers_at: Duration::ZERO,
-            users: Vec::new(),
-            absences,
-            polling: false,
-            poll_wanted: true,
-            polled_at: None,
-            poll_due: Duration::ZERO,
-            vm_due: Duration::ZERO,
-            vm_read_at: Duration::ZERO,
-            reset_due: Duration::ZERO,
-            refusals: IndexMap::new(),
-            waiting: IndexSet::new(),
-            leaving: Vec::new(),
-            table_lost: false,
-            starts_work: false,
+            fetch_in_progress: false,
+            next_fetch_at: Duration::ZERO,
+            last_document_request_at: Duration::ZERO,
+            resource_users: Vec::new(),
+            absence_tracker,
+            poll_in_progress: false,
+            poll_requested: true,
+            last_poll_at: None,
+            next_poll_at: Duration::ZERO,
+            next_vm_list_read_at: Duration::ZERO,
+            last_vm_list_read_at: Duration::ZERO,
+            next_reset_at: Duration::ZERO,
+            refused_probes: IndexMap::new(),
+            releasing: IndexSet::new(),
+            leave_replies: Vec::new(),
+            table_unreadable: false,
+            reported_may_start: false,
             settings,
             edges,
             link,
         }
     }
 
+    /// Locks the ownership protocol.
     pub(crate) fn lock(&self) -> MutexGuard<'_, MemberMachine> {
         self.machine.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns the time on the daemon's monotonic clock.
     pub(crate) fn now(&self) -> Duration {
         self.edges.clock.monotonic()
     }
 
-    pub(crate) fn begin(&mut self, myself: &ActorRef<ClusterMessage>) {
-        myself.send_interval(self.settings.tick, || ClusterMessage::Tick);
+    /// Starts the tick timer and the task that forwards received frames.
+    pub(crate) fn start(&mut self, myself: &ActorRef<ClusterMessage>) {
+        myself.send_interval(self.settings.tick_interval, || ClusterMessage::Tick);
         let link = self.link.clone();
         let actor = myself.clone();
-        tokio::spawn(async move { pump_frames(link, actor).await });
+        tokio::spawn(async move { forward_frames(link, actor).await });
         self.tick(myself);
     }
 
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn stop(&mut self) {
         self.link.close();
     }
 
     pub(crate) fn handle(&mut self, myself: &ActorRef<ClusterMessage>, message: ClusterMessage) {
         match message {
             ClusterMessage::Tick => self.tick(myself),
-            ClusterMessage::Frames(frames, reply) => {
+            ClusterMessage::FramesReceived(frames, reply) => {
                 self.receive(myself, frames);
                 let _ = reply.send(());
             }
-            ClusterMessage::Polled(result, asked_at) => self.end_poll(myself, result, asked_at),
-            ClusterMessage::CommitEnded(end) => self.end_commit(myself, end),
-            ClusterMessage::ProbeEnded(holder, outcome) => self.end_probe(holder, outcome),
-            ClusterMessage::Released(resource) => self.end_release(myself, resource),
-            ClusterMessage::VmsRead(list) => self.read_vms(list),
+            ClusterMessage::PollFinished(result, requested_at) => {
+                self.finish_poll(myself, result, requested_at);
+            }
+            ClusterMessage::CommitFinished(outcome) => self.finish_commit(myself, outcome),
+            ClusterMessage::ProbeFinished(holder, outcome) => self.finish_probe(holder, outcome),
+            ClusterMessage::ResourceIdle(resource) => self.finish_release(myself, resource),
+            ClusterMessage::VmListRead(list) => self.apply_vm_list(list),
             ClusterMessage::DocumentRead(version, document) => {
-                self.end_fetch(version, document);
+                self.finish_fetch(version, document);
                 self.tick(myself);
             }
             ClusterMessage::Propose(change, reply) => {
@@ -173,39 +198,42 @@
                 self.proposals.push(change, reply, deadline);
                 self.tick(myself);
             }
-            ClusterMessage::AddUser(user) => self.users.push(user),
+            ClusterMessage::AddResourceUser(user) => self.resource_users.push(user),
             ClusterMessage::SetKeys(keys) => self.codec.set_keys(keys),
             ClusterMessage::Leave(reply) => {
                 self.lock().leave();
-                self.leaving.push(reply);
+                self.leave_replies.push(reply);
                 self.tick(myself);
             }
         }
     }
 
+    /// Performs everything that is due.
     pub(crate) fn tick(&mut self, myself: &ActorRef<ClusterMessage>) {
         let now = self.now();
         self.fetch_document(myself);
         self.advance_proposals(myself);
         let actions = self.lock().tick(now);
-        self.carry_out(myself, actions);
+        self.perform_actions(myself, actions);
         self.poll_if_due(myself);
-        self.read_vms_if_due(myself);
-        self.reset_silent();
-        self.answer_leavers();
+        self.read_vm_list_if_due(myself);
+        self.reset_unresponsive_peers();
+        self.reply_to_leave_requests();
         self.report_health();
     }
 
-    fn answer_leavers(&mut self) {
-        if self.leaving.is_empty() || !self.lock().has_left() {
+    /// Replies to the requests to leave once nothing is held any more.
+    fn reply_to_leave_requests(&mut self) {
+        if self.leave_replies.is_empty() || !self.lock().has_left() {
             return;
         }
-        for reply in self.leaving.drain(..) {
+        for reply in self.leave_replies.drain(..) {
             let _ = reply.send(());
         }
     }
 
-    pub(crate) fn carry_out(
+    /// Performs the actions that the ownership protocol requests.
+    pub(crate) fn perform_actions(
         &mut self,
         myself: &ActorRef<ClusterMessage>,
         actions: Vec<MemberAction>,
@@ -216,11 +244,11 @@
                     self.send(to, message.to, WireBody::Member(message));
                 }
                 MemberAction::Commit(write) => self.commit(myself, &write, Vec::new()),
-                MemberAction::Poll => self.poll_wanted = true,
+                MemberAction::Poll => self.poll_requested = true,
                 MemberAction::Probe { holder, address } => {
                     let link = self.link.clone();
-                    report(myself, async move {
-                        ClusterMessage::ProbeEnded(holder, link.probe(address).await)
+                    spawn_and_report(myself, async move {
+                        ClusterMessage::ProbeFinished(holder, link.probe(address).await)
                     });
                 }
                 MemberAction::Release(resource) => self.release(myself, resource),
@@ -228,6 +256,7 @@
         }
     }
 
+    /// Sends a message to the process with the nonce `recipient` at an address; it may be lost.
     pub(crate) fn send(&mut self, to: std::net::SocketAddr, recipient: u64, body: WireBody) {
         match self.codec.encode(recipient, body) {
             Ok(frame) => {
@@ -239,19 +268,20 @@
         }
     }
 
+    /// Handles received frames; invalid ones are counted and ignored.
     fn receive(&mut self, myself: &ActorRef<ClusterMessage>, frames: Vec<Bytes>) {
         for frame in frames {
             match self.codec.decode(&frame) {
                 Ok((_, WireBody::Member(message))) => {
                     let now = self.now();
                     let actions = self.lock().handle_message(now, message);
-                    self.carry_out(myself, actions);
+                    self.perform_actions(myself, actions);
                 }
                 Ok((sender, WireBody::DocumentRequest { version })) => {
-                    self.answer_document(sender, version);
+                    self.send_document(sender, version);
                 }
                 Ok((_, WireBody::Document { version, document })) => {
-                    self.take_document(version, &document);
+                    self.receive_document(version, &document);
                 }
                 Err(error) => {
                     metrics::counter!("jasminebend_peer_frames_ignored_total", "reason" => error.to_string())
@@ -264,28 +294,30 @@
         }
     }
 
+    /// Starts to wait until no user has work on a resource in progress, unless this wait runs already.
     fn release(&mut self, myself: &ActorRef<ClusterMessage>, resource: ResourceId) {
-        if !self.waiting.insert(resource) {
+        if !self.releasing.insert(resource) {
             return;
         }
-        let users = self.users.clone();
-        report(myself, async move {
+        let users = self.resource_users.clone();
+        spawn_and_report(myself, async move {
             for user in users {
                 user.wait_idle(resource).await;
             }
-            ClusterMessage::Released(resource)
+            ClusterMessage::ResourceIdle(resource)
         });
     }
 
-    fn end_release(&mut self, myself: &ActorRef<ClusterMessage>, resource: ResourceId) {
-        self.waiting.shift_remove(&resource);
+    /// Completes the release of a resource on which no work is in progress any more.
+    fn finish_release(&mut self, myself: &ActorRef<ClusterMessage>, resource: ResourceId) {
+        self.releasing.shift_remove(&resource);
         self.lock().finish_release(resource);
         self.tick(myself);
     }
 }
 
-/// Runs something slow, and tells the actor what came of it.
-pub(crate) fn report<Work>(myself: &ActorRef<ClusterMessage>, work: Work)
+/// Runs a slow operation in a task, and sends its result to the actor.
+pub(crate) fn spawn_and_report<Work>(myself: &ActorRef<ClusterMessage>, work: Work)
 where
     Work: Future<Output = ClusterMessage> + Send + 'static,
 {
@@ -295,16 +327,18 @@
     });
 }
 
-/// Hands on frames batch by batch, so that what waits is bounded by the link's queue.
-async fn pump_frames(link: Arc<dyn PeerLink>, actor: ActorRef<ClusterMessage>) {
-    const BATCH: usize = 64;
+/// Forwards frames from the link to the actor. The next batch is received only after the last one was
+/// handled, so that the number of waiting frames is bounded by the link's queue.
+async fn forward_frames(link: Arc<dyn PeerLink>, actor: ActorRef<ClusterMessage>) {
+    /// The maximum number of frames in a batch.
+    const MAX_BATCH_FRAMES: usize = 64;
     loop {
-        let frames = link.receive(BATCH).await;
+        let frames = link.receive(MAX_BATCH_FRAMES).await;
         if frames.is_empty() {
             return;
         }
-        let handed = actor.call(|reply| ClusterMessage::Frames(frames, reply), None);
-        if !matches!(handed.await, Ok(ractor::rpc::CallResult::Success(()))) {
+        let reply = actor.call(|reply| ClusterMessage::FramesReceived(frames, reply), None);
+        if !matches!(reply.await, Ok(ractor::rpc::CallResult::Success(()))) {
             return;
         }
     }
--- a/crates/cluster/src/cluster_status.rs
+++ b/crates/cluster/src/cluster_status.rs
@@ -1,4 +1,4 @@
-//! What operators see of the members.
+//! The status of the cluster that operators see.
 
 use jasminebend_base::{
     ConfigurationVersion,
@@ -8,65 +8,68 @@
 };
 use serde::Serialize;
 
-/// What operators see of the members, as this daemon knows it.
+/// The status of the cluster that operators see, as known to this daemon.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct ClusterStatus {
-    /// The seat of this daemon, if it has one.
+    /// The seat of this daemon; `None` if it holds none.
     pub seat: Option<SeatNumber>,
     /// Whether this daemon may start work.
     pub may_start: bool,
-    /// Whether this daemon read the table lately.
+    /// Whether this daemon read the table within the validity period.
     pub table_fresh: bool,
-    /// Whether more than half of the members vouch for this daemon.
+    /// Whether more than half of the members, this one included, currently confirm that they know no
+    /// newer epoch.
     pub peers_vouch: bool,
-    /// The version that this daemon acts by.
+    /// The configuration version by which this daemon acts.
     pub in_force: ConfigurationVersion,
-    /// The newest version known to be accepted.
+    /// The newest configuration version known to be accepted.
     pub accepted: ConfigurationVersion,
-    /// The newest version known to be proposed or accepted.
+    /// The newest configuration version known to be announced or accepted.
     pub announced: ConfigurationVersion,
-    /// The members by seat; empty seats are left out.
+    /// The members in the order of their seats; empty seats are omitted.
     pub members: Vec<MemberStatus>,
-    /// The failure domains.
+    /// The declared failure domains.
     pub domains: Vec<DomainStatus>,
-    /// Slot shares that nobody may use now, because their daemon is not known to be gone.
+    /// The number of slot shares that no daemon may use, because no member holds them. The shares of
+    /// a daemon that lost its seat stay unusable until it is known to have terminated.
     pub slots_unusable: usize,
-    /// Shards that nobody holds.
+    /// The number of shards that no member holds.
     pub shards_unheld: usize,
 }
 
-/// What operators see of one member.
+/// The status of one member that operators see.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct MemberStatus {
-    /// The seat.
+    /// The number of the seat that the member holds.
     pub seat: SeatNumber,
-    /// The seat's incarnation; differs after each restart.
+    /// The incarnation of the seat, which differs after each restart of its daemon.
     pub incarnation: u64,
-    /// Where peers reach it.
+    /// The address at which peers reach the member.
     pub peer: String,
-    /// Where operators reach it.
+    /// The address of the member's administration API; `None` if it has none.
     pub admin: Option<String>,
-    /// The failure domain that it lies in.
+    /// The failure domain of the member.
     pub domain: DomainName,
-    /// Whether this daemon heard it lately.
+    /// Whether this daemon recently received a message from the member.
     pub heard: bool,
-    /// The version that it acts by, if it was heard lately.
+    /// The configuration version by which the member acts; `None` without a recent message from it.
     pub in_force: Option<ConfigurationVersion>,
-    /// How many slot shares it holds.
+    /// The number of slot shares that the member holds.
     pub slots: usize,
-    /// How many shards it holds.
+    /// The number of shards that the member holds.
     pub shards: usize,
 }
 
-/// What operators see of one failure domain.
+/// The status of one failure domain that operators see.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct DomainStatus {
-    /// The domain.
+    /// The name of the failure domain.
     pub name: DomainName,
-    /// What operators set.
+    /// The state that operators set.
     pub state: DomainState,
-    /// Whether every shard's owner acts by it, so that nothing starts there any more.
+    /// Whether every owner of a shard acts by the configuration in force here, so that no work starts
+    /// any more in a domain that is out.
     pub confirmed: bool,
-    /// The seats of shard owners that have not confirmed it.
+    /// The seats of the shard owners that are not known to act by that configuration yet.
     pub waiting_for: Vec<SeatNumber>,
 }
--- a/crates/cluster/src/configuration_change.rs
+++ b/crates/cluster/src/configuration_change.rs
@@ -1,4 +1,4 @@
-//! What an operator wants to change.
+//! A change of the configuration that an operator requests.
 
 use jasminebend_base::{
     Configuration,
@@ -7,23 +7,24 @@
     DomainState, //
 };
 
-/// What an operator wants to change.
+/// A change of the configuration that an operator requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ConfigurationChange {
     /// Replaces the whole document.
     Replace {
         /// The new document; its version is ignored.
         configuration: Configuration,
-        /// The version that the operator had read; `None` replaces whatever is there.
+        /// The version that the operator had read, and that must still be in force; `None` replaces
+        /// any version.
         expected: Option<ConfigurationVersion>,
     },
-    /// Takes a failure domain out or in, whatever the version.
+    /// Sets the state of a failure domain, regardless of the version in force.
     Domain {
-        /// The domain.
+        /// The name of the failure domain.
         name: DomainName,
-        /// Its new state.
+        /// The new state.
         state: DomainState,
-        /// Whether even the last domain may go out.
+        /// Whether the last domain that is in may be taken out.
         force: bool,
     },
 }
--- a/crates/cluster/src/change_edit.rs
+++ b/crates/cluster/src/configuration_edit.rs
@@ -1,4 +1,4 @@
-//! What a change makes of the configuration in force.
+//! Applies a change to the configuration in force.
 
 use jasminebend_base::{
     Configuration,
@@ -12,30 +12,32 @@
     RefusalReason, //
 };
 
-/// Returns the document after a change, or `None` if it is as wanted already: a command that is
-/// repeated changes nothing.
+/// Returns the document after a change, or `None` if the document already is as requested, so that
+/// a repeated command changes nothing.
 ///
 /// # Errors
 ///
-/// Returns why the change cannot be accepted on top of `current`.
+/// Returns the reason why the change cannot be applied to `current`.
 pub(crate) fn edit_configuration(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<Option<Configuration>, RefusalReason> {
     let edited = match change {
-        ConfigurationChange::Replace { configuration, .. } => replace(current, configuration)?,
+        ConfigurationChange::Replace { configuration, .. } => {
+            replace_document(current, configuration)?
+        }
         ConfigurationChange::Domain { name, state, force } => {
-            set_domain(current, name, *state, *force)?
+            set_domain_state(current, name, *state, *force)?
         }
     };
     if edited == *current {
         return Ok(None);
     }
-    check_expected(current, change)?;
+    check_expected_version(current, change)?;
     Ok(Some(edited))
 }
 
-fn check_expected(
+fn check_expected_version(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<(), RefusalReason> {
@@ -51,11 +53,11 @@
     }
 }
 
-fn replace(
+fn replace_document(
     current: &Configuration,
-    wanted: &Configuration,
+    replacement: &Configuration,
 ) -> Result<Configuration, RefusalReason> {
-    let mut edited = wanted.clone();
+    let mut edited = replacement.clone();
     edited.version = current.version;
     edited.check().map_err(RefusalReason::Invalid)?;
     if current.domains != edited.domains {
@@ -64,7 +66,7 @@
     Ok(edited)
 }
 
-fn set_domain(
+fn set_domain_state(
     current: &Configuration,
     name: &DomainName,
     state: DomainState,
--- a/crates/cluster/src/document_fetch.rs
+++ b/crates/cluster/src/document_fetch.rs
@@ -1,4 +1,4 @@
-//! How a daemon comes by the document of a committed configuration.
+//! Fetches the document of a committed configuration from the table or from a peer.
 
 use std::{
     sync::Arc,
@@ -18,22 +18,23 @@
     cluster_message::ClusterMessage,
     cluster_state::{
         ClusterState,
-        report, //
+        spawn_and_report, //
     },
     shared_rows::document_key, //
 };
 
-const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time limit of a read of a document from the table.
+const DOCUMENT_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often the table is asked for a document that it did not have.
-const FETCH_INTERVAL: Duration = Duration::from_millis(100);
+/// The minimum interval between reads of a document from the table.
+const TABLE_FETCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often peers are asked for a document.
-const ASK_INTERVAL: Duration = Duration::from_millis(300);
+/// The minimum interval between requests of a document from a peer.
+const PEER_REQUEST_INTERVAL: Duration = Duration::from_millis(300);
 
 impl ClusterState {
-    /// Fetches the newest committed document, from the table and, as that may be out of reach, from
-    /// a peer that acts by it.
+    /// Fetches the newest committed document if it is not in force here: from a peer that acts by it,
+    /// and from the table, as either may be unreachable.
     pub(crate) fn fetch_document(&mut self, myself: &ActorRef<ClusterMessage>) {
         let (version, in_force) = {
             let machine = self.lock();
@@ -45,31 +46,32 @@
         if version <= in_force {
             return;
         }
-        self.ask_document(version);
+        self.request_document(version);
         let now = self.now();
-        if self.fetching || now < self.fetch_due {
+        if self.fetch_in_progress || now < self.next_fetch_at {
             return;
         }
-        self.fetching = true;
-        self.fetch_due = now + FETCH_INTERVAL;
+        self.fetch_in_progress = true;
+        self.next_fetch_at = now + TABLE_FETCH_INTERVAL;
         let table = self.edges.table.clone();
-        report(myself, async move {
+        spawn_and_report(myself, async move {
             let key = document_key(version);
-            let read = timeout(READ_TIMEOUT, table.read(&key)).await;
+            let read = timeout(DOCUMENT_READ_TIMEOUT, table.read(&key)).await;
             let row = read.ok().and_then(Result::ok).flatten();
             let document = row.and_then(|row| serde_json::from_slice(&row.value).ok());
             ClusterMessage::DocumentRead(version, document)
         });
     }
 
-    fn ask_document(&mut self, version: u64) {
+    /// Requests the document from a peer that acts by its version or a newer one.
+    fn request_document(&mut self, version: u64) {
         let now = self.now();
-        if now < self.asked_peers_at + ASK_INTERVAL {
+        if now < self.last_document_request_at + PEER_REQUEST_INTERVAL {
             return;
         }
         let peer = self.lock().peer_with_configuration(version, now).cloned();
         if let Some(daemon) = peer {
-            self.asked_peers_at = now;
+            self.last_document_request_at = now;
             self.send(
                 daemon.peer,
                 daemon.nonce,
@@ -78,7 +80,8 @@
         }
     }
 
-    pub(crate) fn answer_document(&mut self, sender: u64, version: u64) {
+    /// Sends the document in force to a peer that requested it, unless it is older than requested.
+    pub(crate) fn send_document(&mut self, sender: u64, version: u64) {
         let configuration = self.configuration.borrow().clone();
         let to = self.lock().peer_address(sender);
         let (Some(to), true) = (to, configuration.version.0 >= version) else {
@@ -90,25 +93,26 @@
         }
     }
 
-    pub(crate) fn take_document(&mut self, version: u64, document: &[u8]) {
+    /// Installs a document received from a peer.
+    pub(crate) fn receive_document(&mut self, version: u64, document: &[u8]) {
         match serde_json::from_slice::<Configuration>(document) {
-            Ok(document) if document.version.0 == version => self.install(document),
+            Ok(document) if document.version.0 == version => self.install_configuration(document),
             _ => warn!(
-                "[cluster] A peer's configuration {} cannot be read.",
+                "[cluster] The document of configuration {} received from a peer is invalid.",
                 version
             ),
         }
     }
 
-    pub(crate) fn end_fetch(&mut self, version: u64, document: Option<Configuration>) {
-        self.fetching = false;
+    pub(crate) fn finish_fetch(&mut self, version: u64, document: Option<Configuration>) {
+        self.fetch_in_progress = false;
         if let Some(document) = document.filter(|document| document.version.0 == version) {
-            self.install(document);
+            self.install_configuration(document);
         }
     }
 
-    /// Puts a committed document into force; one that is older than that in force is ignored.
-    pub(crate) fn install(&mut self, document: Configuration) {
+    /// Puts a committed document into force, unless one at least as new is in force.
+    pub(crate) fn install_configuration(&mut self, document: Configuration) {
         let version = document.version.0;
         if version <= self.configuration.borrow().version.0 {
             return;
--- a/crates/cluster/src/frame_sender.rs
+++ b/crates/cluster/src/frame_sender.rs
@@ -22,58 +22,68 @@
     greet_receiver, //
 };
 
-const RECONNECT_MIN: Duration = Duration::from_millis(100);
-const RECONNECT_MAX: Duration = Duration::from_secs(1);
-/// How long a connection may take, with its greeting.
-const CONNECT: Duration = Duration::from_secs(1);
-/// How long a connection is kept that nothing is sent on: members send heartbeats all the time.
-const IDLE: Duration = Duration::from_secs(30);
-/// How long a peer may leave a frame unread before its connection is replaced.
-const WRITE: Duration = Duration::from_secs(2);
+/// The delay before the first reconnection; it doubles after each failed one.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// The maximum delay before a reconnection.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(1);
+/// The time limit for opening a connection, including the greeting.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a connection without frames to send is kept. Members send heartbeats continuously, so an
+/// idle connection leads to a daemon that is no member any more.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a write of a frame may block, because the peer does not read, before the connection is
+/// replaced.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends frames to a peer, over a new connection after each that ended, until the channel is closed or brings nothing for
-/// a while.
+/// Sends frames from a channel to a peer, and reconnects whenever the connection ends. Returns when
+/// the channel is closed or idle.
 pub(crate) async fn send_frames(to: SocketAddr, mut frames: mpsc::Receiver<Bytes>) {
-    let mut pause = RECONNECT_MIN;
+    let mut delay = MIN_RECONNECT_DELAY;
     while let Some(frame) = next_frame(&mut frames).await {
-        match time::timeout(CONNECT, connect(to)).await {
+        match time::timeout(CONNECT_TIMEOUT, connect(to)).await {
             Ok(Ok(stream)) => {
-                pause = RECONNECT_MIN;
-                pass_on(stream, frame, &mut frames).await;
+                delay = MIN_RECONNECT_DELAY;
+                write_frames(stream, frame, &mut frames).await;
             }
-            Ok(Err(_)) | Err(_) => discard(&mut frames),
+            Ok(Err(_)) | Err(_) => drop_queued_frames(&mut frames),
         }
-        time::sleep(pause).await;
-        pause = RECONNECT_MAX.min(pause * 2);
+        time::sleep(delay).await;
+        delay = MAX_RECONNECT_DELAY.min(delay * 2);
     }
 }
 
+/// Returns the next frame to send, or `None` when the channel is closed or idle.
 async fn next_frame(frames: &mut mpsc::Receiver<Bytes>) -> Option<Bytes> {
-    time::timeout(IDLE, frames.recv()).await.ok().flatten()
+    time::timeout(IDLE_TIMEOUT, frames.recv())
+        .await
+        .ok()
+        .flatten()
 }
 
-/// Drops frames that waited for a connection in vain: once there is one they would be out of date.
-fn discard(frames: &mut mpsc::Receiver<Bytes>) {
+/// Drops the queued frames after a failed connection: they would be outdated by the time of
+/// the next one.
+fn drop_queued_frames(frames: &mut mpsc::Receiver<Bytes>) {
     while frames.try_recv().is_ok() {
         metrics::counter!("jasminebend_peer_sends_dropped_total").increment(1);
     }
 }
 
+/// Opens a connection and exchanges greetings.
 async fn connect(to: SocketAddr) -> io::Result<FrameStream> {
     greet_receiver(TcpStream::connect(to).await?).await
 }
 
-/// Passes frames on while the connection holds and there are any.
-async fn pass_on(mut stream: FrameStream, first: Bytes, frames: &mut mpsc::Receiver<Bytes>) {
+/// Writes frames to a connection until it fails, the peer closes it, or there are no more frames.
+async fn write_frames(mut stream: FrameStream, first: Bytes, frames: &mut mpsc::Receiver<Bytes>) {
     let mut frame = first;
     loop {
-        let sent = time::timeout(WRITE, stream.send(frame)).await;
+        let sent = time::timeout(WRITE_TIMEOUT, stream.send(frame)).await;
         if !matches!(sent, Ok(Ok(()))) {
             return;
         }
         let next = tokio::select! {
             next = next_frame(frames) => next,
-            // A receiver sends nothing: the connection has ended.
+            // A receiver never sends frames, so that any item means that the connection has ended.
             _ = stream.next() => return,
         };
         let Some(next) = next else {
--- a/crates/cluster/src/frame_stream.rs
+++ b/crates/cluster/src/frame_stream.rs
@@ -1,4 +1,5 @@
-//! How frames stand on a connection: after a greeting of both sides, each frame behind its length.
+//! The framing of a connection: both sides exchange greetings, then each frame is preceded by its
+//! length.
 
 use std::io::{
     self,
@@ -21,35 +22,42 @@
 /// A connection that carries frames.
 pub(crate) type FrameStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// What either side says first: the TCP mapping of nanomsg's protocols, which earlier releases speak, and its part.
-const SENDER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
-const RECEIVER: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
-/// What a connection's buffer holds at first, in bytes: a heartbeat among 250 members.
-const FIRST_BUFFER: usize = 1024;
-/// How many bytes a frame's length has, the highest first.
-const LENGTH_BYTES: usize = 8;
+/// The greeting of the sending side: the TCP mapping of nanomsg's protocols, which earlier releases
+/// use, with the protocol number of a sender.
+const SENDER_GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x50, 0, 0];
+/// The greeting of the receiving side, with the protocol number of a receiver.
+const RECEIVER_GREETING: [u8; 8] = [0, b'S', b'P', 0, 0, 0x51, 0, 0];
+/// The initial size of a connection's buffer in bytes, enough for a heartbeat among 250 members.
+const INITIAL_BUFFER_BYTES: usize = 1024;
+/// The size of a frame's length field in bytes; the length is big-endian.
+const FRAME_LENGTH_BYTES: usize = 8;
 
-/// Greets the peer that frames are sent to.
+/// Exchanges greetings with a peer to which frames are sent.
 pub(crate) async fn greet_receiver(stream: TcpStream) -> io::Result<FrameStream> {
-    greet(stream, SENDER, RECEIVER).await
+    exchange_greetings(stream, SENDER_GREETING, RECEIVER_GREETING).await
 }
 
-/// Greets the peer that sends frames.
+/// Exchanges greetings with a peer that sends frames.
 pub(crate) async fn greet_sender(stream: TcpStream) -> io::Result<FrameStream> {
-    greet(stream, RECEIVER, SENDER).await
+    exchange_greetings(stream, RECEIVER_GREETING, SENDER_GREETING).await
 }
 
-async fn greet(mut stream: TcpStream, own: [u8; 8], expected: [u8; 8]) -> io::Result<FrameStream> {
+/// Sends this side's greeting, and rejects the connection unless the peer sends the expected one.
+async fn exchange_greetings(
+    mut stream: TcpStream,
+    own: [u8; 8],
+    expected: [u8; 8],
+) -> io::Result<FrameStream> {
     stream.set_nodelay(true)?;
     stream.write_all(&own).await?;
-    let mut heard = [0; 8];
-    stream.read_exact(&mut heard).await?;
-    if heard != expected {
+    let mut received = [0; 8];
+    stream.read_exact(&mut received).await?;
+    if received != expected {
         return Err(ErrorKind::InvalidData.into());
     }
     let codec = LengthDelimitedCodec::builder()
-        .length_field_length(LENGTH_BYTES)
+        .length_field_length(FRAME_LENGTH_BYTES)
         .max_frame_length(MAX_FRAME_BYTES)
         .new_codec();
-    Ok(Framed::with_capacity(stream, codec, FIRST_BUFFER))
+    Ok(Framed::with_capacity(stream, codec, INITIAL_BUFFER_BYTES))
 }
--- a/crates/cluster/src/health_report.rs
+++ b/crates/cluster/src/health_report.rs
@@ -1,4 +1,4 @@
-//! What logs and metrics say of this daemon's part in what is shared.
+//! Reports in the log and in metrics whether this daemon may start work.
 
 use spdlog::{
     info,
@@ -8,10 +8,10 @@
 use crate::cluster_state::ClusterState;
 
 impl ClusterState {
-    /// Says when this daemon begins or ceases to start work, and sets the gauges.
+    /// Sets the gauges, and logs when this daemon becomes able or unable to start work.
     pub(crate) fn report_health(&mut self) {
         let now = self.now();
-        let (starts, table, peers) = {
+        let (may_start, table_fresh, peers_confirm) = {
             let machine = self.lock();
             (
                 machine.may_start(now),
@@ -19,23 +19,24 @@
                 machine.is_confirmed_by_majority(now),
             )
         };
-        set("jasminebend_cluster_may_start", starts);
-        set("jasminebend_cluster_table_fresh", table);
-        set("jasminebend_cluster_peers_vouch", peers);
-        if starts == self.starts_work {
+        set_gauge("jasminebend_cluster_may_start", may_start);
+        set_gauge("jasminebend_cluster_table_fresh", table_fresh);
+        set_gauge("jasminebend_cluster_peers_vouch", peers_confirm);
+        if may_start == self.reported_may_start {
             return;
         }
-        self.starts_work = starts;
-        match starts {
+        self.reported_may_start = may_start;
+        match may_start {
             true => info!("[cluster] This daemon may start work."),
             false => warn!(
-                "[cluster] This daemon starts no work: it cannot confirm its seat and the \
-                 configuration, by the table or by more than half of the members."
+                "[cluster] This daemon may not start work: neither the table nor more than half of \
+                 the members confirm its seat and its configuration."
             ),
         }
     }
 }
 
-fn set(name: &'static str, holds: bool) {
-    metrics::gauge!(name).set(f64::from(u8::from(holds)));
+/// Sets a gauge to 1 or 0.
+fn set_gauge(name: &'static str, value: bool) {
+    metrics::gauge!(name).set(f64::from(u8::from(value)));
 }
--- a/crates/cluster/src/cluster_view.rs
+++ b/crates/cluster/src/held_resources_view.rs
@@ -1,4 +1,4 @@
-//! What this daemon holds, for its other parts.
+//! The view of held resources that the other parts of the daemon use.
 
 use std::{
     sync::{
@@ -20,13 +20,14 @@
     OwnershipView, //
 };
 
-/// What this daemon holds. Each question looks at the clock anew, so that a pause is noticed.
-pub(crate) struct ClusterView {
+/// A view of the resources that this daemon holds. Each call reads the clock, so that a process that
+/// was paused does not act on outdated ownership.
+pub(crate) struct HeldResourcesView {
     machine: Arc<Mutex<MemberMachine>>,
     clock: Arc<dyn ClockSource>,
 }
 
-impl ClusterView {
+impl HeldResourcesView {
     pub(crate) fn new(machine: Arc<Mutex<MemberMachine>>, clock: Arc<dyn ClockSource>) -> Self {
         Self { machine, clock }
     }
@@ -36,7 +37,7 @@
     }
 }
 
-impl OwnershipView for ClusterView {
+impl OwnershipView for HeldResourcesView {
     fn may_act(&self, resource: ResourceId) -> Option<OwnerEpoch> {
         let machine = self.lock();
         machine.may_act(self.clock.monotonic(), resource)
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the daemons share: membership, the configuration, and who holds which slot share and shard.
+//! The state that all daemons share: membership, the configuration, and the ownership of slot shares
+//! and shards.
 //!
-//! The rule itself is the pure state machine of `jasminebend_ownership`; this crate is its shell over
-//! the platform's table service and TCP.
+//! The ownership protocol itself is the state machine in `jasminebend_ownership`, which does no input
+//! or output. This crate runs it: it reads and writes the shared rows through the platform's table
+//! service, and exchanges messages with the other daemons over TCP.
 
-mod change_edit;
 mod cluster_actor;
 mod cluster_edges;
 mod cluster_error;
@@ -12,28 +13,29 @@
 mod cluster_settings;
 mod cluster_state;
 mod cluster_status;
-mod cluster_view;
-mod commit_end;
 mod configuration_change;
+mod configuration_edit;
 mod document_fetch;
 mod frame_receiver;
 mod frame_sender;
 mod frame_stream;
 mod health_report;
+mod held_resources_view;
 mod liveness_checks;
 mod peer_link;
 mod probe_outcome;
 mod proposal_error;
+mod proposal_progress;
 mod proposal_queue;
-mod proposal_steps;
 mod refusal_reason;
 mod row_error;
 mod shared_rows;
 mod status_report;
-mod table_traffic;
+mod table_access;
 mod tcp_link;
 mod trace_span;
-mod vm_absences;
+mod vm_absence_tracker;
+mod write_outcome;
 
 pub use self::{
     cluster_edges::ClusterEdges,
--- a/crates/cluster/src/liveness_checks.rs
+++ b/crates/cluster/src/liveness_checks.rs
@@ -1,4 +1,4 @@
-//! How the actor finds out which daemons are gone.
+//! Detects which daemons have terminated, by probes of their addresses and by the VM list.
 
 use std::{
     sync::Arc,
@@ -18,72 +18,77 @@
     cluster_state::{
         ClusterState,
         TABLE_TIMEOUT,
-        report, //
+        spawn_and_report, //
     }, //
 };
 
-/// How often a connection to a silent peer is replaced.
-const RESET_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval at which the connections to unresponsive peers are replaced.
+const PEER_RESET_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How many refused probes in a row show that a process is gone.
-const REFUSALS: u8 = 2;
+/// How many consecutive refused probes prove that a process has terminated.
+const MIN_REFUSED_PROBES: u8 = 2;
 
 impl ClusterState {
-    pub(crate) fn end_probe(&mut self, holder: HolderId, outcome: ProbeOutcome) {
+    /// Counts refused probes of a process, and marks it as terminated after enough of them.
+    pub(crate) fn finish_probe(&mut self, holder: HolderId, outcome: ProbeOutcome) {
         if outcome != ProbeOutcome::Refused {
-            self.refusals.shift_remove(&holder);
+            self.refused_probes.shift_remove(&holder);
             return;
         }
-        let refusals = self.refusals.entry(holder).or_insert(0);
-        *refusals += 1;
-        if *refusals >= REFUSALS {
-            self.refusals.shift_remove(&holder);
+        let refused = self.refused_probes.entry(holder).or_insert(0);
+        *refused += 1;
+        if *refused >= MIN_REFUSED_PROBES {
+            self.refused_probes.shift_remove(&holder);
             info!(
-                "[cluster] The daemon of {} is gone: its address refuses.",
+                "[cluster] The daemon of {} has terminated: its address refuses connections.",
                 holder
             );
             self.lock().mark_terminated(holder);
         }
     }
 
-    pub(crate) fn read_vms_if_due(&mut self, myself: &ActorRef<ClusterMessage>) {
+    /// Starts a read of the VM list if the next one is due.
+    pub(crate) fn read_vm_list_if_due(&mut self, myself: &ActorRef<ClusterMessage>) {
         let now = self.now();
-        if now < self.vm_due {
+        if now < self.next_vm_list_read_at {
             return;
         }
-        let jitter = self.random.random_range(0.8..1.2);
-        self.vm_due = now + self.settings.vm_poll.mul_f64(jitter);
+        let jitter = self.rng.random_range(0.8..1.2);
+        self.next_vm_list_read_at = now + self.settings.vm_list_interval.mul_f64(jitter);
         let list = self.edges.vm_list.clone();
-        report(myself, async move {
+        spawn_and_report(myself, async move {
             let read = timeout(TABLE_TIMEOUT, list.read()).await;
-            ClusterMessage::VmsRead(read.ok().and_then(Result::ok))
+            ClusterMessage::VmListRead(read.ok().and_then(Result::ok))
         });
     }
 
-    pub(crate) fn read_vms(&mut self, list: Option<VmSnapshot>) {
+    /// Applies a read of the VM list. After three intervals without a successful one, the
+    /// recorded absences are discarded.
+    pub(crate) fn apply_vm_list(&mut self, list: Option<VmSnapshot>) {
         let now = self.now();
         let Some(list) = list else {
-            if now > self.vm_read_at + self.settings.vm_poll * 3 {
-                self.absences.forget();
+            if now > self.last_vm_list_read_at + self.settings.vm_list_interval * 3 {
+                self.absence_tracker.clear();
             }
             return;
         };
-        self.vm_read_at = now;
-        self.observe_absent(now, &list);
+        self.last_vm_list_read_at = now;
+        self.mark_absent_vms_terminated(now, &list);
         let newer = list.revision > self.vms.borrow().revision;
         if newer || self.vms.borrow().vms.is_empty() {
             self.vms.send_replace(Arc::new(list));
         }
     }
 
-    pub(crate) fn observe_absent(&mut self, now: Duration, list: &VmSnapshot) {
+    /// Marks silent daemons as terminated if their VMs have long been absent from the VM list.
+    pub(crate) fn mark_absent_vms_terminated(&mut self, now: Duration, list: &VmSnapshot) {
         let silent = self.lock().silent_processes(now);
-        let watched = silent.iter().filter_map(|(_, vm)| vm.clone());
-        let gone = self.absences.read(now, list, watched);
+        let silent_vms = silent.iter().filter_map(|(_, vm)| vm.clone());
+        let absent = self.absence_tracker.record_list(now, list, silent_vms);
         for (holder, vm) in silent {
-            if vm.is_some_and(|vm| gone.contains(&vm)) {
+            if vm.is_some_and(|vm| absent.contains(&vm)) {
                 info!(
-                    "[cluster] The daemon of {} is gone: its VM left the VM list.",
+                    "[cluster] The daemon of {} has terminated: its VM left the VM list.",
                     holder
                 );
                 self.lock().mark_terminated(holder);
@@ -91,13 +96,14 @@
         }
     }
 
-    /// Something between two daemons may have lost track of a connection; a new one may work.
-    pub(crate) fn reset_silent(&mut self) {
+    /// Replaces the connections to unresponsive peers: a device on the network path may have lost the
+    /// state of a connection, and a new one may work.
+    pub(crate) fn reset_unresponsive_peers(&mut self) {
         let now = self.now();
-        if now < self.reset_due {
+        if now < self.next_reset_at {
             return;
         }
-        self.reset_due = now + RESET_INTERVAL;
+        self.next_reset_at = now + PEER_RESET_INTERVAL;
         let silent = self.lock().unresponsive_peer_addresses(now);
         for address in silent {
             self.link.reset(address);
--- a/crates/cluster/src/probe_outcome.rs
+++ b/crates/cluster/src/probe_outcome.rs
@@ -1,12 +1,12 @@
-//! Whether a process listens at an address.
+//! The outcome of a probe of an address.
 
-/// Whether a process listens at an address.
+/// The outcome of a probe of whether a process listens at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ProbeOutcome {
     /// A connection was accepted.
     Listens,
-    /// The machine is up and refuses: the process is gone.
+    /// The VM refused the connection: it is running, and the process has terminated.
     Refused,
-    /// No answer, which says nothing.
+    /// There was no answer, from which nothing can be concluded.
     Silent,
 }
--- a/crates/cluster/src/proposal_error.rs
+++ b/crates/cluster/src/proposal_error.rs
@@ -1,4 +1,4 @@
-//! What else may become of a proposed change.
+//! The outcome of a proposed change that was not accepted in time.
 
 use derive_more::{
     Display,
@@ -8,7 +8,7 @@
 
 use crate::RefusalReason;
 
-/// What may become of a proposed change that was not accepted in time.
+/// The outcome of a proposed change that was not accepted in time.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ProposalError {
     /// The change is not in force and will not be.
@@ -19,7 +19,7 @@
         "unknown: version {version} may still come into force; `status` shows whether it did, and repeating the command is safe"
     )]
     Unknown {
-        /// The version that the change would have.
+        /// The version that the configuration has if the change comes into force.
         version: ConfigurationVersion,
     },
 }
--- a/crates/cluster/src/proposal_queue.rs
+++ b/crates/cluster/src/proposal_queue.rs
@@ -1,4 +1,4 @@
-//! The changes that operators proposed at this daemon.
+//! The queue of the configuration changes that operators proposed at this daemon.
 
 use std::{
     collections::VecDeque,
@@ -15,111 +15,130 @@
     ProposalError,
     RefusalReason,
     cluster_message::ProposalReply,
-    commit_end::CommitEnd, //
+    write_outcome::WriteOutcome, //
 };
 
-/// How many changes wait at one daemon.
-const MAX_WAITING: usize = 64;
+/// The maximum number of queued changes; further ones are refused.
+const MAX_QUEUED_PROPOSALS: usize = 64;
 
-/// A change that was announced, or may have been.
+/// A change whose announcement was written, or may have been.
 #[derive(Debug)]
 pub(crate) struct PendingChange {
+    /// The version that the configuration has if the change comes into force.
     pub(crate) version: u64,
+    /// The configuration after the change.
     pub(crate) document: Configuration,
-    /// Whether the table showed it as announced by this daemon.
-    pub(crate) seen: bool,
+    /// Whether the table showed the change as announced by this daemon.
+    pub(crate) seen_in_table: bool,
 }
 
-/// A change that an operator proposed.
+/// A change that an operator proposed, and that has no outcome yet.
 #[derive(Debug)]
-pub(crate) struct WaitingProposal {
+pub(crate) struct QueuedProposal {
+    /// The requested change.
     pub(crate) change: ConfigurationChange,
+    /// Where the outcome is sent.
     reply: ProposalReply,
+    /// The time, on the daemon's monotonic clock, at which the proposal is abandoned.
     deadline: Duration,
+    /// The announcement of the change; `None` before it is written.
     pub(crate) pending: Option<PendingChange>,
-    /// The version under which a write whose answer was lost may still announce it.
-    doubt: Option<u64>,
-    /// Why it has not begun yet.
-    pub(crate) obstacle: RefusalReason,
+    /// The version under which a write with an unknown outcome may still announce the change; `None`
+    /// without such a write.
+    uncertain_version: Option<u64>,
+    /// The reason why the change cannot be announced yet.
+    pub(crate) blocking_reason: RefusalReason,
 }
 
-/// The changes that operators proposed at this daemon, oldest first; one is made at a time.
+/// The changes that operators proposed at this daemon, oldest first. Only the first one is carried
+/// out; the others wait for it.
 #[derive(Debug, Default)]
 pub(crate) struct ProposalQueue {
-    waiting: VecDeque<WaitingProposal>,
+    queued: VecDeque<QueuedProposal>,
 }
 
 impl ProposalQueue {
+    /// Appends a change, or refuses it if the queue is full.
     pub(crate) fn push(
         &mut self,
         change: ConfigurationChange,
         reply: ProposalReply,
         deadline: Duration,
     ) {
-        if self.waiting.len() == MAX_WAITING {
-            refuse(reply, RefusalReason::Busy);
+        if self.queued.len() == MAX_QUEUED_PROPOSALS {
+            send_refusal(reply, RefusalReason::Busy);
             return;
         }
-        self.waiting.push_back(WaitingProposal {
+        self.queued.push_back(QueuedProposal {
             change,
             reply,
             deadline,
             pending: None,
-            doubt: None,
-            obstacle: RefusalReason::NotCurrent,
+            uncertain_version: None,
+            blocking_reason: RefusalReason::NotCurrent,
         });
     }
 
-    pub(crate) fn front(&mut self) -> Option<&mut WaitingProposal> {
-        self.waiting.front_mut()
+    /// Returns the oldest change.
+    pub(crate) fn front(&mut self) -> Option<&mut QueuedProposal> {
+        self.queued.front_mut()
     }
 
-    pub(crate) fn accept(&mut self, version: u64) {
-        if let Some(proposal) = self.waiting.pop_front() {
+    /// Removes the oldest change, and reports that it was accepted as this version.
+    pub(crate) fn accept_front(&mut self, version: u64) {
+        if let Some(proposal) = self.queued.pop_front() {
             let _ = proposal.reply.send(Ok(ConfigurationVersion(version)));
         }
     }
 
-    pub(crate) fn refuse(&mut self, reason: RefusalReason) {
-        if let Some(proposal) = self.waiting.pop_front() {
-            proposal.give_up(reason);
+    /// Removes the oldest change, and reports that it was not accepted, or that its outcome is unknown
+    /// if a lost write may still announce it.
+    pub(crate) fn refuse_front(&mut self, reason: RefusalReason) {
+        if let Some(proposal) = self.queued.pop_front() {
+            proposal.report_failure(reason);
         }
     }
 
-    /// Gives up what took too long.
-    pub(crate) fn expire(&mut self, now: Duration) {
-        let kept = std::mem::take(&mut self.waiting);
-        for proposal in kept {
+    /// Removes the changes whose deadlines have passed, and reports their outcomes.
+    pub(crate) fn abandon_overdue(&mut self, now: Duration) {
+        let proposals = std::mem::take(&mut self.queued);
+        for proposal in proposals {
             if now < proposal.deadline {
-                self.waiting.push_back(proposal);
+                self.queued.push_back(proposal);
                 continue;
             }
-            let reason = proposal.obstacle.clone();
-            proposal.give_up(reason);
+            let reason = proposal.blocking_reason.clone();
+            proposal.report_failure(reason);
         }
     }
 
-    /// Takes note of how the announcement's write ended.
-    pub(crate) fn end_write(&mut self, end: CommitEnd) {
-        let Some(proposal) = self.waiting.front_mut() else {
+    /// Records the outcome of the write that announces the oldest change.
+    pub(crate) fn record_write(&mut self, outcome: WriteOutcome) {
+        let Some(proposal) = self.queued.front_mut() else {
             return;
         };
-        let Some(pending) = proposal.pending.as_ref().filter(|pending| !pending.seen) else {
+        let Some(pending) = proposal
+            .pending
+            .as_ref()
+            .filter(|pending| !pending.seen_in_table)
+        else {
             return;
         };
-        match end {
-            CommitEnd::Committed => (),
-            CommitEnd::Unknown => proposal.doubt = Some(pending.version),
-            CommitEnd::Conflict | CommitEnd::NotRun => proposal.pending = None,
+        match outcome {
+            WriteOutcome::Committed => (),
+            WriteOutcome::Unknown => proposal.uncertain_version = Some(pending.version),
+            WriteOutcome::Conflict | WriteOutcome::NotRun => proposal.pending = None,
         }
     }
 }
 
-impl WaitingProposal {
-    fn give_up(self, reason: RefusalReason) {
+impl QueuedProposal {
+    /// Reports the outcome as unknown if the change was or may have been announced, and as not
+    /// accepted for this reason otherwise.
+    fn report_failure(self, reason: RefusalReason) {
         let announced = self.pending.map(|pending| pending.version);
-        let Some(version) = announced.or(self.doubt) else {
-            refuse(self.reply, reason);
+        let Some(version) = announced.or(self.uncertain_version) else {
+            send_refusal(self.reply, reason);
             return;
         };
         let _ = self.reply.send(Err(ProposalError::Unknown {
@@ -128,6 +147,7 @@
     }
 }
 
-fn refuse(reply: ProposalReply, reason: RefusalReason) {
+/// Reports that a change was not accepted.
+fn send_refusal(reply: ProposalReply, reason: RefusalReason) {
     let _ = reply.send(Err(ProposalError::NotAccepted(reason)));
 }
--- a/crates/cluster/src/refusal_reason.rs
+++ b/crates/cluster/src/refusal_reason.rs
@@ -1,4 +1,4 @@
-//! Why a change of the configuration was not accepted.
+//! The reasons why a change of the configuration is not accepted.
 
 use derive_more::{
     Display,
@@ -10,41 +10,42 @@
     DomainName, //
 };
 
-/// Why a change of the configuration was not accepted; nothing of it is in force.
+/// The reason why a change of the configuration was not accepted. No part of the change is in force.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum RefusalReason {
-    /// The document has a fault.
+    /// The document is invalid.
     #[display("{_0}")]
     Invalid(#[error(source)] ConfigurationError),
-    /// Somebody else changed the configuration first.
+    /// Another change has replaced the version on which this one was based.
     #[display("the configuration is at version {current}, not {expected}; read it and try again")]
     Superseded {
         /// The version that the operator had read.
         expected: ConfigurationVersion,
-        /// The version now in force.
+        /// The version in force.
         current: ConfigurationVersion,
     },
-    /// No failure domain of this name is declared.
+    /// The configuration declares no failure domain of this name.
     #[display("no failure domain `{domain}` is declared")]
     UnknownDomain {
-        /// The name given.
+        /// The name in the change.
         domain: DomainName,
     },
-    /// This daemon does not know the newest configuration, or cannot reach the table.
+    /// This daemon does not know the newest configuration, may not start work, or could not announce the
+    /// change in the table.
     #[display(
         "this daemon cannot reach the table service, or does not know the newest configuration; try another one"
     )]
     NotCurrent,
-    /// Too few members can be told.
+    /// Not more than half of the members can be notified of the change.
     #[display("not more than half of the members can be told from here; try another daemon")]
     TooFewMembers,
-    /// Too many changes wait here.
+    /// The queue of proposed changes is full.
     #[display("too many changes wait at this daemon; try again")]
     Busy,
-    /// The document does not fit into a message between daemons.
+    /// The document does not fit into a frame between daemons.
     #[display("the configuration is larger than {limit} bytes")]
     TooLarge {
-        /// The limit in bytes.
+        /// The maximum size in bytes.
         limit: usize,
     },
     /// The daemon is stopping.
--- a/crates/cluster/src/row_error.rs
+++ b/crates/cluster/src/row_error.rs
@@ -1,4 +1,4 @@
-//! Why the shared rows could not be read or written.
+//! The reasons why the shared rows could not be read or written.
 
 use derive_more::{
     Display,
@@ -6,21 +6,21 @@
 };
 use jasminebend_ports::TableError;
 
-/// Why the shared rows could not be read or written.
+/// The reason why the shared rows could not be read or written.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub(crate) enum RowError {
-    /// The table gave no answer.
+    /// The call of the table service failed.
     #[display("{_0}")]
     Table(#[error(source)] TableError),
-    /// A later release wrote the row.
-    #[display("a shared row is of another release's format")]
-    OtherFormat,
-    /// Other daemons were started with other numbers of seats, slot shares or shards.
+    /// The row has a format that this release does not know, as it was written by a later one.
+    #[display("a shared row has the format of another release")]
+    UnknownFormat,
+    /// The numbers of seats, slot shares or shards differ from those of the other daemons.
     #[display(
         "the numbers of seats, slot shares and shards differ from those of the other daemons"
     )]
-    OtherSizes,
-    /// The row cannot be read.
+    SettingsMismatch,
+    /// The row cannot be decoded or encoded.
     #[display("a shared row is malformed")]
     Malformed,
 }
--- a/crates/cluster/src/status_report.rs
+++ b/crates/cluster/src/status_report.rs
@@ -1,4 +1,4 @@
-//! How the status is put together.
+//! Builds the status that operators see.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
     MemberStatus, //
 };
 
-/// Puts the status together.
-pub(crate) fn status_of(
+/// Builds the status from the state of the ownership protocol and the configuration in force.
+pub(crate) fn cluster_status(
     machine: &MemberMachine,
     configuration: &Configuration,
     now: Duration,
@@ -37,28 +37,35 @@
         in_force: ConfigurationVersion(machine.configuration_in_force()),
         accepted: ConfigurationVersion(machine.newest_committed_configuration()),
         announced: ConfigurationVersion(machine.newest_known_configuration()),
-        members: members_of(machine, table, now),
-        domains: domains_of(machine, table, configuration, now),
-        slots_unusable: count_unheld(table, &table.ownership.row.slots),
-        shards_unheld: count_unheld(table, &table.ownership.row.shards),
+        members: member_statuses(machine, table, now),
+        domains: domain_statuses(machine, table, configuration, now),
+        slots_unusable: count_orphaned(table, &table.ownership.row.slots),
+        shards_unheld: count_orphaned(table, &table.ownership.row.shards),
     }
 }
 
-fn count_unheld(table: &TableSnapshot, entries: &[OwnershipEntry]) -> usize {
+/// Counts the entries that no member holds.
+fn count_orphaned(table: &TableSnapshot, entries: &[OwnershipEntry]) -> usize {
     let members = &table.members.row;
     let held = |entry: &&OwnershipEntry| entry.holder.is_some_and(|id| members.holds_seat(id));
     entries.len() - entries.iter().filter(held).count()
 }
 
-fn members_of(machine: &MemberMachine, table: &TableSnapshot, now: Duration) -> Vec<MemberStatus> {
+/// Returns the status of each member.
+fn member_statuses(
+    machine: &MemberMachine,
+    table: &TableSnapshot,
+    now: Duration,
+) -> Vec<MemberStatus> {
     let seats = table.members.row.numbered_seats();
     seats
         .filter_map(|(seat, record)| Some((seat, record.holder.as_ref()?)))
-        .map(|(seat, holder)| member_of(machine, table, seat, holder, now))
+        .map(|(seat, holder)| member_status(machine, table, seat, holder, now))
         .collect()
 }
 
-fn member_of(
+/// Returns the status of one member.
+fn member_status(
     machine: &MemberMachine,
     table: &TableSnapshot,
     seat: SeatNumber,
@@ -90,13 +97,14 @@
     }
 }
 
-fn domains_of(
+/// Returns the status of each failure domain.
+fn domain_statuses(
     machine: &MemberMachine,
     table: &TableSnapshot,
     configuration: &Configuration,
     now: Duration,
 ) -> Vec<DomainStatus> {
-    let waiting_for = unconfirmed(machine, table, configuration.version.0, now);
+    let waiting_for = unconfirmed_owner_seats(machine, table, configuration.version.0, now);
     configuration
         .domains
         .iter()
@@ -109,8 +117,9 @@
         .collect()
 }
 
-/// The owners of shards that may still act by an older version. One that lost its seat acts no more.
-fn unconfirmed(
+/// Returns the seats of the shard owners that may still act by an older version than this one. Daemons
+/// that lost their seats are omitted, as they may not act any more.
+fn unconfirmed_owner_seats(
     machine: &MemberMachine,
     table: &TableSnapshot,
     version: u64,
--- a/crates/cluster/src/tcp_link.rs
+++ b/crates/cluster/src/tcp_link.rs
@@ -1,4 +1,5 @@
-//! The network between daemons over TCP: each sends on connections of its own and receives on those of its peers.
+//! The network between daemons over TCP. A daemon sends frames on the connections that it opens, and
+//! receives frames on the connections that its peers open.
 
 use std::{
     io::{
@@ -32,22 +33,28 @@
     frame_sender::send_frames, //
 };
 
-/// How many received frames wait for the daemon; more are dropped, and heartbeats repeat.
-const RECEIVE_QUEUE: usize = 512;
-/// How many frames wait for a connection to a peer; more are dropped.
-const SEND_QUEUE: usize = 32;
+/// The maximum number of received frames that wait for [`PeerLink::receive`]. Further ones are dropped,
+/// which is harmless, as members repeat their heartbeats.
+const MAX_QUEUED_RECEIVED_FRAMES: usize = 512;
+/// The maximum number of frames that wait to be sent to a peer; further ones are dropped.
+const MAX_QUEUED_SENT_FRAMES: usize = 32;
+/// The time limit of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The network between daemons over TCP.
+/// The network between daemons over TCP. Closes when it is dropped.
 #[derive(Debug)]
 pub struct TcpLink {
+    /// The address on which it listens, with the actual port.
     address: SocketAddr,
+    /// The task that accepts connections and receives frames.
     receiver: AbortHandle,
+    /// The senders to the peers, by address.
     peers: Mutex<IndexMap<SocketAddr, PeerSender>>,
+    /// The received frames.
     frames: tokio::sync::Mutex<mpsc::Receiver<Bytes>>,
 }
 
-/// Frames on their way to one peer.
+/// The queue of frames to one peer, and the task that sends them. The task ends when this is dropped.
 #[derive(Debug)]
 struct PeerSender {
     frames: mpsc::Sender<Bytes>,
@@ -62,33 +69,33 @@
 
 impl PeerSender {
     fn new(to: SocketAddr) -> Self {
-        let (sender, frames) = mpsc::channel(SEND_QUEUE);
+        let (sender, frames) = mpsc::channel(MAX_QUEUED_SENT_FRAMES);
         Self {
             frames: sender,
             task: tokio::spawn(send_frames(to, frames)).abort_handle(),
         }
     }
 
-    /// Tells whether nothing was sent to the peer for so long that its connection was closed.
+    /// Returns whether the task has ended because no frame was sent for its idle timeout.
     fn has_ended(&self) -> bool {
         self.frames.is_closed()
     }
 }
 
 impl TcpLink {
-    /// Starts to listen, within a runtime. Port zero takes a free one.
+    /// Starts to listen; must be called within a Tokio runtime. Port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// Returns [`ClusterError::Listen`] if the address cannot be used.
+    /// Returns [`ClusterError::Listen`] if the address cannot be bound.
     pub fn new(listen: SocketAddr) -> Result<Self, ClusterError> {
-        let failed = |cause| ClusterError::Listen {
+        let listen_error = |cause| ClusterError::Listen {
             address: listen,
             cause,
         };
-        let listener = bind(listen).map_err(failed)?;
-        let address = listener.local_addr().map_err(failed)?;
-        let (sender, frames) = mpsc::channel(RECEIVE_QUEUE);
+        let listener = bind(listen).map_err(listen_error)?;
+        let address = listener.local_addr().map_err(listen_error)?;
+        let (sender, frames) = mpsc::channel(MAX_QUEUED_RECEIVED_FRAMES);
         let receiver = FrameReceiver::new(listener, sender);
         Ok(Self {
             address,
@@ -99,6 +106,7 @@
     }
 }
 
+/// Binds a listener without waiting.
 fn bind(listen: SocketAddr) -> io::Result<tokio::net::TcpListener> {
     let listener = std::net::TcpListener::bind(listen)?;
     listener.set_nonblocking(true)?;
--- a/crates/cluster/src/trace_span.rs
+++ b/crates/cluster/src/trace_span.rs
@@ -1,4 +1,4 @@
-//! The trace spans of what the daemons share.
+//! Trace spans of the cluster part.
 
 use opentelemetry::{
     global::{
@@ -8,9 +8,10 @@
     trace::Tracer, //
 };
 
+/// The name of the tracer, which all crates share.
 const TRACER: &str = "jasminebend";
 
-/// Begins a span, which ends when it is dropped.
-pub(crate) fn begin(name: &'static str) -> BoxedSpan {
+/// Starts a span, which ends when it is dropped.
+pub(crate) fn start(name: &'static str) -> BoxedSpan {
     global::tracer(TRACER).start(name)
 }
