--- a/crates/cluster/benches/shared.rs
+++ b/crates/cluster/benches/shared.rs
@@ -34,8 +34,8 @@
     ClusterSettings,
     ConfigurationChange,
     PeerLink,
-    ProbeOutcome, //
-    TcpLink,
+    ProbeOutcome,
+    TcpLink, //
 };
 use jasminebend_ports::{
     SystemClock,
--- a/crates/cluster/src/cluster_state.rs
+++ b/crates/cluster/src/cluster_state.rs
@@ -171,10 +171,12 @@
         self.tick(myself);
     }
 
+    /// Closes the link to the peers, without releasing anything.
     pub(crate) fn stop(&mut self) {
         self.link.close();
     }
 
+    /// Handles one message of the actor.
     pub(crate) fn handle(&mut self, myself: &ActorRef<ClusterMessage>, message: ClusterMessage) {
         match message {
             ClusterMessage::Tick => self.tick(myself),
--- a/crates/cluster/src/tcp_link.rs
+++ b/crates/cluster/src/tcp_link.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Returns whether the task has ended because no frame was sent for its idle timeout.
+    /// Returns whether the task has ended, because no frame was sent to the peer for a while.
     fn has_ended(&self) -> bool {
         self.frames.is_closed()
     }
--- a/crates/cluster/tests/cluster/frames.rs
+++ b/crates/cluster/tests/cluster/frames.rs
@@ -1,4 +1,4 @@
-//! What comes over the network between daemons and must change nothing.
+//! Frames between daemons: invalid ones are ignored, and releases and keys can be mixed.
 
 use std::{
     net::SocketAddr,
@@ -9,8 +9,8 @@
 use jasminebend_cluster::{
     ClusterHandle,
     PeerLink,
-    ProbeOutcome, //
-    TcpLink,
+    ProbeOutcome,
+    TcpLink, //
 };
 use jasminebend_ownership::{
     PeerBody,
@@ -31,14 +31,15 @@
 use tokio::time::timeout;
 
 use crate::harness::{
-    KEY,
-    RESOURCES,
+    PEER_KEY,
+    RESOURCE_COUNT,
     TestCluster,
-    settle,
+    check_exclusive_holders,
     sleep_ms,
-    watch_holders, //
+    wait_until_balanced, //
 };
 
+/// Returns a report that claims this epoch and configuration version, and to have heard all members.
 fn report(epoch: u64) -> PeerReport {
     PeerReport {
         seats: vec![epoch; 5],
@@ -48,22 +49,26 @@
     }
 }
 
-/// Garbage, recorded frames, and frames under another key reach a daemon, thousands of them: it goes
-/// on as if nothing had come.
+/// Guards against frames that change the state of a daemon although they are garbage, replayed, or
+/// signed with the key of another cluster.
 #[tokio::test(start_paused = true)]
-async fn garbage_replays_and_strangers_change_nothing() {
+async fn garbage_replayed_and_foreign_frames_are_ignored() {
     let mut cluster = TestCluster::new(5);
     let handles = cluster.start_all(4).await;
-    let recorded = cluster.net.record(TestCluster::address(2));
+    let recorded = cluster.network.record(TestCluster::address(2));
     sleep_ms(2_000).await;
     let recorded: Vec<Bytes> = recorded.lock().unwrap().clone();
     assert!(recorded.len() > 10);
-    let stranger = PeerKey::from_secret("a secret of another cluster").unwrap();
-    let mut stranger = PeerCodec::new(5, KeyRing::new(stranger));
+    let foreign_key = PeerKey::from_secret("a secret of another cluster").unwrap();
+    let mut foreign_codec = PeerCodec::new(5, KeyRing::new(foreign_key));
     for round in 0..20 {
         for frame in &recorded {
-            cluster.net.inject(TestCluster::address(2), frame.clone());
-            cluster.net.inject(TestCluster::address(3), frame.clone());
+            cluster
+                .network
+                .inject(TestCluster::address(2), frame.clone());
+            cluster
+                .network
+                .inject(TestCluster::address(3), frame.clone());
         }
         let body = WireBody::Member(PeerMessage {
             from: 1.into(),
@@ -75,38 +80,46 @@
                 report: report(1_000),
             },
         });
-        let frame = stranger.encode(round, body).unwrap();
-        cluster.net.inject(TestCluster::address(2), frame);
+        let frame = foreign_codec.encode(round, body).unwrap();
+        cluster.network.inject(TestCluster::address(2), frame);
         let garbage = vec![round as u8; 3_000];
         cluster
-            .net
+            .network
             .inject(TestCluster::address(2), Bytes::from(garbage));
-        assert_eq!(watch_holders(&handles, 500).await, RESOURCES);
+        assert_eq!(check_exclusive_holders(&handles, 500).await, RESOURCE_COUNT);
     }
-    settle(&handles).await;
+    wait_until_balanced(&handles).await;
 }
 
-/// Half of the daemons run a later release, whose frames carry more than the others know. They must
-/// hear each other all the same, also without the table, where everything rests on their frames.
+/// Guards against two releases that cannot exchange frames: half of the daemons run a later release,
+/// whose frames have an additional field. Without the table, all resources depend on these frames.
 #[tokio::test(start_paused = true)]
 async fn daemons_of_two_releases_run_side_by_side() {
     let mut cluster = TestCluster::new(5);
-    cluster.net.upgrade(TestCluster::address(1));
-    cluster.net.upgrade(TestCluster::address(3));
+    cluster
+        .network
+        .send_as_later_release(TestCluster::address(1));
+    cluster
+        .network
+        .send_as_later_release(TestCluster::address(3));
     let handles = cluster.start_all(4).await;
     let outage = OutageState::Down(FaultKind::Unreachable);
     cluster.table.faults().set_outage(outage);
-    assert_eq!(watch_holders(&handles, 10_000).await, RESOURCES);
-    let heard = |handle: &ClusterHandle| handle.status().members.iter().all(|one| one.heard);
-    assert!(handles.iter().all(heard));
+    assert_eq!(
+        check_exclusive_holders(&handles, 10_000).await,
+        RESOURCE_COUNT
+    );
+    let hears_all =
+        |handle: &ClusterHandle| handle.status().members.iter().all(|member| member.heard);
+    assert!(handles.iter().all(hears_all));
 }
 
-/// Operators replace the key of all daemons, one by one, while these run.
+/// Guards against an interruption while operators replace the key at all running daemons one by one.
 #[tokio::test(start_paused = true)]
 async fn keys_are_replaced_without_a_restart() {
     let mut cluster = TestCluster::new(5);
     let handles = cluster.start_all(4).await;
-    let old = PeerKey::new(KEY);
+    let old = PeerKey::new(PEER_KEY);
     let new = PeerKey::from_secret("the secret that follows it").unwrap();
     let steps = [
         KeyRing::new(old).with_next(new),
@@ -116,50 +129,61 @@
     for ring in steps {
         for handle in &handles {
             handle.set_keys(ring);
-            assert_eq!(watch_holders(&handles, 1_500).await, RESOURCES);
+            assert_eq!(
+                check_exclusive_holders(&handles, 1_500).await,
+                RESOURCE_COUNT
+            );
         }
     }
-    let heard = |handle: &ClusterHandle| handle.status().members.iter().all(|member| member.heard);
-    assert!(handles.iter().all(heard));
+    let hears_all =
+        |handle: &ClusterHandle| handle.status().members.iter().all(|member| member.heard);
+    assert!(handles.iter().all(hears_all));
 }
 
-/// The contract of the link over TCP: what arrives is what was sent, a frame that is too large or
-/// for nobody harms nothing, and a refused connection is told from silence.
+/// Guards against a TCP link that alters frames, that fails after a frame which is too large or has no
+/// receiver, or whose probe does not detect a refused connection.
 #[tokio::test]
-async fn the_link_over_tcp_keeps_its_contract() {
+async fn tcp_links_deliver_frames_and_probe_addresses() {
     let listen: SocketAddr = "127.0.0.1:0".parse().unwrap();
-    let one = TcpLink::new(listen).unwrap();
-    let other = TcpLink::new(listen).unwrap();
-    assert_ne!(one.address().port(), 0);
-    one.send(other.address(), Bytes::from(vec![0; MAX_FRAME_BYTES * 2]));
-    one.send(
+    let sender = TcpLink::new(listen).unwrap();
+    let receiver = TcpLink::new(listen).unwrap();
+    assert_ne!(sender.address().port(), 0);
+    sender.send(
+        receiver.address(),
+        Bytes::from(vec![0; MAX_FRAME_BYTES * 2]),
+    );
+    sender.send(
         "127.0.0.1:9".parse().unwrap(),
         Bytes::from_static(b"nobody"),
     );
     let frame = Bytes::from_static(b"hello");
-    let received = deliver(&one, &other, &frame).await;
+    let received = deliver(&sender, &receiver, &frame).await;
     let unaltered = received.iter().all(|received| *received == frame);
     assert!(unaltered && !received.is_empty(), "{received:?}");
-    one.reset(other.address());
+    sender.reset(receiver.address());
     assert!(
-        !deliver(&one, &other, &frame).await.is_empty(),
+        !deliver(&sender, &receiver, &frame).await.is_empty(),
         "a new connection works"
     );
-    assert_eq!(one.probe(other.address()).await, ProbeOutcome::Listens);
-    let address = other.address();
-    other.close();
-    // What had arrived before is still handed out; then closing ends the receiver.
-    while !other.receive(8).await.is_empty() {}
-    assert_eq!(one.probe(address).await, ProbeOutcome::Refused);
-    one.close();
+    assert_eq!(
+        sender.probe(receiver.address()).await,
+        ProbeOutcome::Listens
+    );
+    let address = receiver.address();
+    receiver.close();
+    // Frames received before are still returned, and then the empty result of a closed link.
+    while !receiver.receive(8).await.is_empty() {}
+    assert_eq!(sender.probe(address).await, ProbeOutcome::Refused);
+    sender.close();
 }
 
-/// Sends until something arrives, as heartbeats do: a frame may be lost while a connection is made.
-async fn deliver(one: &TcpLink, other: &TcpLink, frame: &Bytes) -> Vec<Bytes> {
+/// Sends a frame repeatedly until frames are received, and returns them: a frame may be lost while a
+/// connection is opened.
+async fn deliver(sender: &TcpLink, receiver: &TcpLink, frame: &Bytes) -> Vec<Bytes> {
     for _ in 0..400 {
-        one.send(other.address(), frame.clone());
+        sender.send(receiver.address(), frame.clone());
         let wait = Duration::from_millis(50);
-        if let Ok(frames) = timeout(wait, other.receive(8)).await {
+        if let Ok(frames) = timeout(wait, receiver.receive(8)).await {
             return frames;
         }
     }
--- a/crates/cluster/tests/cluster/harness.rs
+++ b/crates/cluster/tests/cluster/harness.rs
@@ -1,4 +1,5 @@
-//! A few daemons in one process, over links in memory and the stand-in table, on a paused clock.
+//! Runs several daemons in one process, with a network in memory, a simulated table service and a paused
+//! clock.
 
 use std::{
     net::SocketAddr,
@@ -45,55 +46,59 @@
 use jasminebend_standins::TableStandIn;
 use jasminebend_wire::PeerKey;
 
-use crate::memory_net::MemoryNet;
+use crate::memory_network::MemoryNetwork;
 
-/// How many shares and shards there are.
-pub(crate) const RESOURCES: usize = 34;
+/// The number of resources: 30 slot shares and 4 shards.
+pub(crate) const RESOURCE_COUNT: usize = 34;
 
-/// The key between the daemons of a test.
-pub(crate) const KEY: [u8; 32] = [7; 32];
+/// The key with which the daemons of a test sign frames.
+pub(crate) const PEER_KEY: [u8; 32] = [7; 32];
 
-/// A VM list that a test sets.
+/// A VM list whose content a test sets.
 #[derive(Default)]
-pub(crate) struct FixedVms(pub(crate) Mutex<VmSnapshot>);
+pub(crate) struct SettableVmList(pub(crate) Mutex<VmSnapshot>);
 
 #[async_trait]
-impl VmList for FixedVms {
+impl VmList for SettableVmList {
     async fn read(&self) -> Result<VmSnapshot, VmListError> {
         Ok(self.0.lock().unwrap().clone())
     }
 }
 
-/// One daemon's way to the table.
-pub(crate) struct CutTable {
+/// One daemon's access to the table, which a test can interrupt.
+pub(crate) struct InterruptibleTable {
     table: TableStandIn,
-    cut: AtomicBool,
+    /// Whether calls fail immediately as unreachable.
+    unreachable: AtomicBool,
+    /// Whether calls never get a response.
     silent: AtomicBool,
 }
 
-impl CutTable {
+impl InterruptibleTable {
     fn new(table: TableStandIn) -> Self {
         Self {
             table,
-            cut: AtomicBool::new(false),
+            unreachable: AtomicBool::new(false),
             silent: AtomicBool::new(false),
         }
     }
 
-    pub(crate) fn set_cut(&self, cut: bool) {
-        self.cut.store(cut, Ordering::SeqCst);
+    /// Sets whether calls fail immediately as unreachable.
+    pub(crate) fn set_unreachable(&self, unreachable: bool) {
+        self.unreachable.store(unreachable, Ordering::SeqCst);
     }
 
-    /// Leaves calls that begin from now on without an answer for good.
+    /// Sets whether calls that begin from now on never get a response.
     pub(crate) fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Ordering::SeqCst);
     }
 
+    /// Fails or blocks forever if the test has interrupted the access.
     async fn check(&self) -> Result<(), TableError> {
         if self.silent.load(Ordering::SeqCst) {
             std::future::pending::<()>().await;
         }
-        match self.cut.load(Ordering::SeqCst) {
+        match self.unreachable.load(Ordering::SeqCst) {
             true => Err(TableError::Unreachable),
             false => Ok(()),
         }
@@ -101,7 +106,7 @@
 }
 
 #[async_trait]
-impl TableService for CutTable {
+impl TableService for InterruptibleTable {
     async fn read(&self, key: &RowKey) -> Result<Option<TableRow>, TableError> {
         self.check().await?;
         self.table.read(key).await
@@ -127,20 +132,21 @@
     }
 }
 
-/// What the daemons of a test share.
+/// The environment that the daemons of a test share.
 #[derive(Clone)]
 pub(crate) struct TestCluster {
-    pub(crate) net: MemoryNet,
+    pub(crate) network: MemoryNetwork,
     pub(crate) table: TableStandIn,
-    pub(crate) vms: Arc<FixedVms>,
+    pub(crate) vms: Arc<SettableVmList>,
     pub(crate) seats: u8,
+    /// The seed of the daemon started last.
     pub(crate) seed: u64,
 }
 
 impl TestCluster {
     pub(crate) fn new(seats: u8) -> Self {
         Self {
-            net: MemoryNet::default(),
+            network: MemoryNetwork::default(),
             table: TableStandIn::new(),
             vms: Arc::default(),
             seats,
@@ -148,8 +154,8 @@
         }
     }
 
-    /// Sets the entry VMs that the VM list shows.
-    pub(crate) fn list_vms(&self, numbers: &[u16]) {
+    /// Sets the numbers of the daemons whose VMs the VM list contains.
+    pub(crate) fn set_listed_vms(&self, numbers: &[u16]) {
         let mut list = self.vms.0.lock().unwrap();
         list.revision += 1;
         list.vms = numbers
@@ -165,12 +171,14 @@
             .collect();
     }
 
+    /// Returns the peer address of the daemon with this number.
     pub(crate) fn address(number: u16) -> SocketAddr {
         SocketAddr::from(([10, 0, 0, 1], number))
     }
 
+    /// Returns the settings of the daemon with this number.
     pub(crate) fn settings(&self, number: u16) -> ClusterSettings {
-        let key = PeerKey::new(KEY);
+        let key = PeerKey::new(PEER_KEY);
         ClusterSettings::new(Self::address(number), "east".into(), key)
             .with_seats(self.seats)
             .with_slot_shares(30)
@@ -179,19 +187,24 @@
             .with_vm(format!("entry-{number}").into())
     }
 
-    /// Starts a daemon whose way to the table can be cut: its own view of the same rows.
-    pub(crate) async fn start_cuttable(&mut self, number: u16) -> (ClusterHandle, Arc<CutTable>) {
-        let table = Arc::new(CutTable::new(self.table.clone()));
+    /// Starts a daemon whose access to the shared table can be interrupted.
+    pub(crate) async fn start_with_interruptible_table(
+        &mut self,
+        number: u16,
+    ) -> (ClusterHandle, Arc<InterruptibleTable>) {
+        let table = Arc::new(InterruptibleTable::new(self.table.clone()));
         let settings = self.settings(number);
         let handle = self.start_with(number, settings, table.clone()).await;
         (handle, table)
     }
 
+    /// Starts a daemon with the default settings.
     pub(crate) async fn start(&mut self, number: u16) -> ClusterHandle {
         let table: Arc<dyn TableService> = Arc::new(self.table.clone());
         self.start_with(number, self.settings(number), table).await
     }
 
+    /// Starts a daemon with these settings and this access to the table.
     pub(crate) async fn start_with(
         &mut self,
         number: u16,
@@ -205,18 +218,20 @@
             clock: Arc::new(SystemClock::new()),
             seed: self.seed,
         };
-        let link = self.net.link(Self::address(number));
+        let link = self.network.link(Self::address(number));
         ClusterHandle::start_with_link(settings, edges, link)
             .await
             .unwrap()
     }
 
+    /// Starts daemons with the numbers from 1, and waits until resources are balanced.
     pub(crate) async fn start_all(&mut self, count: u16) -> Vec<ClusterHandle> {
-        self.start_beside(count, Vec::new()).await
+        self.start_with_others(count, Vec::new()).await
     }
 
-    /// Starts daemons from number 1, and waits until they and the others have settled.
-    pub(crate) async fn start_beside(
+    /// Starts daemons with the numbers from 1, and waits until resources are balanced between them and
+    /// the others. Returns all of them, the others last.
+    pub(crate) async fn start_with_others(
         &mut self,
         count: u16,
         others: Vec<ClusterHandle>,
@@ -226,12 +241,12 @@
             handles.push(self.start(number).await);
         }
         handles.extend(others);
-        settle(&handles).await;
+        wait_until_balanced(&handles).await;
         handles
     }
 }
 
-/// A document with three failure domains.
+/// Returns a configuration with three failure domains.
 pub(crate) fn three_domains() -> Configuration {
     let domain = |name: &str| FailureDomain {
         name: name.into(),
@@ -244,7 +259,8 @@
     }
 }
 
-pub(crate) fn replace(
+/// Returns the change that replaces the configuration.
+pub(crate) fn replace_configuration(
     configuration: Configuration,
     expected: Option<ConfigurationVersion>,
 ) -> ConfigurationChange {
@@ -254,7 +270,8 @@
     }
 }
 
-pub(crate) fn set_domain(name: &str, state: DomainState, force: bool) -> ConfigurationChange {
+/// Returns the change that sets the state of a failure domain.
+pub(crate) fn set_domain_state(name: &str, state: DomainState, force: bool) -> ConfigurationChange {
     ConfigurationChange::Domain {
         name: name.into(),
         state,
@@ -262,13 +279,14 @@
     }
 }
 
-/// Returns the version that a daemon acts by.
-pub(crate) fn version_of(handle: &ClusterHandle) -> u64 {
+/// Returns the configuration version by which a daemon acts.
+pub(crate) fn configuration_version(handle: &ClusterHandle) -> u64 {
     handle.configuration().borrow().version.0
 }
 
-/// Watches for some time that nothing is held by two, and returns the least that was held at once.
-pub(crate) async fn watch_holders(handles: &[ClusterHandle], millis: u64) -> usize {
+/// Checks for some time that no resource is held by two daemons, and returns the lowest number of
+/// resources that were held at one time.
+pub(crate) async fn check_exclusive_holders(handles: &[ClusterHandle], millis: u64) -> usize {
     let mut least = usize::MAX;
     for _ in 0..millis / 50 {
         sleep_ms(50).await;
@@ -281,14 +299,15 @@
     least
 }
 
-/// Waits until all are ready and hold about the same.
-pub(crate) async fn settle(handles: &[ClusterHandle]) {
+/// Waits until all resources are held, all daemons are ready, and the numbers of resources that they hold
+/// differ by at most two.
+pub(crate) async fn wait_until_balanced(handles: &[ClusterHandle]) {
     for _ in 0..600 {
         sleep_ms(100).await;
         let held: Vec<usize> = handles.iter().map(|h| h.ownership().held().len()).collect();
         let least = held.iter().min().unwrap();
         let most = held.iter().max().unwrap();
-        let all = held.iter().sum::<usize>() == RESOURCES;
+        let all = held.iter().sum::<usize>() == RESOURCE_COUNT;
         if all && handles.iter().all(ClusterHandle::ready) && most - least <= 2 {
             return;
         }
@@ -296,7 +315,7 @@
     for handle in handles {
         eprintln!("{:#?}", handle.status());
     }
-    panic!("the daemons did not settle");
+    panic!("the resources were not balanced within 60 seconds");
 }
 
 pub(crate) async fn sleep_ms(millis: u64) {
--- a/crates/cluster/tests/cluster/membership.rs
+++ b/crates/cluster/tests/cluster/membership.rs
@@ -1,14 +1,15 @@
-//! How daemons take seats and divide what is shared.
+//! Membership: daemons claim seats, divide the resources, leave, and are replaced.
 
 use crate::harness::{
-    RESOURCES,
+    RESOURCE_COUNT,
     TestCluster,
-    settle,
+    check_exclusive_holders,
     sleep_ms,
-    watch_holders, //
+    wait_until_balanced, //
 };
 use indexmap::IndexSet;
 
+/// Guards against resources that are held twice, not at all, or by few of the daemons.
 #[tokio::test(start_paused = true)]
 async fn daemons_divide_all_shares_and_shards_evenly() {
     let mut cluster = TestCluster::new(7);
@@ -19,11 +20,13 @@
             assert!(seen.insert(resource), "{resource} is held twice");
         }
     }
-    assert_eq!(seen.len(), RESOURCES);
+    assert_eq!(seen.len(), RESOURCE_COUNT);
 }
 
+/// Guards against resources that stay unused after a planned stop: the others must hold all of them 1.5
+/// seconds later.
 #[tokio::test(start_paused = true)]
-async fn a_leaving_daemon_hands_over_everything_at_once() {
+async fn a_leaving_daemon_releases_all_resources_at_once() {
     let mut cluster = TestCluster::new(7);
     let mut handles = cluster.start_all(3).await;
     let leaving = handles.remove(0);
@@ -31,24 +34,25 @@
     assert!(leaving.ownership().held().is_empty());
     sleep_ms(1_500).await;
     let held: usize = handles.iter().map(|h| h.ownership().held().len()).sum();
-    assert_eq!(held, RESOURCES);
+    assert_eq!(held, RESOURCE_COUNT);
 }
 
+/// Guards against resources that stay with a daemon that has died.
 #[tokio::test(start_paused = true)]
-async fn what_a_dead_daemon_held_moves_to_the_others() {
+async fn resources_of_a_dead_daemon_move_to_the_others() {
     let mut cluster = TestCluster::new(7);
     let mut handles = cluster.start_all(5).await;
     handles.remove(1).stop();
     sleep_ms(15_000).await;
-    settle(&handles).await;
+    wait_until_balanced(&handles).await;
     let held: usize = handles.iter().map(|h| h.ownership().held().len()).sum();
-    assert_eq!(held, RESOURCES);
+    assert_eq!(held, RESOURCE_COUNT);
 }
 
-/// A roll-out: callers of the daemons that stay would be refused for a moment, each time that a new
-/// daemon takes the seat of one that left.
+/// Guards against refused callers during a rolling replacement: each time that a new daemon takes the
+/// seat of one that left, the remaining daemons must not lose all their resources even briefly.
 #[tokio::test(start_paused = true)]
-async fn those_who_stay_hold_something_at_every_moment_of_a_replacement() {
+async fn remaining_daemons_always_hold_resources_during_a_rolling_replacement() {
     let mut cluster = TestCluster::new(3);
     let mut handles = cluster.start_all(3).await;
     for number in 11..14 {
@@ -61,19 +65,22 @@
                 assert!(!handle.ownership().held().is_empty(), "step {step}");
             }
         }
-        settle(&handles).await;
+        wait_until_balanced(&handles).await;
     }
 }
 
-/// One daemon is started with another number of seats: it would count other majorities than the
-/// others, so it must take no part, and must not disturb them.
+/// Guards against a daemon that is started with another number of seats and would count majorities
+/// differently: it must not participate, nor disturb the others.
 #[tokio::test(start_paused = true)]
-async fn a_daemon_with_other_numbers_takes_no_part() {
+async fn a_daemon_with_mismatched_settings_does_not_participate() {
     let mut cluster = TestCluster::new(5);
     let handles = cluster.start_all(3).await;
     let settings = cluster.settings(9).with_seats(9);
     let table = std::sync::Arc::new(cluster.table.clone());
-    let odd = cluster.start_with(9, settings, table).await;
-    assert_eq!(watch_holders(&handles, 5_000).await, RESOURCES);
-    assert!(!odd.ready() && odd.status().seat.is_none());
+    let mismatched = cluster.start_with(9, settings, table).await;
+    assert_eq!(
+        check_exclusive_holders(&handles, 5_000).await,
+        RESOURCE_COUNT
+    );
+    assert!(!mismatched.ready() && mismatched.status().seat.is_none());
 }
