--- a/crates/cluster/src/cluster_message.rs
+++ b/crates/cluster/src/cluster_message.rs
@@ -38,7 +38,7 @@
     /// Frames were received from peers. The reply requests the next batch, so that at most one batch
     /// is in the mailbox.
     FramesReceived(Vec<Bytes>, RpcReplyPort<()>),
-    /// A poll of the shared rows ended; the duration is the time at which it was requested.
+    /// A poll of the shared rows ended; the duration is the time at which it started.
     PollFinished(Result<TableSnapshot, RowError>, Duration),
     /// A write of the shared rows ended.
     CommitFinished(WriteOutcome),
--- a/crates/cluster/src/cluster_state.rs
+++ b/crates/cluster/src/cluster_state.rs
@@ -184,9 +184,7 @@
                 self.receive(myself, frames);
                 let _ = reply.send(());
             }
-            ClusterMessage::PollFinished(result, requested_at) => {
-                self.finish_poll(myself, result, requested_at);
-            }
+            ClusterMessage::PollFinished(result, start) => self.finish_poll(myself, result, start),
             ClusterMessage::CommitFinished(outcome) => self.finish_commit(myself, outcome),
             ClusterMessage::ProbeFinished(holder, outcome) => self.finish_probe(holder, outcome),
             ClusterMessage::ResourceIdle(resource) => self.finish_release(myself, resource),
--- a/crates/cluster/src/table_access.rs
+++ b/crates/cluster/src/table_access.rs
@@ -120,7 +120,7 @@
         &mut self,
         myself: &ActorRef<ClusterMessage>,
         result: Result<TableSnapshot, RowError>,
-        _requested_at: Duration,
+        _start: Duration,
     ) {
         self.poll_in_progress = false;
         let result = result.and_then(|snapshot| match self.lock().matches_settings(&snapshot) {
