--- a/crates/cluster/src/cluster_error.rs
+++ b/crates/cluster/src/cluster_error.rs
@@ -24,11 +24,11 @@
     },
     /// The number of seats is not in the range from 1 to 64.
     #[display("{seats} seats are set; give from 1 to 64")]
-    Seats {
+    InvalidSeatCount {
         /// The number of seats from the settings.
         seats: u8,
     },
     /// The cluster actor could not be spawned.
     #[display("the cluster actor did not start")]
-    Actor,
+    ActorNotStarted,
 }
--- a/crates/cluster/src/cluster_handle.rs
+++ b/crates/cluster/src/cluster_handle.rs
@@ -89,7 +89,7 @@
     ) -> Result<Self, ClusterError> {
         let seats = settings.ownership.seats;
         if seats == 0 || seats > MAX_SEATS {
-            return Err(ClusterError::Seats { seats });
+            return Err(ClusterError::InvalidSeatCount { seats });
         }
         let clock = edges.clock.clone();
         let state = ClusterState::new(settings, edges, link);
@@ -98,7 +98,7 @@
         let vms = state.vms.subscribe();
         let (actor, _) = Actor::spawn(None, ClusterActor, state)
             .await
-            .map_err(|_| ClusterError::Actor)?;
+            .map_err(|_| ClusterError::ActorNotStarted)?;
         Ok(Self {
             actor,
             machine,
--- a/crates/cluster/src/configuration_edit.rs
+++ b/crates/cluster/src/configuration_edit.rs
@@ -37,6 +37,7 @@
     Ok(Some(edited))
 }
 
+/// Rejects a replacement that is based on another version than the one in force.
 fn check_expected_version(
     current: &Configuration,
     change: &ConfigurationChange,
@@ -53,6 +54,8 @@
     }
 }
 
+/// Returns the replacement with the current version. Rejects it if it is invalid, or if it changes the
+/// failure domains so that all are out.
 fn replace_document(
     current: &Configuration,
     replacement: &Configuration,
@@ -66,6 +69,8 @@
     Ok(edited)
 }
 
+/// Returns the document with another state of a failure domain. Without `force`, rejects the change if all
+/// domains would be out.
 fn set_domain_state(
     current: &Configuration,
     name: &DomainName,
@@ -90,6 +95,7 @@
     Ok(edited)
 }
 
+/// Rejects a document that declares failure domains and has all of them out.
 fn check_domain_left(edited: &Configuration) -> Result<(), RefusalReason> {
     edited
         .check_domain_left()
--- a/crates/cluster/src/document_fetch.rs
+++ b/crates/cluster/src/document_fetch.rs
@@ -104,6 +104,7 @@
         }
     }
 
+    /// Installs the document read from the table, if it has the version that was requested.
     pub(crate) fn finish_fetch(&mut self, version: u64, document: Option<Configuration>) {
         self.fetch_in_progress = false;
         if let Some(document) = document.filter(|document| document.version.0 == version) {
--- a/crates/cluster/src/liveness_checks.rs
+++ b/crates/cluster/src/liveness_checks.rs
@@ -84,9 +84,9 @@
     pub(crate) fn mark_absent_vms_terminated(&mut self, now: Duration, list: &VmSnapshot) {
         let silent = self.lock().silent_processes(now);
         let silent_vms = silent.iter().filter_map(|(_, vm)| vm.clone());
-        let absent = self.absence_tracker.record_list(now, list, silent_vms);
+        let terminated_vms = self.absence_tracker.record_list(now, list, silent_vms);
         for (holder, vm) in silent {
-            if vm.is_some_and(|vm| absent.contains(&vm)) {
+            if vm.is_some_and(|vm| terminated_vms.contains(&vm)) {
                 info!(
                     "[cluster] The daemon of {} has terminated: its VM left the VM list.",
                     holder
@@ -104,8 +104,8 @@
             return;
         }
         self.next_reset_at = now + PEER_RESET_INTERVAL;
-        let silent = self.lock().unresponsive_peer_addresses(now);
-        for address in silent {
+        let addresses = self.lock().unresponsive_peer_addresses(now);
+        for address in addresses {
             self.link.reset(address);
         }
     }
--- a/crates/cluster/src/probe_outcome.rs
+++ b/crates/cluster/src/probe_outcome.rs
@@ -8,5 +8,5 @@
     /// The VM refused the connection: it is running, and the process has terminated.
     Refused,
     /// There was no answer, from which nothing can be concluded.
-    Silent,
+    NoAnswer,
 }
--- a/crates/cluster/src/proposal_progress.rs
+++ b/crates/cluster/src/proposal_progress.rs
@@ -103,7 +103,7 @@
             } else if machine.can_notify_majority(now) {
                 None
             } else {
-                Some(RefusalReason::TooFewMembers)
+                Some(RefusalReason::NoMajority)
             }
         };
         let Some(proposal) = self.proposals.front() else {
--- a/crates/cluster/src/proposal_queue.rs
+++ b/crates/cluster/src/proposal_queue.rs
@@ -66,7 +66,7 @@
         deadline: Duration,
     ) {
         if self.queued.len() == MAX_QUEUED_PROPOSALS {
-            send_refusal(reply, RefusalReason::Busy);
+            send_refusal(reply, RefusalReason::QueueFull);
             return;
         }
         self.queued.push_back(QueuedProposal {
--- a/crates/cluster/src/refusal_reason.rs
+++ b/crates/cluster/src/refusal_reason.rs
@@ -38,10 +38,10 @@
     NotCurrent,
     /// Not more than half of the members can be notified of the change.
     #[display("not more than half of the members can be told from here; try another daemon")]
-    TooFewMembers,
+    NoMajority,
     /// The queue of proposed changes is full.
     #[display("too many changes wait at this daemon; try again")]
-    Busy,
+    QueueFull,
     /// The document does not fit into a frame between daemons.
     #[display("the configuration is larger than {limit} bytes")]
     TooLarge {
--- a/crates/cluster/src/tcp_link.rs
+++ b/crates/cluster/src/tcp_link.rs
@@ -148,7 +148,7 @@
         match timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(_)) => ProbeOutcome::Listens,
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refused,
-            Ok(Err(_)) | Err(_) => ProbeOutcome::Silent,
+            Ok(Err(_)) | Err(_) => ProbeOutcome::NoAnswer,
         }
     }
 
--- a/crates/cluster/tests/cluster/configuration.rs
+++ b/crates/cluster/tests/cluster/configuration.rs
@@ -279,7 +279,7 @@
     let refused = handles[0]
         .propose(set_domain_state("east", DomainState::Out, false))
         .await;
-    let reason = RefusalReason::TooFewMembers;
+    let reason = RefusalReason::NoMajority;
     assert_eq!(refused, Err(ProposalError::NotAccepted(reason)));
 }
 
@@ -289,12 +289,12 @@
 async fn a_change_is_in_force_in_time_despite_an_unanswered_table_read() {
     for phase in (0..2_000).step_by(200) {
         let mut cluster = TestCluster::new(5);
-        let (partitioned, partitioned_table) = cluster.start_with_interruptible_table(9).await;
-        let handles = cluster.start_with_others(3, vec![partitioned]).await;
+        let (delayed, delayed_table) = cluster.start_with_interruptible_table(9).await;
+        let handles = cluster.start_with_others(3, vec![delayed]).await;
         sleep_ms(phase).await;
-        partitioned_table.set_silent(true);
+        delayed_table.set_silent(true);
         sleep_ms(1_500).await;
-        partitioned_table.set_silent(false);
+        delayed_table.set_silent(false);
         let proposed = Instant::now();
         let change = replace_configuration(three_domains(), None);
         let version = handles[0].propose(change).await.unwrap();
--- a/crates/cluster/tests/cluster/memory_network.rs
+++ b/crates/cluster/tests/cluster/memory_network.rs
@@ -171,7 +171,7 @@
             return ProbeOutcome::Refused;
         }
         if state.disconnected.contains(&(self.address, address)) {
-            return ProbeOutcome::Silent;
+            return ProbeOutcome::NoAnswer;
         }
         match state.queues.contains_key(&address) {
             true => ProbeOutcome::Listens,
