--- a/crates/cluster/src/change_edit.rs
+++ b/crates/cluster/src/configuration_edit.rs
@@ -1,4 +1,4 @@
-//! What a change makes of the configuration in force.
+//! Applies a change to the configuration in force.
 
 use jasminebend_base::{
     Configuration,
@@ -12,30 +12,33 @@
     RefusalReason, //
 };
 
-/// Returns the document after a change, or `None` if it is as wanted already: a command that is
-/// repeated changes nothing.
+/// Returns the document after a change, or `None` if the document already is as requested, so that
+/// a repeated command changes nothing.
 ///
 /// # Errors
 ///
-/// Returns why the change cannot be accepted on top of `current`.
+/// Returns the reason why the change cannot be applied to `current`.
 pub(crate) fn edit_configuration(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<Option<Configuration>, RefusalReason> {
     let edited = match change {
-        ConfigurationChange::Replace { configuration, .. } => replace(current, configuration)?,
+        ConfigurationChange::Replace { configuration, .. } => {
+            replace_document(current, configuration)?
+        }
         ConfigurationChange::Domain { name, state, force } => {
-            set_domain(current, name, *state, *force)?
+            set_domain_state(current, name, *state, *force)?
         }
     };
     if edited == *current {
         return Ok(None);
     }
-    check_expected(current, change)?;
+    check_expected_version(current, change)?;
     Ok(Some(edited))
 }
 
-fn check_expected(
+/// Rejects a replacement that is based on another version than the one in force.
+fn check_expected_version(
     current: &Configuration,
     change: &ConfigurationChange,
 ) -> Result<(), RefusalReason> {
@@ -51,11 +54,13 @@
     }
 }
 
-fn replace(
+/// Returns the replacement with the current version. Rejects it if it is invalid, or if it changes the
+/// failure domains so that all are out.
+fn replace_document(
     current: &Configuration,
-    wanted: &Configuration,
+    replacement: &Configuration,
 ) -> Result<Configuration, RefusalReason> {
-    let mut edited = wanted.clone();
+    let mut edited = replacement.clone();
     edited.version = current.version;
     edited.check().map_err(RefusalReason::Invalid)?;
     if current.domains != edited.domains {
@@ -64,7 +69,9 @@
     Ok(edited)
 }
 
-fn set_domain(
+/// Returns the document with another state of a failure domain. Without `force`, rejects the change if all
+/// domains would be out.
+fn set_domain_state(
     current: &Configuration,
     name: &DomainName,
     state: DomainState,
@@ -88,6 +95,7 @@
     Ok(edited)
 }
 
+/// Rejects a document that declares failure domains and has all of them out.
 fn check_domain_left(edited: &Configuration) -> Result<(), RefusalReason> {
     edited
         .check_domain_left()
