--- a/crates/jbctl/src/command_line.rs
+++ b/crates/jbctl/src/command_line.rs
@@ -153,9 +153,7 @@
     plot_path: Option<PathBuf>,
 ) -> Result<OperatorCommand, UsageError> {
     match (command, plot_path) {
-        (OperatorCommand::Summary { .. }, plot_path) => {
-            Ok(OperatorCommand::Summary { plot: plot_path })
-        }
+        (OperatorCommand::Summary { .. }, plot) => Ok(OperatorCommand::Summary { plot }),
         (command, None) => Ok(command),
         (_, Some(_)) => misplaced_option("`--plot` goes with `summary` alone"),
     }
