--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: what an owner of jobs and workers knows and decides.
+//! The dispatcher: the state of one owner of jobs and workers, and its basic operations.
 
 use std::{
     collections::BTreeSet,
@@ -13,8 +13,8 @@
 use jasminebend_base::DomainName;
 
 use crate::{
-    DecisionNote,
     DispatchSettings,
+    FillerEviction,
     FleetConfiguration,
     JobGraph,
     JobKey,
@@ -27,173 +27,185 @@
     TaskKey,
     WorkerKey,
     WorkerOrder,
-    admission::GrantLedger,
-    commit_ledger::CommitLedger,
-    harm_model::HarmModel,
-    hopeless_demand::HopelessDemands,
+    admission::AdmissionGrants,
+    commit_tracker::CommitTracker,
+    interference_model::InterferenceModel,
     job_state::{
         JobState,
         OccurrenceState, //
     },
+    order_window::OrderWindow,
     pool_demand::PoolDemand,
-    service_view::ServiceView,
-    start_window::StartWindow,
+    service_snapshot::ServiceSnapshot,
+    unplaceable_demands::UnplaceableDemands,
     worker_state::WorkerState, //
 };
 
-/// A job that was accepted, as its owner hears of it.
+/// An accepted job as passed to [`Dispatcher::add_job`].
 #[derive(Clone, Debug)]
 pub struct AcceptedJob {
-    /// The queue that it was handed in to.
+    /// The name of the queue to which the job was submitted.
     pub queue: Arc<str>,
-    /// What it consists of.
+    /// The job's steps, payload and schedule.
     pub graph: Arc<JobGraph>,
-    /// When it was accepted, on the owner's clock.
+    /// When the job was accepted, on the owner's process clock.
     pub accepted: Duration,
-    /// Whether a former owner may have started some of it.
+    /// Whether a former owner may have started some of the job's tasks.
     pub inherited: bool,
 }
 
-/// Who may have opened a step.
+/// Which owners may have opened a step, and so may have started tasks of it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StepOrigin {
-    /// A former owner may have, and may have started some of it.
+    /// A former owner may have opened the step and started some of its tasks.
     Unknown,
-    /// This owner alone: it saw a task at work for which the step had to wait.
-    Own,
+    /// Only this owner: it saw a task running on which the step depends, so no former owner can
+    /// have opened the step.
+    ThisOwner,
 }
 
-/// What an owner of jobs and workers knows and decides.
+/// Schedules the tasks of the jobs that one owner holds onto that owner's workers.
 ///
-/// It does no I/O and reads no clock: it is told what happened, with the time since an origin of
-/// its process, and answers with orders. Two records are behind it. The rows hold what was asked
-/// and what has ended; the workers hold what runs. It keeps the room of a run until the worker can
-/// no longer run it, and gives a task a new run only once the last one is known to be over.
+/// Does no I/O and reads no clock: callers report events together with the time since the process's
+/// origin, and receive orders in return. Two sources of truth exist outside of it: the store's rows
+/// hold what was requested and what has ended; the workers know what is running. The dispatcher
+/// keeps the capacity of a run reserved until the worker can no longer execute it, and gives a task
+/// a new run only once the previous one is known to be over.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) settings: DispatchSettings,
-    pub(crate) token: u64,
+    pub(crate) fencing_token: u64,
+    /// The number of run numbers allocated so far.
     pub(crate) run_count: u64,
     pub(crate) configuration: Arc<FleetConfiguration>,
-    /// The last that was known of each queue, also of those that were removed: their jobs go on.
-    pub(crate) rules: IndexMap<Arc<str>, QueueRule>,
-    pub(crate) closed: BTreeSet<DomainName>,
+    /// The latest known rule of each queue, including removed queues, whose jobs continue.
+    pub(crate) queue_rules: IndexMap<Arc<str>, QueueRule>,
+    /// The failure domains in which no run may start.
+    pub(crate) closed_domains: BTreeSet<DomainName>,
+    /// All workers ever listed; a [`WorkerKey`] is an index into this list.
     pub(crate) workers: Vec<WorkerState>,
-    pub(crate) by_id: IndexMap<Arc<str>, WorkerKey>,
+    /// The workers' keys by identity.
+    pub(crate) worker_keys: IndexMap<Arc<str>, WorkerKey>,
     pub(crate) jobs: IndexMap<JobKey, JobState>,
     /// Steps that may have tasks without a run.
-    pub(crate) open: IndexSet<StepKey>,
-    /// Runs that are to be stopped, until they are gone.
-    pub(crate) stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
-    /// Orders that were decided between two plans.
-    pub(crate) decided: Vec<WorkerOrder>,
-    pub(crate) notes: Vec<DecisionNote>,
-    pub(crate) ledger: CommitLedger,
-    pub(crate) harm: HarmModel,
-    pub(crate) hopeless: HopelessDemands,
-    /// Workers whose room is kept in this plan for what waited for too long.
-    pub(crate) kept: IndexSet<WorkerKey>,
-    /// The time of day at this process's origin, as of the last look at both clocks.
+    pub(crate) pending_steps: IndexSet<StepKey>,
+    /// Runs to be stopped; an entry stays until its run is gone.
+    pub(crate) pending_stops: IndexSet<(WorkerKey, TaskKey, RunNumber)>,
+    /// Orders decided between two plans, to be returned by the next plan.
+    pub(crate) pending_orders: Vec<WorkerOrder>,
+    /// Log entries to be returned by the next plan.
+    pub(crate) pending_notes: Vec<FillerEviction>,
+    pub(crate) commits: CommitTracker,
+    pub(crate) interference: InterferenceModel,
+    /// Demands for which no worker had capacity in a recent plan.
+    pub(crate) unplaceable: UnplaceableDemands,
+    /// Workers whose free capacity the current plan reserves for steps that have waited too long.
+    pub(crate) reserved_workers: IndexSet<WorkerKey>,
+    /// The wall-clock time (since 1970) of the process clock's origin, as of the last reading of
+    /// both clocks.
     pub(crate) clock_origin: Duration,
-    pub(crate) window: StartWindow,
-    /// Whether the last plan held starts back.
-    pub(crate) held_back: bool,
-    /// How many plans were made.
-    pub(crate) plans: u64,
-    /// Repeated jobs of which occurrences are still to come.
-    pub(crate) scheduled: IndexMap<JobKey, u32>,
-    pub(crate) demands: IndexMap<Arc<str>, PoolDemand>,
-    pub(crate) grants: GrantLedger,
-    /// When the first plan was made.
-    pub(crate) acting_since: Option<Duration>,
-    /// The time of the last plan.
-    pub(crate) planned: Duration,
+    pub(crate) order_window: OrderWindow,
+    /// Whether the last plan deferred starts because too many orders were in flight.
+    pub(crate) starts_deferred: bool,
+    /// The number of plans made so far.
+    pub(crate) plan_count: u64,
+    /// Repeated jobs with occurrences still to come, each with the number of the next occurrence.
+    pub(crate) next_occurrences: IndexMap<JobKey, u32>,
+    /// Demand statistics by pool.
+    pub(crate) pool_demands: IndexMap<Arc<str>, PoolDemand>,
+    /// Admissions granted to jobs that are not on record yet.
+    pub(crate) grants: AdmissionGrants,
+    /// When the first plan was made; `None` before it.
+    pub(crate) first_plan_at: Option<Duration>,
+    /// When the last plan was made.
+    pub(crate) last_plan_at: Duration,
 }
 
 impl Dispatcher {
     /// Creates the dispatcher of the owner with this fencing token.
-    pub fn new(token: u64, settings: DispatchSettings) -> Self {
+    pub fn new(fencing_token: u64, settings: DispatchSettings) -> Self {
         Self {
             settings,
-            token,
+            fencing_token,
             run_count: 0,
             configuration: Arc::new(FleetConfiguration::default()),
-            rules: IndexMap::new(),
-            closed: BTreeSet::new(),
+            queue_rules: IndexMap::new(),
+            closed_domains: BTreeSet::new(),
             workers: Vec::new(),
-            by_id: IndexMap::new(),
+            worker_keys: IndexMap::new(),
             jobs: IndexMap::new(),
-            open: IndexSet::new(),
-            stops: IndexSet::new(),
-            decided: Vec::new(),
-            notes: Vec::new(),
-            ledger: CommitLedger::default(),
-            harm: HarmModel::default(),
-            hopeless: HopelessDemands::default(),
-            kept: IndexSet::new(),
+            pending_steps: IndexSet::new(),
+            pending_stops: IndexSet::new(),
+            pending_orders: Vec::new(),
+            pending_notes: Vec::new(),
+            commits: CommitTracker::default(),
+            interference: InterferenceModel::default(),
+            unplaceable: UnplaceableDemands::default(),
+            reserved_workers: IndexSet::new(),
             clock_origin: Duration::ZERO,
-            window: StartWindow::default(),
-            held_back: false,
-            plans: 0,
-            scheduled: IndexMap::new(),
-            demands: IndexMap::new(),
-            grants: GrantLedger::default(),
-            acting_since: None,
-            planned: Duration::ZERO,
+            order_window: OrderWindow::default(),
+            starts_deferred: false,
+            plan_count: 0,
+            next_occurrences: IndexMap::new(),
+            pool_demands: IndexMap::new(),
+            grants: AdmissionGrants::default(),
+            first_plan_at: None,
+            last_plan_at: Duration::ZERO,
         }
     }
 
     /// Returns the owner's fencing token.
     pub fn token(&self) -> u64 {
-        self.token
+        self.fencing_token
     }
 
-    /// Goes by another configuration.
-    pub fn configure(&mut self, configuration: Arc<FleetConfiguration>) {
+    /// Replaces the configuration. Rules of queues that it no longer contains stay in force for
+    /// their remaining jobs.
+    pub fn set_configuration(&mut self, configuration: Arc<FleetConfiguration>) {
         for (name, rule) in &configuration.queues {
-            self.rules.insert(Arc::clone(name), rule.clone());
+            self.queue_rules.insert(Arc::clone(name), rule.clone());
         }
         self.configuration = configuration;
-        self.hopeless.clear();
+        self.unplaceable.clear();
     }
 
-    /// Sets the failure domains in which nothing is to start.
+    /// Sets the failure domains in which no run may start.
     pub fn close_domains(&mut self, closed: BTreeSet<DomainName>) {
-        self.closed = closed;
-        self.hopeless.clear();
+        self.closed_domains = closed;
+        self.unplaceable.clear();
     }
 
-    /// Takes a job in. A job that is known already stays as it is.
+    /// Adds a job. A job that is already known stays unchanged.
     pub fn add_job(&mut self, key: JobKey, job: AcceptedJob) {
         if self.jobs.contains_key(&key) {
             return;
         }
-        let chains = job.graph.remaining_chains();
+        let remaining_chains = job.graph.remaining_chains();
         let repeated = job.graph.schedule.is_some();
         let state = JobState {
             queue: job.queue,
-            chains,
+            remaining_chains,
             accepted: job.accepted,
             inherited: job.inherited,
             started: false,
             cancelled: false,
             outcome: None,
-            recorded: None,
+            recorded_outcome: None,
             occurrences: Default::default(),
-            running: 0,
+            run_count: 0,
             idle_since: job.accepted,
-            forced: None,
+            last_forced_search: None,
             graph: job.graph,
         };
         self.jobs.insert(key, state);
-        self.grants.settle(key);
+        self.grants.remove(key);
         match repeated {
-            true => drop(self.scheduled.insert(key, 0)),
+            true => drop(self.next_occurrences.insert(key, 0)),
             false => self.open_occurrence(key, 0),
         }
     }
 
-    /// Cancels a job: nothing of it starts any more, and what runs is stopped.
+    /// Cancels a job: no task of it starts any more, and its runs are stopped.
     pub fn cancel_job(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -203,72 +215,75 @@
         }
         job.cancelled = true;
         job.outcome = Some(JobOutcome::Cancelled);
-        // The row that asks for it is the record.
-        job.recorded = Some(JobOutcome::Cancelled);
-        self.end_job(key);
+        // The stored row that requests the cancellation is its record.
+        job.recorded_outcome = Some(JobOutcome::Cancelled);
+        self.stop_job_runs(key);
     }
 
-    /// Begins the occurrences that are due at `wall`, the time since 1970, which is `now` on the process's clock.
-    pub fn begin_due(&mut self, wall: Duration, now: Duration) {
+    /// Opens the occurrences that are due at `wall`, the time since 1970 that corresponds to `now`
+    /// on the process clock.
+    pub fn open_due_occurrences(&mut self, wall: Duration, now: Duration) {
         self.clock_origin = wall.saturating_sub(now);
         let due: Vec<(JobKey, u32)> = self
-            .scheduled
+            .next_occurrences
             .iter()
             .filter_map(|(&key, &next)| {
                 let schedule = self.jobs.get(&key)?.graph.schedule?;
-                (schedule.due(next) <= wall + self.settings.early).then_some((key, next))
+                (schedule.due(next) <= wall + self.settings.early_start).then_some((key, next))
             })
             .collect();
         for (key, next) in due {
             self.open_occurrence(key, next);
             let count = self.jobs.get(&key).map_or(0, |job| job.graph.occurrences());
             match next + 1 < count {
-                true => drop(self.scheduled.insert(key, next + 1)),
-                false => drop(self.scheduled.shift_remove(&key)),
+                true => drop(self.next_occurrences.insert(key, next + 1)),
+                false => drop(self.next_occurrences.shift_remove(&key)),
             }
         }
     }
 
-    /// Returns when the next occurrence is due, since 1970.
-    pub fn next_due(&self) -> Option<Duration> {
-        let due = self.scheduled.iter().filter_map(|(key, &next)| {
+    /// Returns when the next occurrence is due, since 1970; `None` if none is to come.
+    pub fn next_occurrence_due(&self) -> Option<Duration> {
+        let due = self.next_occurrences.iter().filter_map(|(key, &next)| {
             let schedule = self.jobs.get(key)?.graph.schedule?;
             Some(schedule.due(next))
         });
         due.min()
     }
 
-    /// Returns how far a job is, if it is known.
+    /// Returns a job's progress, or `None` if the job is unknown.
     pub fn progress(&self, key: JobKey) -> Option<JobProgress> {
         Some(self.jobs.get(&key)?.progress())
     }
 
-    /// Returns how many of a queue's accepted jobs have not started.
-    pub fn waiting(&self, queue: &str) -> usize {
+    /// Returns the number of a queue's accepted jobs that have neither started nor ended.
+    pub fn waiting_job_count(&self, queue: &str) -> usize {
         self.jobs
             .values()
             .filter(|job| job.queue.as_ref() == queue && !job.started && !job.is_over())
             .count()
     }
 
-    /// Returns how many jobs have not ended.
-    pub fn live_jobs(&self) -> usize {
+    /// Returns the number of jobs that have not ended.
+    pub fn unfinished_job_count(&self) -> usize {
         self.jobs.values().filter(|job| !job.is_over()).count()
     }
 
-    /// Returns how many runs are known.
-    pub fn run_total(&self) -> usize {
+    /// Returns the number of known runs on all workers.
+    pub fn total_run_count(&self) -> usize {
         self.workers.iter().map(|worker| worker.runs.len()).sum()
     }
 
-    /// Tells whether every worker that a former owner may have given orders to has answered to
-    /// this one, or surely runs nothing of it any more.
-    pub fn is_settled(&self) -> bool {
+    /// Returns whether every worker that a former owner may have sent orders to has answered this
+    /// owner, or certainly no longer runs anything for the former owner.
+    pub fn is_takeover_complete(&self) -> bool {
         self.workers
             .iter()
             .all(|worker| worker.inherited_until.is_none())
     }
 
+    /// Creates the state of a job's occurrence, if there is none, and opens its steps that have no
+    /// unfinished dependencies.
     pub(crate) fn open_occurrence(&mut self, key: JobKey, occurrence: u32) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -279,17 +294,18 @@
         if !job.occurrences.contains_key(&occurrence) {
             let state = OccurrenceState::new(&job.graph, job.inherited);
             job.occurrences.insert(occurrence, state);
-            // What came before this process began counts as of its origin; nothing is known of its rate.
-            let begun = job.begun(occurrence, self.clock_origin);
+            // A start of 0 means that the occurrence began before this process, which says nothing
+            // about the arrival rate.
+            let started_at = job.occurrence_start(occurrence, self.clock_origin);
             let (queue, graph) = (Arc::clone(&job.queue), Arc::clone(&job.graph));
-            if !begun.is_zero() {
-                self.note_arrival(&queue, &graph, begun);
+            if !started_at.is_zero() {
+                self.record_arrival(&queue, &graph, started_at);
             }
         }
         self.open_steps(key, occurrence, StepOrigin::Unknown);
     }
 
-    /// Opens the steps that wait for nothing any more.
+    /// Opens the steps whose dependencies are all done.
     pub(crate) fn open_steps(&mut self, key: JobKey, occurrence: u32, origin: StepOrigin) {
         let Some(job) = self.jobs.get_mut(&key) else {
             return;
@@ -301,7 +317,7 @@
         state.open_steps(&graph, origin);
         for (number, step) in state.steps.iter().enumerate() {
             if step.has_pending() {
-                self.open.insert(StepKey {
+                self.pending_steps.insert(StepKey {
                     job: key,
                     occurrence,
                     // CAST: A job has at most 256 steps.
@@ -311,10 +327,10 @@
         }
     }
 
-    /// Stops what runs of a job that is over.
-    pub(crate) fn end_job(&mut self, key: JobKey) {
-        self.scheduled.shift_remove(&key);
-        self.open.retain(|step| step.job != key);
+    /// Stops all runs of a job that is over and forgets its open steps.
+    pub(crate) fn stop_job_runs(&mut self, key: JobKey) {
+        self.next_occurrences.shift_remove(&key);
+        self.pending_steps.retain(|step| step.job != key);
         let Some(job) = self.jobs.get(&key) else {
             return;
         };
@@ -336,44 +352,48 @@
             }
         }
         if !runs.is_empty() {
-            self.note_released(&queue, &graph, self.planned);
+            self.record_released_cpu(&queue, &graph, self.last_plan_at);
         }
         for (worker, task, run) in runs {
             self.stop_run(worker, task, run);
         }
     }
 
+    /// Requests that a run be stopped; the next plan sends the order.
     pub(crate) fn stop_run(&mut self, worker: WorkerKey, task: TaskKey, run: RunNumber) {
-        self.stops.insert((worker, task, run));
+        self.pending_stops.insert((worker, task, run));
     }
 
+    /// Returns a new run number of this owner.
     pub(crate) fn next_run(&mut self) -> RunNumber {
         self.run_count += 1;
-        RunNumber::of_owner(self.token, self.run_count)
+        RunNumber::of_owner(self.fencing_token, self.run_count)
     }
 
+    /// Returns the definition of a step, or `None` if its job is unknown.
     pub(crate) fn step_spec(&self, step: StepKey) -> Option<&StepSpec> {
         let job = self.jobs.get(&step.job)?;
         job.graph.steps.get(usize::from(step.step))
     }
 
     pub(crate) fn worker(&self, key: WorkerKey) -> &WorkerState {
-        &self.workers[key.place()]
+        &self.workers[key.index()]
     }
 
-    /// Returns a worker that is about to change.
+    /// Returns a worker for modification and marks it as changed.
     pub(crate) fn worker_mut(&mut self, key: WorkerKey) -> &mut WorkerState {
-        let worker = &mut self.workers[key.place()];
-        worker.changed = self.plans;
+        let worker = &mut self.workers[key.index()];
+        worker.changed_in_plan = self.plan_count;
         worker.version += 1;
         worker
     }
 
-    /// Looks anew at the services of the workers that have changed since they were last looked at.
-    pub(crate) fn renew_views(&mut self, now: Duration) {
+    /// Recomputes the service snapshots that are out of date because their worker has changed or
+    /// their lifetime has passed.
+    pub(crate) fn refresh_snapshots(&mut self, now: Duration) {
         for worker in &mut self.workers {
-            if !worker.view.is_fresh(worker, now) {
-                worker.view = ServiceView::new(worker, &self.harm, now);
+            if !worker.service_snapshot.is_valid(worker, now) {
+                worker.service_snapshot = ServiceSnapshot::new(worker, &self.interference, now);
             }
         }
     }
--- /dev/null
+++ b/crates/dispatch/src/dispatcher_completions.rs
@@ -0,0 +1,176 @@
+//! Handling of run completions.
+
+use std::{
+    sync::Arc,
+    time::Duration, //
+};
+
+use crate::{
+    Dispatcher,
+    EndedRun,
+    JobOutcome,
+    RunResult,
+    TaskKey,
+    WorkerKey,
+    dispatcher::StepOrigin, //
+};
+
+impl Dispatcher {
+    /// Applies the completion of a run to its task, step and job. Returns the number of the change
+    /// that must be on record before the completion may be acknowledged.
+    pub(crate) fn apply_completion(
+        &mut self,
+        key: WorkerKey,
+        ended: &EndedRun,
+        seen: bool,
+        now: Duration,
+    ) -> u64 {
+        let committed = self.commits.committed_through();
+        let step = ended.task.step;
+        let Some(job) = self.jobs.get(&step.job) else {
+            return committed;
+        };
+        let Some(spec) = job.graph.steps.get(usize::from(step.step)).cloned() else {
+            return committed;
+        };
+        self.open_occurrence(step.job, step.occurrence);
+        match ended.result {
+            RunResult::Done => self.worker_mut(key).health.record_success(),
+            RunResult::Failed => self.worker_mut(key).health.record_failure(ended.task, now),
+            _ => {}
+        }
+        if spec.long_running {
+            self.mark_unavailable(ended.task, now);
+            return committed;
+        }
+        if let Some(checkpoint) = &ended.checkpoint {
+            self.record_checkpoint(ended.task, Arc::clone(checkpoint));
+        }
+        match ended.result {
+            RunResult::Done => {
+                // For gangs and copies, another worker may have reported the same result to the
+                // former owner.
+                let seen_by_owner = seen && !spec.gang && !spec.allows_copies;
+                let origin = if seen_by_owner {
+                    StepOrigin::ThisOwner
+                } else {
+                    StepOrigin::Unknown
+                };
+                self.mark_done(ended.task, spec.gang, origin)
+            }
+            RunResult::Failed => self.count_failure(key, ended, spec.gang),
+            RunResult::Stopped | RunResult::Lapsed if ended.checkpoint.is_some() => {
+                self.commits.record_change(step.job)
+            }
+            _ => committed,
+        }
+    }
+
+    /// Records how long a task took, for a run that this owner placed at `placed`.
+    pub(crate) fn record_run_time(&mut self, ended: &EndedRun, placed: Duration, now: Duration) {
+        let step = ended.task.step;
+        if ended.result != RunResult::Done || !ended.run.is_of_owner(self.fencing_token) {
+            return;
+        }
+        let Some(job) = self.jobs.get(&step.job) else {
+            return;
+        };
+        let (queue, graph) = (Arc::clone(&job.queue), Arc::clone(&job.graph));
+        if let Some(spec) = graph.steps.get(usize::from(step.step))
+            && let Some(demand) = self.demand_mut(&queue)
+        {
+            let took = now.saturating_sub(placed);
+            demand.short.record_run_time(spec, took, now);
+        }
+    }
+
+    /// Marks a task, or all tasks of a gang, as done and stops surplus copies. Returns the number
+    /// of the change.
+    fn mark_done(&mut self, task: TaskKey, gang: bool, origin: StepOrigin) -> u64 {
+        let step = task.step;
+        let mut surplus = Vec::new();
+        let Some(job) = self.jobs.get_mut(&step.job) else {
+            return 0;
+        };
+        if job.is_over() {
+            return self.commits.committed_through();
+        }
+        let Some(state) = job.step_mut(step.occurrence, step.step) else {
+            return 0;
+        };
+        for (index, held) in state.tasks.iter_mut().enumerate() {
+            // CAST: A step has at most 20,000 tasks.
+            let index = index as u32;
+            if held.done || (!gang && index != task.index) {
+                continue;
+            }
+            held.done = true;
+            held.checkpoint = None;
+            state.done_count += 1;
+            let key = step.task(index);
+            surplus.extend(held.runs.iter().map(|&(worker, run)| (worker, key, run)));
+        }
+        let is_done = state.is_done();
+        if !gang {
+            for (worker, key, run) in surplus {
+                self.stop_run(worker, key, run);
+            }
+        }
+        let change = self.commits.record_change(step.job);
+        if is_done {
+            self.pending_steps.swap_remove(&step);
+            self.open_steps(step.job, step.occurrence, origin);
+            self.complete_job_if_done(task);
+        }
+        change
+    }
+
+    /// Completes the job if all its occurrences are done.
+    fn complete_job_if_done(&mut self, task: TaskKey) {
+        let step = task.step;
+        let Some(job) = self.jobs.get(&step.job) else {
+            return;
+        };
+        // Each member of a gang reports the same completion, and a successor receives it again; so
+        // the finished occurrences are recounted instead of incrementing a counter.
+        let done = job.occurrences.values().filter(|state| state.is_done());
+        if done.count() >= job.graph.occurrences() as usize {
+            self.finish_job(step.job, JobOutcome::Completed);
+        }
+    }
+
+    /// Counts a failed run and fails the job if the task has used up its attempts. Returns the
+    /// number of the change.
+    fn count_failure(&mut self, key: WorkerKey, ended: &EndedRun, gang: bool) -> u64 {
+        let step = ended.task.step;
+        let Some(job) = self.jobs.get_mut(&step.job) else {
+            return 0;
+        };
+        if job.is_over() {
+            return self.commits.committed_through();
+        }
+        let queue = Arc::clone(&job.queue);
+        let Some(state) = job.step_mut(step.occurrence, step.step) else {
+            return 0;
+        };
+        // A gang fails as a whole: its failures are counted at its first task.
+        let counted_index = if gang { 0 } else { ended.task.index };
+        let mut failures = 0;
+        if let Some(task) = state.tasks.get_mut(counted_index as usize) {
+            if !task.failures.contains(&ended.run) {
+                task.failures.push(ended.run);
+            }
+            task.failed_on = Some(key);
+            failures = task.failures.len();
+        }
+        let attempts = self
+            .queue_rules
+            .get(&queue)
+            .map_or(1, |rule| rule.max_attempts.max(1));
+        let change = self.commits.record_change(step.job);
+        if failures >= attempts as usize {
+            self.finish_job(step.job, JobOutcome::Failed);
+        }
+        change
+    }
+}
--- a/crates/dispatch/src/dispatcher_pools.rs
+++ b/crates/dispatch/src/dispatcher_pools.rs
@@ -1,4 +1,4 @@
-//! How a dispatcher's pools are used.
+//! CPU usage of the dispatcher's pools.
 
 use std::{
     sync::Arc,
@@ -9,13 +9,13 @@
 
 use crate::{
     Dispatcher,
-    PoolUse, //
+    PoolUsage, //
 };
 
 impl Dispatcher {
-    /// Tells who holds each pool's processors, and who waits for them.
-    pub fn pool_use(&self, now: Duration) -> Vec<PoolUse> {
-        let mut pools: IndexMap<Arc<str>, PoolUse> = IndexMap::new();
+    /// Returns, for each pool, the CPU that each kind of work holds and the CPU that it waits for.
+    pub fn pool_usage(&self, now: Duration) -> Vec<PoolUsage> {
+        let mut pools: IndexMap<Arc<str>, PoolUsage> = IndexMap::new();
         for worker in &self.workers {
             let pool = &worker.record.pool;
             if !self.is_usable(worker, pool, now) {
@@ -28,27 +28,30 @@
             used.short.held += worker.short_cpu();
             used.filler.held += worker.filler_cpu;
         }
-        for step in &self.open {
+        for step in &self.pending_steps {
             let Some(job) = self.jobs.get(&step.job) else {
                 continue;
             };
             let spec = job.graph.steps.get(usize::from(step.step));
             let state = job.step(step.occurrence, step.step);
-            let rule = self.rules.get(&job.queue);
+            let rule = self.queue_rules.get(&job.queue);
             if let (Some(spec), Some(state), Some(rule)) = (spec, state, rule) {
                 let pending = state.tasks.iter().filter(|task| task.is_pending());
                 // CAST: A step has at most 20,000 tasks.
                 let wanted = spec.size.cpu_millis.saturating_mul(pending.count() as u64);
                 let share = pool_entry(&mut pools, &rule.pool).share_mut(spec.kind());
-                share.wanted = share.wanted.saturating_add(wanted);
+                share.waiting = share.waiting.saturating_add(wanted);
             }
         }
         pools.into_values().collect()
     }
 }
 
-fn pool_entry<'a>(pools: &'a mut IndexMap<Arc<str>, PoolUse>, pool: &Arc<str>) -> &'a mut PoolUse {
+fn pool_entry<'a>(
+    pools: &'a mut IndexMap<Arc<str>, PoolUsage>,
+    pool: &Arc<str>,
+) -> &'a mut PoolUsage {
     pools
         .entry(Arc::clone(pool))
-        .or_insert_with(|| PoolUse::new(Arc::clone(pool)))
+        .or_insert_with(|| PoolUsage::new(Arc::clone(pool)))
 }
--- a/crates/dispatch/src/lib.rs
+++ b/crates/dispatch/src/lib.rs
@@ -1,58 +1,58 @@
-//! The dispatcher of jobs with steps: which task runs where, and when; who is told what; what has to
-//! be on record before it is said.
+//! Scheduler for jobs made of steps: decides which task runs on which worker and when, which orders
+//! each worker receives, and what must be on record before it is acknowledged.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number. The same calls give the same
-//! orders.
+//! Nothing here does I/O, reads a clock or draws a random number: the same sequence of calls yields
+//! the same orders.
 
 mod admission;
-mod advice_wish;
-mod commit_ledger;
+mod advice_request;
+mod commit_tracker;
 mod decaying_sum;
-mod decision_note;
 mod dispatch_settings;
 mod dispatcher;
 mod dispatcher_admission;
 mod dispatcher_advice;
-mod dispatcher_ends;
+mod dispatcher_completions;
+mod dispatcher_maintenance;
 mod dispatcher_plan;
 mod dispatcher_pools;
 mod dispatcher_records;
-mod dispatcher_room;
+mod dispatcher_reservations;
 mod dispatcher_runs;
-mod dispatcher_starving;
-mod dispatcher_upkeep;
+mod dispatcher_starvation;
+mod dispatcher_throttling;
 mod dispatcher_workers;
+mod filler_eviction;
 mod fleet_configuration;
 mod fleet_worker;
 mod graph_error;
-mod harm_model;
-mod hold_report;
-mod hopeless_demand;
+mod interference_model;
 mod job_graph;
 mod job_key;
 mod job_outcome;
 mod job_schedule;
 mod job_state;
 mod learned_record;
-mod load_track;
-mod place_score;
+mod load_estimate;
+mod order_window;
+mod placement_score;
 mod policy_part;
 mod pool_demand;
 mod pool_rule;
-mod pool_use;
+mod pool_usage;
 mod progress_record;
 mod queue_rule;
-mod run_end;
+mod renewal_report;
 mod run_number;
+mod run_result;
 mod run_state;
-mod service_view;
-mod service_watch;
+mod service_snapshot;
 mod short_demand;
-mod start_window;
 mod step_rank;
 mod step_spec;
+mod step_wait;
 mod task_key;
-mod wait_note;
+mod unplaceable_demands;
 mod worker_clock;
 mod worker_health;
 mod worker_key;
@@ -62,24 +62,19 @@
 pub use self::{
     admission::{
         Admission,
-        RoomShortage, //
+        CpuShortage, //
     },
-    advice_wish::AdviceWish,
-    decision_note::DecisionNote,
+    advice_request::AdviceRequest,
     dispatch_settings::DispatchSettings,
     dispatcher::{
         AcceptedJob,
         Dispatcher, //
     },
     dispatcher_plan::PlanOutcome,
+    filler_eviction::FillerEviction,
     fleet_configuration::FleetConfiguration,
     fleet_worker::FleetWorker,
     graph_error::GraphError,
-    hold_report::{
-        EndedRun,
-        HoldReport,
-        RunningTask, //
-    },
     job_graph::JobGraph,
     job_key::{
         JobKey,
@@ -98,12 +93,12 @@
     policy_part::{
         PolicyPart,
         PolicySwitches,
-        UnknownPart, //
+        UnknownPolicyPart, //
     },
     pool_rule::PoolRule,
-    pool_use::{
-        PoolUse,
-        WorkShare, //
+    pool_usage::{
+        CpuUsage,
+        PoolUsage, //
     },
     progress_record::{
         ProgressRecord,
@@ -113,26 +108,31 @@
         AdviceRule,
         QueueRule, //
     },
-    run_end::RunEnd,
+    renewal_report::{
+        EndedRun,
+        RenewalReport,
+        RunningTask, //
+    },
     run_number::RunNumber,
+    run_result::RunResult,
     step_spec::{
         StepSpec,
         WorkKind, //
     },
+    step_wait::{
+        RejectionCounts,
+        StepWait, //
+    },
     task_key::{
         StepKey,
         TaskKey,
         TaskKeyError, //
     },
-    wait_note::{
-        WaitNote,
-        WaitReasons, //
-    },
     worker_clock::WorkerClock,
     worker_key::WorkerKey,
     worker_order::{
-        HoldOrder,
-        OrderEnd,
+        LeaseRenewal,
+        OrderOutcome,
         OrderRefusal,
         StartOrder,
         WorkerOrder, //
--- a/crates/dispatch/src/short_demand.rs
+++ b/crates/dispatch/src/short_demand.rs
@@ -1,4 +1,4 @@
-//! How many processors short work needs.
+//! Estimate of the CPU that short tasks need.
 
 use std::time::Duration;
 
@@ -9,45 +9,49 @@
     decaying_sum::DecayingSum, //
 };
 
-/// After how long an arrival counts half.
-const HALF_LIFE: Duration = Duration::from_secs(20);
-/// The time for which arrivals are taken to have been seen at least: a rate of fewer seconds is chance.
-const LEAST_SEEN: Duration = Duration::from_secs(2);
-/// How many standard deviations above its mean the need of short work is met.
-const SPREADS: f64 = 2.0;
-/// The factors between which declared run times are corrected.
-const LEAST_CORRECTION: f64 = 0.25;
-const LARGEST_CORRECTION: f64 = 4.0;
+/// The time after which an arrival counts half.
+const ARRIVAL_HALF_LIFE: Duration = Duration::from_secs(20);
+/// The minimum observation time assumed for arrival rates: a rate over fewer seconds is mostly
+/// chance.
+const MIN_ARRIVAL_OBSERVATION: Duration = Duration::from_secs(2);
+/// The number of standard deviations above the mean up to which the need of short tasks is met.
+const NEED_DEVIATIONS: f64 = 2.0;
+/// The bounds of the factor by which declared run times are corrected.
+const MIN_RUN_TIME_CORRECTION: f64 = 0.25;
+const MAX_RUN_TIME_CORRECTION: f64 = 4.0;
 
-/// What a pool offers to short work at the most, in thousandths of a processor.
+/// Upper bounds of the CPU that a pool offers to short tasks, in millicores.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PoolSize {
+    /// The CPU of the largest worker.
     pub(crate) largest_worker: u64,
+    /// The CPU of all workers together.
     pub(crate) all: u64,
 }
 
-/// How many processors short work needs, learned from what arrives: work that comes at this rate and holds processors for
-/// this long holds this many on average, and as many more as its jobs are wide.
+/// Estimates the CPU that short tasks need from the jobs that arrive: the mean is the arrival rate
+/// times the run time times the CPU (Little's law), and the variance grows with the width of the
+/// jobs.
 #[derive(Debug)]
 pub(crate) struct ShortDemand {
-    /// Processors times seconds, as declared.
+    /// The sum of CPU times seconds over all steps, as declared, in millicores.
     work: DecayingSum,
-    /// Squares of a step's processors times seconds, as declared.
-    squares: DecayingSum,
-    /// Squares of a task's processors times seconds, over all tasks, as declared.
-    sizes: DecayingSum,
-    /// What runs declared and what they took, in processors times seconds.
+    /// The sum of a step's squared CPU times seconds, as declared.
+    step_squares: DecayingSum,
+    /// The sum of a task's squared CPU times seconds over all tasks, as declared.
+    task_squares: DecayingSum,
+    /// The CPU times seconds that completed runs declared, and that they took.
     declared: DecayingSum,
     taken: DecayingSum,
 }
 
 impl Default for ShortDemand {
     fn default() -> Self {
-        let sum = DecayingSum::new(HALF_LIFE);
+        let sum = DecayingSum::new(ARRIVAL_HALF_LIFE);
         Self {
             work: sum,
-            squares: sum,
-            sizes: sum,
+            step_squares: sum,
+            task_squares: sum,
             declared: sum,
             taken: sum,
         }
@@ -55,65 +59,68 @@
 }
 
 impl ShortDemand {
-    /// Takes note of an occurrence of a job that arrived. What no worker can hold needs nothing, and no step needs more
-    /// than the pool has.
-    pub(crate) fn note_arrival(&mut self, graph: &JobGraph, pool: PoolSize, at: Duration) {
+    /// Records the arrival of a job's occurrence. A task that no worker can hold counts as no need,
+    /// and no step counts for more than the pool has.
+    pub(crate) fn record_arrival(&mut self, graph: &JobGraph, pool: PoolSize, at: Duration) {
         let short = graph.steps.iter();
-        let able = short.filter(|step| {
+        let eligible = short.filter(|step| {
             step.kind() == WorkKind::Short && step.size.cpu_millis <= pool.largest_worker
         });
-        for step in able {
-            let size = millis(step);
-            // CAST: Exact up to 2^53 thousandths of a processor.
-            let all = (size * f64::from(step.count)).min(pool.all as f64);
+        for step in eligible {
+            let task_cpu = task_cpu_millis(step);
+            // CAST: Exact up to 2^53 millicores.
+            let step_cpu = (task_cpu * f64::from(step.count)).min(pool.all as f64);
             let seconds = step.estimate.as_secs_f64();
-            self.work.add(all * seconds, at);
-            self.squares.add(all * all * seconds, at);
-            self.sizes.add(all * size * seconds, at);
+            self.work.add(step_cpu * seconds, at);
+            self.step_squares.add(step_cpu * step_cpu * seconds, at);
+            self.task_squares.add(step_cpu * task_cpu * seconds, at);
         }
     }
 
-    /// Takes note of how long a task that is done took.
-    pub(crate) fn note_done(&mut self, step: &StepSpec, took: Duration, at: Duration) {
+    /// Records how long a completed task took.
+    pub(crate) fn record_run_time(&mut self, step: &StepSpec, took: Duration, at: Duration) {
         if step.kind() != WorkKind::Short || step.estimate.is_zero() {
             return;
         }
         self.declared
-            .add(millis(step) * step.estimate.as_secs_f64(), at);
-        self.taken.add(millis(step) * took.as_secs_f64(), at);
+            .add(task_cpu_millis(step) * step.estimate.as_secs_f64(), at);
+        self.taken
+            .add(task_cpu_millis(step) * took.as_secs_f64(), at);
     }
 
-    /// Returns how many processors short work needs, in thousandths.
-    pub(crate) fn need(&self, now: Duration) -> u64 {
+    /// Returns the CPU that short tasks need, in millicores.
+    pub(crate) fn required_cpu(&self, now: Duration) -> u64 {
         let correction = self.correction(now);
-        let mean = self.work.rate(now, LEAST_SEEN) * correction;
-        let variance = self.squares.rate(now, LEAST_SEEN) * correction;
-        // CAST: It saturates.
-        (mean + SPREADS * variance.sqrt()) as u64
+        let mean = self.work.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
+        let variance = self.step_squares.rate(now, MIN_ARRIVAL_OBSERVATION) * correction;
+        // CAST: The conversion saturates.
+        (mean + NEED_DEVIATIONS * variance.sqrt()) as u64
     }
 
-    /// Returns the processors of a usual task, in thousandths, the larger ones counted for more; at least 1.
-    pub(crate) fn usual_size(&self, now: Duration) -> u64 {
+    /// Returns the mean CPU of a task in millicores, weighted by CPU times run time; at least 1.
+    pub(crate) fn typical_task_cpu(&self, now: Duration) -> u64 {
         let work = self.work.total(now);
         let size = if work > 0.0 {
-            self.sizes.total(now) / work
+            self.task_squares.total(now) / work
         } else {
             0.0
         };
-        // CAST: It saturates.
+        // CAST: The conversion saturates.
         (size as u64).max(1)
     }
 
+    /// Returns the ratio of actual to declared run times.
     fn correction(&self, now: Duration) -> f64 {
         let declared = self.declared.total(now);
         if declared <= 0.0 {
             return 1.0;
         }
-        (self.taken.total(now) / declared).clamp(LEAST_CORRECTION, LARGEST_CORRECTION)
+        (self.taken.total(now) / declared).clamp(MIN_RUN_TIME_CORRECTION, MAX_RUN_TIME_CORRECTION)
     }
 }
 
-fn millis(step: &StepSpec) -> f64 {
-    // CAST: Exact up to 2^53 thousandths of a processor.
+/// Returns the CPU of one of a step's tasks, in millicores.
+fn task_cpu_millis(step: &StepSpec) -> f64 {
+    // CAST: Exact up to 2^53 millicores.
     step.size.cpu_millis as f64
 }
--- a/crates/dispatch/src/step_rank.rs
+++ b/crates/dispatch/src/step_rank.rs
@@ -1,4 +1,4 @@
-//! Which step goes first.
+//! Order in which steps are planned.
 
 use std::time::Duration;
 
@@ -9,82 +9,94 @@
     job_state::JobState, //
 };
 
-/// How many times its objective a job may take until nobody waits for it any more.
-const HOPELESS: f64 = 3.0;
-/// After how long without a run a long-running task comes before short ones: earlier, short ones lose on full pools, and
-/// services win nothing.
-const LASTING_WAIT: Duration = Duration::from_millis(5000);
-/// How long before a step's latest start room begins to be kept for it: what runs there ends within about that time.
-const PRESSING: Duration = Duration::from_millis(1000);
+/// The factor of its objective beyond which a job counts as expired.
+const EXPIRED_OBJECTIVE_FACTOR: f64 = 3.0;
+/// The wait after which a long-running task is planned before short ones. With a shorter wait,
+/// short tasks lose on full pools while services gain nothing.
+const LONG_RUNNING_YIELD_TIME: Duration = Duration::from_millis(5000);
+/// The time before a step's latest start from which free capacity is reserved for it: runs on the
+/// workers end within about that time.
+const RESERVATION_LEAD_TIME: Duration = Duration::from_millis(1000);
 
-/// The rank of a step: the least goes first.
+/// Rank of a step; the lowest is planned first. The fields are compared in their order.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) struct StepRank {
+    /// The priority of the job's queue; 0 is first.
     priority: u32,
     lateness: Lateness,
-    /// Whether nothing of the job has started: what is begun is finished first.
-    fresh: bool,
+    /// Whether no task of the job has started: started jobs are finished first.
+    is_unstarted: bool,
+    /// The latest time at which the step can start for the job to meet its objective; for
+    /// long-running steps, since when they wait, or `Duration::MAX` while they yield.
     latest_start: Duration,
 }
 
-/// Whether a job can still be in time.
+/// Whether a job can still meet its objective.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Lateness {
-    /// It can be in time.
+    /// The job can meet its objective.
     InTime,
-    /// It will be late.
+    /// The job will miss its objective.
     Late,
-    /// Nobody waits for it any more.
-    Hopeless,
+    /// The job will take so much longer than its objective that it is assumed nobody waits for it.
+    Expired,
 }
 
 impl StepRank {
-    /// Tells whether a step should start soon, and is not given up.
-    pub(crate) fn is_pressing(&self, now: Duration) -> bool {
-        self.latest_start <= now + PRESSING && self.lateness != Lateness::Hopeless
+    /// Returns whether a step should start soon and its job has not expired.
+    pub(crate) fn is_urgent(&self, now: Duration) -> bool {
+        self.latest_start <= now + RESERVATION_LEAD_TIME && self.lateness != Lateness::Expired
     }
 }
 
 impl Dispatcher {
-    /// Ranks a step of a job.
-    pub(crate) fn rank(&self, job: &JobState, step: StepKey, now: Duration) -> StepRank {
-        let rule = self.rules.get(&job.queue);
+    /// Returns the rank of a job's step.
+    pub(crate) fn step_rank(&self, job: &JobState, step: StepKey, now: Duration) -> StepRank {
+        let rule = self.queue_rules.get(&job.queue);
         let priority = rule.map_or(u32::MAX, |rule| rule.priority);
         let switches = self.settings.switches;
-        if job.graph.lasts() {
-            let patient = switches.has(PolicyPart::LongRunningLast);
-            let waiting = job.waits_since(step.occurrence, step.step);
-            let starves = !patient || now >= waiting + LASTING_WAIT;
-            // What stays for good waits behind what comes and goes: it would fill the pool, and keep out all else.
-            // It does not wait for long: its own callers do without it.
+        if job.graph.is_long_running() {
+            let yields = switches.has(PolicyPart::LongRunningLast);
+            let since = job.waiting_since(step.occurrence, step.step);
+            let is_overdue = !yields || now >= since + LONG_RUNNING_YIELD_TIME;
+            // Long-running tasks yield to short ones at first: they would fill the pool and keep
+            // out all others. They do not yield for long, because their service's callers wait as
+            // well.
             return StepRank {
                 priority,
                 lateness: Lateness::InTime,
-                fresh: !starves,
-                latest_start: if starves { waiting } else { Duration::MAX },
+                is_unstarted: !is_overdue,
+                latest_start: if is_overdue { since } else { Duration::MAX },
             };
         }
-        let longest = job.chains.iter().max().copied().unwrap_or_default();
+        let longest = job
+            .remaining_chains
+            .iter()
+            .max()
+            .copied()
+            .unwrap_or_default();
         let objective = rule.map_or(longest, |rule| {
-            longest.mul_f64(rule.stretch.max(1.0)) + rule.allowance
+            longest.mul_f64(rule.duration_factor.max(1.0)) + rule.duration_allowance
         });
-        let begun = job.begun(step.occurrence, self.clock_origin);
-        let left = job
-            .chains
+        let start = job.occurrence_start(step.occurrence, self.clock_origin);
+        let remaining = job
+            .remaining_chains
             .get(usize::from(step.step))
             .copied()
             .unwrap_or_default();
-        let ready = now + left;
+        let finish_estimate = now + remaining;
         let lateness = match () {
-            () if ready > begun + objective.mul_f64(HOPELESS) => Lateness::Hopeless,
-            () if ready > begun + objective => Lateness::Late,
+            () if finish_estimate > start + objective.mul_f64(EXPIRED_OBJECTIVE_FACTOR) => {
+                Lateness::Expired
+            }
+            () if finish_estimate > start + objective => Lateness::Late,
             () => Lateness::InTime,
         };
         StepRank {
             priority,
             lateness,
-            fresh: !job.started && switches.has(PolicyPart::BegunFirst),
-            latest_start: (begun + objective).saturating_sub(left),
+            is_unstarted: !job.started && switches.has(PolicyPart::StartedJobsFirst),
+            latest_start: (start + objective).saturating_sub(remaining),
         }
     }
 }
--- a/crates/dispatch/src/worker_key.rs
+++ b/crates/dispatch/src/worker_key.rs
@@ -1,20 +1,20 @@
-//! The key of a worker in its owner's arena.
+//! Index of a worker in its owner's list of workers.
 
 use derive_more::Display;
 
-/// The key of a worker in its owner's arena.
+/// Index of a worker in its owner's list of workers; valid only in the dispatcher that assigned it.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct WorkerKey(u32);
 
 impl WorkerKey {
-    /// Creates the key of a place in the arena.
-    pub fn new(place: usize) -> Self {
-        // CAST: An arena holds some thousand workers.
-        Self(place as u32)
+    /// Creates a key from an index.
+    pub fn new(index: usize) -> Self {
+        // CAST: A list holds some thousand workers.
+        Self(index as u32)
     }
 
-    /// Returns the place in the arena.
-    pub fn place(self) -> usize {
+    /// Returns the index.
+    pub fn index(self) -> usize {
         // CAST: From 32 bits to at least as many.
         self.0 as usize
     }
--- a/crates/dispatch/tests/common/job_builders.rs
+++ b/crates/dispatch/tests/common/job_builders.rs
@@ -1,4 +1,4 @@
-//! Jobs and the configuration that they are handed in under.
+//! Builders of jobs and of the configuration under which they are submitted.
 
 use std::{
     sync::Arc,
@@ -18,13 +18,13 @@
     Duration::from_millis(millis)
 }
 
-/// A step of tasks with 1 core each.
+/// Returns a step of `count` tasks with 1 core each, after the given steps.
 pub(crate) fn step(count: u32, after: &[u16]) -> StepSpec {
     StepSpec {
         count,
         size: ResourceAmount::new(1000, 100),
         estimate: ms(500),
-        after: after.to_vec(),
+        dependencies: after.to_vec(),
         ..StepSpec::default()
     }
 }
@@ -37,16 +37,16 @@
     }
 }
 
-pub(crate) fn configuration(attempts: u32) -> Arc<FleetConfiguration> {
+pub(crate) fn configuration(max_attempts: u32) -> Arc<FleetConfiguration> {
     let rule = QueueRule {
         name: "queue".into(),
         host: "host".to_owned(),
         prefix: "/queue/".to_owned(),
         pool: "pool".into(),
         priority: 0,
-        attempts,
-        stretch: 2.0,
-        allowance: ms(1000),
+        max_attempts,
+        duration_factor: 2.0,
+        duration_allowance: ms(1000),
         advice: None,
     };
     let mut queues = IndexMap::new();
--- a/crates/fleet/src/shared_state.rs
+++ b/crates/fleet/src/shared_state.rs
@@ -22,17 +22,17 @@
 
 use crate::{
     CallerAnswer,
-    CallerCall,
+    CallerRequest,
     FleetAdvice,
     FleetLog,
     FleetSettings,
     FleetVms,
     FleetWorkers,
+    MaintenanceWave,
     MemberRecord,
     PeerClient,
     PeerOrder,
     Succession,
-    WaveRequest,
     monitored_store::MonitoredStore,
     owner_term::OwnerTerm,
     peer_client::PeerCallError, //
@@ -63,7 +63,7 @@
 /// Returns the parts that may hold a job's rows, in the order in which a write tries them: each later part takes the
 /// rows only while the earlier ones can't be written.
 pub(crate) fn job_row_parts(key: JobKey) -> [String; 3] {
-    let first = key.spread(JOB_PART_COUNT);
+    let first = key.partition(JOB_PART_COUNT);
     [0, 1, 2].map(|turn| part_name((first + turn * JOB_PART_STRIDE) % JOB_PART_COUNT))
 }
 
@@ -81,7 +81,7 @@
 pub(crate) struct OperatorState {
     pub(crate) configuration: Option<Arc<FleetConfiguration>>,
     pub(crate) closed: BTreeSet<DomainName>,
-    pub(crate) waves: IndexMap<u64, WaveRequest>,
+    pub(crate) waves: IndexMap<u64, MaintenanceWave>,
     /// When the store last answered a read or a watch of the operator's rows, by the monotonic clock.
     pub(crate) confirmed_at: Option<Duration>,
 }
@@ -151,7 +151,7 @@
     /// Returns whether the owner may send orders: its term was confirmed recently enough.
     pub(crate) fn may_send_orders(&self, term: &OwnerTerm) -> bool {
         !term.is_over()
-            && term.time_since_confirmation(self.now()) < self.settings.dispatch.unconfirmed
+            && term.time_since_confirmation(self.now()) < self.settings.dispatch.unconfirmed_grace
     }
 
     /// Returns the owner's address if the owner is another daemon.
@@ -177,10 +177,10 @@
     pub(crate) async fn forward_to_peer(
         &self,
         address: &str,
-        call: CallerCall,
+        request: CallerRequest,
         timeout: Duration,
     ) -> Result<CallerAnswer, PeerCallError> {
-        let answer = self.peers.forward_request(address, call, timeout).await;
+        let answer = self.peers.forward_request(address, request, timeout).await;
         let mut order = self.peer_order.borrow_mut();
         match answer {
             Ok(_) => order.record_answer(address),
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -38,12 +38,12 @@
 };
 use jasminebend_dispatch::{
     DispatchSettings,
-    HoldOrder,
-    HoldReport,
     JobGraph,
     JobKey,
     JobProgress,
-    OrderEnd,
+    LeaseRenewal,
+    OrderOutcome,
+    RenewalReport,
     RunNumber,
     StartOrder,
     StepSpec,
@@ -51,23 +51,23 @@
 };
 use jasminebend_fleet::{
     CallerAnswer,
-    CallerCall,
-    CallerDesk,
+    CallerRequest,
     CallerVerb,
     FleetDaemon,
-    FleetEdges,
     FleetLog,
-    FleetRow,
+    FleetPorts,
     FleetSettings,
     FleetStore,
-    FleetTable,
     FleetWorkers,
     HttpHandler,
     HttpPool,
+    JobApi,
     MemberRecord,
     OwnerRecord,
     PeerAnswer,
     PeerRequest,
+    StoreRow,
+    StoreTable,
     WorkerAddress, //
 };
 use jasminebend_ports::{
@@ -157,10 +157,10 @@
     /// Renews a worker's lease as the owner with this token would.
     pub(crate) fn renew(&self, id: &str, token: u64) {
         self.with_worker(id, |worker, now| {
-            let order = HoldOrder {
+            let order = LeaseRenewal {
                 deadline: Some(now + Duration::from_secs(5)),
                 acknowledged: 0,
-                wait: Duration::ZERO,
+                max_wait: Duration::ZERO,
             };
             worker.hold(now, token, order).unwrap();
         });
@@ -176,22 +176,26 @@
         self.connection_losses.set(self.connection_losses.get() + 1);
     }
 
-    fn renew_now(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+    fn renew_now(
+        &self,
+        worker: &WorkerAddress,
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome> {
         let report =
             self.with_reachable_worker(worker, |state, now| state.hold(now, worker.token, order));
         report.unwrap_or(Err(UNANSWERED))
     }
 
-    async fn wait_for_end(&self, worker: &WorkerAddress, order: &HoldOrder) {
+    async fn wait_for_end(&self, worker: &WorkerAddress, order: &LeaseRenewal) {
         // Without a deadline the order reads the report and renews nothing.
-        let report_request = HoldOrder {
+        let report_request = LeaseRenewal {
             deadline: None,
             ..*order
         };
-        let until = time::Instant::now() + order.wait;
+        let until = time::Instant::now() + order.max_wait;
         let nothing_ended = || {
             self.renew_now(worker, report_request)
-                .is_ok_and(|seen| seen.ended.is_empty())
+                .is_ok_and(|seen| seen.completions.is_empty())
         };
         while time::Instant::now() < until && nothing_ended() {
             time::sleep(POLL_INTERVAL).await;
@@ -217,15 +221,19 @@
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// The outcome of a call to a worker that is partitioned or does not exist.
-const UNANSWERED: OrderEnd = OrderEnd::Unknown;
+const UNANSWERED: OrderOutcome = OrderOutcome::Unknown;
 
 #[async_trait(?Send)]
 impl FleetWorkers for MemoryWorkers {
-    async fn hold(&self, worker: &WorkerAddress, order: HoldOrder) -> Result<HoldReport, OrderEnd> {
+    async fn renew_lease(
+        &self,
+        worker: &WorkerAddress,
+        order: LeaseRenewal,
+    ) -> Result<RenewalReport, OrderOutcome> {
         let connection_losses = self.connection_losses.get();
-        let timeout = time::Instant::now() + order.wait + RENEWAL_TIMEOUT;
+        let timeout = time::Instant::now() + order.max_wait + RENEWAL_TIMEOUT;
         time::sleep(RENEWAL_LATENCY).await;
-        let mut answer = Err(OrderEnd::Unknown);
+        let mut answer = Err(OrderOutcome::Unknown);
         if self.connection_losses.get() == connection_losses {
             answer = self.renew_now(worker, order);
             if self.delays_answers.get() {
@@ -235,7 +243,7 @@
         }
         if self.connection_losses.get() != connection_losses {
             time::sleep_until(timeout).await;
-            return Err(OrderEnd::Unknown);
+            return Err(OrderOutcome::Unknown);
         }
         answer
     }
@@ -245,7 +253,7 @@
         worker: &WorkerAddress,
         order: &StartOrder,
         deadline: Duration,
-    ) -> OrderEnd {
+    ) -> OrderOutcome {
         time::sleep(Duration::from_millis(1)).await;
         let work = TaskWork {
             lasts: self.run_time.get(),
@@ -258,29 +266,29 @@
         answer.unwrap_or(UNANSWERED)
     }
 
-    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderEnd {
+    async fn stop(&self, worker: &WorkerAddress, task: TaskKey, run: RunNumber) -> OrderOutcome {
         let answer = self.with_reachable_worker(worker, |state, now| {
             state.stop(now, worker.token, task, run)
         });
         answer.unwrap_or(UNANSWERED)
     }
 
-    async fn pace(
+    async fn throttle(
         &self,
         _worker: &WorkerAddress,
         _task: TaskKey,
         _run: RunNumber,
         _percent: u32,
-    ) -> OrderEnd {
-        OrderEnd::Taken
+    ) -> OrderOutcome {
+        OrderOutcome::Taken
     }
 
-    fn forget(&self, _address: &str) {}
+    fn close_idle_connections(&self, _address: &str) {}
 }
 
 /// A running daemon.
 pub(crate) struct TestDaemon {
-    pub(crate) desk: Rc<CallerDesk>,
+    pub(crate) job_api: Rc<JobApi>,
     pub(crate) store_client: Rc<StoreClient>,
     peers: SocketAddr,
     stop: watch::Sender<bool>,
@@ -375,7 +383,7 @@
             vacant: false,
         };
         self.store
-            .write(vec![row(FleetTable::Fleet, "s0", "owner", &owner)]);
+            .write(vec![row(StoreTable::Fleet, "s0", "owner", &owner)]);
         self.enroll(address, members);
     }
 
@@ -388,7 +396,7 @@
                 address: address.to_string(),
                 cpu_millis: 1000,
             };
-            row(FleetTable::Fleet, "members", &member.node, &member)
+            row(StoreTable::Fleet, "members", &member.node, &member)
         });
         self.store.write(rows.collect());
     }
@@ -399,18 +407,18 @@
         let settings = FleetSettings {
             node: format!("daemon-{}", self.count.get()),
             domain: DomainName::from("domain-a"),
-            callers: free_address(),
-            ready: free_address(),
-            peers: free_address(),
-            metrics: free_address(),
+            caller_address: free_address(),
+            readiness_address: free_address(),
+            peer_address: free_address(),
+            metrics_address: free_address(),
             cpu_millis: 100,
-            grace: Duration::from_secs(4),
-            duty_lease: Duration::from_secs(1),
+            stop_timeout: Duration::from_secs(4),
+            maintenance_lease: Duration::from_secs(1),
             dispatch: DispatchSettings::default(),
         };
-        let peers = settings.peers;
+        let peers = settings.peer_address;
         let store_client = Rc::new(StoreClient::new(Rc::clone(&self.store)));
-        let edges = FleetEdges {
+        let ports = FleetPorts {
             clock: Rc::clone(&self.clock),
             store: Rc::clone(&store_client) as Rc<dyn FleetStore>,
             workers: Rc::clone(&self.workers) as Rc<dyn FleetWorkers>,
@@ -420,8 +428,8 @@
             log: FleetLog::discarding("test"),
         };
         let (stop, stopping) = watch::channel(false);
-        let daemon = FleetDaemon::new(settings, edges, stopping);
-        let desk = daemon.desk();
+        let daemon = FleetDaemon::new(settings, ports, stopping);
+        let job_api = daemon.job_api();
         let running = tokio::task::spawn_local(async move {
             daemon
                 .run(Rc::new(EmptyResponder), Rc::new(EmptyResponder))
@@ -429,7 +437,7 @@
                 .unwrap();
         });
         TestDaemon {
-            desk,
+            job_api,
             store_client,
             peers,
             stop,
@@ -454,11 +462,11 @@
     }
 }
 
-fn row<Record>(table: FleetTable, part: &str, key: &str, record: &Record) -> FleetRow
+fn row<Record>(table: StoreTable, part: &str, key: &str, record: &Record) -> StoreRow
 where
     Record: Serialize,
 {
-    FleetRow::new(table, part, key, postcard::to_stdvec(record).unwrap())
+    StoreRow::new(table, part, key, postcard::to_stdvec(record).unwrap())
 }
 
 /// Answers every request with an empty body; the tests call the daemon's caller API directly.
@@ -477,7 +485,7 @@
         count: *count,
         size: ResourceAmount::new(1000, 100),
         estimate: Duration::from_millis(150),
-        after: after.to_vec(),
+        dependencies: after.to_vec(),
         ..StepSpec::default()
     });
     JobGraph {
@@ -487,29 +495,29 @@
     }
 }
 
-pub(crate) async fn send_request(desk: &CallerDesk, number: u64, verb: CallerVerb) -> CallerAnswer {
-    let call = CallerCall {
+pub(crate) async fn send_request(job_api: &JobApi, number: u64, verb: CallerVerb) -> CallerAnswer {
+    let call = CallerRequest {
         host: "host".to_owned(),
         path: format!("/queue/{}", JobKey::new(number)),
         verb,
     };
-    desk.answer(call).await
+    job_api.answer(call).await
 }
 
-pub(crate) async fn count_waiting(desk: &CallerDesk, path: &str) -> CallerAnswer {
-    let call = CallerCall {
+pub(crate) async fn count_waiting(job_api: &JobApi, path: &str) -> CallerAnswer {
+    let call = CallerRequest {
         host: "host".to_owned(),
         path: path.to_owned(),
         verb: CallerVerb::Read,
     };
-    desk.answer(call).await
+    job_api.answer(call).await
 }
 
 /// Submits a job, with retries until it is accepted.
-pub(crate) async fn submit(desk: &CallerDesk, number: u64, graph: &JobGraph) {
+pub(crate) async fn submit(job_api: &JobApi, number: u64, graph: &JobGraph) {
     for _ in 0..200 {
         let verb = CallerVerb::Submit(graph.clone());
-        if send_request(desk, number, verb).await == CallerAnswer::Done {
+        if send_request(job_api, number, verb).await == CallerAnswer::Done {
             return;
         }
         time::sleep(Duration::from_millis(50)).await;
@@ -518,10 +526,10 @@
 }
 
 /// Reads a job's progress until it is the expected one.
-pub(crate) async fn wait_for_progress(desk: &CallerDesk, number: u64, wanted: JobProgress) {
+pub(crate) async fn wait_for_progress(job_api: &JobApi, number: u64, wanted: JobProgress) {
     let mut last = CallerAnswer::NoJob;
     for _ in 0..400 {
-        last = send_request(desk, number, CallerVerb::Read).await;
+        last = send_request(job_api, number, CallerVerb::Read).await;
         if last == CallerAnswer::Progress(wanted) {
             return;
         }
--- a/crates/placement/src/job_record.rs
+++ b/crates/placement/src/job_record.rs
@@ -1,4 +1,4 @@
-//! A job as the ledger keeps it.
+//! The record of a job in the ledger.
 
 use jasminebend_base::ClassKind;
 use serde::{
@@ -13,47 +13,49 @@
     TaskState, //
 };
 
-/// A job as the ledger keeps it.
+/// The state of a job and its tasks in a [`crate::JobLedger`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobRecord {
-    /// As it was submitted.
+    /// The job as it was submitted.
     pub spec: JobSpec,
-    /// The kind of its class when it was submitted.
+    /// The kind that the job's class had when the job was submitted.
     pub kind: ClassKind,
-    /// When it was submitted, in milliseconds of the time of day since 1970.
+    /// When the job was submitted, in milliseconds since the Unix epoch.
     pub submitted_ms: u64,
-    /// Whether it was given up.
+    /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Why it is held, if it is.
-    pub held: Option<HoldReason>,
-    /// Its tasks, in their order.
+    /// Why the job is held; `None` if it is not.
+    #[serde(rename = "held")]
+    pub hold_reason: Option<HoldReason>,
+    /// The job's tasks, in the order of their index.
     pub tasks: Vec<TaskRecord>,
-    /// The number of its tasks that are neither finished nor given up.
-    pub open: u32,
+    /// The number of tasks that are neither finished nor cancelled.
+    #[serde(rename = "open")]
+    pub open_tasks: u32,
 }
 
 impl JobRecord {
-    /// Creates a job none of whose tasks ran.
+    /// Creates the record of a job whose tasks are all queued.
     pub fn new(spec: JobSpec, kind: ClassKind, submitted_ms: u64) -> Self {
         let tasks = vec![TaskRecord::default(); spec.tasks as usize];
         Self {
-            open: spec.tasks,
+            open_tasks: spec.tasks,
             spec,
             kind,
             submitted_ms,
             cancelled: false,
-            held: None,
+            hold_reason: None,
             tasks,
         }
     }
 
-    /// Tells whether none of its tasks will ever run again.
-    pub fn ended(&self) -> bool {
-        self.open == 0
+    /// Returns whether every task is finished or cancelled, so that none will run again.
+    pub fn is_complete(&self) -> bool {
+        self.open_tasks == 0
     }
 
-    /// Counts the tasks in a state.
-    pub fn count<Test>(&self, test: Test) -> u32
+    /// Counts the tasks whose state passes a test.
+    pub fn count_tasks<Test>(&self, test: Test) -> u32
     where
         Test: Fn(&TaskState) -> bool,
     {
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,37 +1,37 @@
-//! Where tasks go, and the durable state machine of jobs. Nothing here does I/O, reads a clock or
-//! draws a random number of its own: the same inputs give the same decisions.
+//! Task placement and the durable state machine of jobs. This crate does no I/O, reads no clock and
+//! draws no random numbers: the same inputs always give the same decisions.
 
 mod checkpoint_name;
-mod class_book;
 mod class_key;
-mod domain_gate;
+mod class_registry;
+mod domain_admission;
+mod free_capacity_index;
 mod hold_reason;
+mod interference_model;
 mod job_id;
 mod job_id_error;
 mod job_ledger;
 mod job_record;
 mod job_spec;
 mod job_transition;
-mod ladder_action;
-mod ladder_reading;
+mod latency_regression;
 mod latest_start;
 mod learned_state;
 mod ledger_error;
-mod load_ladder;
-mod load_track;
-mod pair_model;
-mod place_search;
+mod load_tracker;
+mod overload_action;
+mod overload_controller;
+mod overload_reading;
 mod placement_policy;
+mod placement_search;
 mod pool_worker;
 mod ratio_sketch;
 mod ready_queue;
-mod room_index;
-mod service_reading;
-mod service_regression;
+mod resource_usage_model;
+mod run_outcome;
+mod service_measurement;
 mod shard_hash;
-mod size_model;
 mod task_demand;
-mod task_end;
 mod task_id;
 mod task_record;
 mod task_state;
@@ -44,33 +44,33 @@
 
 pub use self::{
     checkpoint_name::CheckpointName,
-    class_book::ClassBook,
     class_key::ClassKey,
+    class_registry::ClassRegistry,
     hold_reason::HoldReason,
+    interference_model::InterferenceModel,
     job_id::JobId,
     job_id_error::JobIdError,
     job_ledger::JobLedger,
     job_record::JobRecord,
     job_spec::JobSpec,
     job_transition::JobTransition,
-    ladder_action::LadderAction,
-    ladder_reading::LadderReading,
     latest_start::LatestStart,
     learned_state::LearnedState,
     ledger_error::LedgerError,
-    load_ladder::LoadLadder,
-    pair_model::PairModel,
+    overload_action::OverloadAction,
+    overload_controller::OverloadController,
+    overload_reading::OverloadReading,
     placement_policy::PlacementPolicy,
     pool_worker::PoolWorker,
     ready_queue::ReadyQueue,
-    service_reading::ServiceReading,
+    resource_usage_model::ResourceUsageModel,
+    run_outcome::RunOutcome,
+    service_measurement::ServiceMeasurement,
     shard_hash::{
         shard_of_job,
         shard_of_rack, //
     },
-    size_model::SizeModel,
     task_demand::TaskDemand,
-    task_end::TaskEnd,
     task_id::TaskId,
     task_record::TaskRecord,
     task_state::TaskState,
