--- a/crates/cluster/benches/shared.rs
+++ b/crates/cluster/benches/shared.rs
@@ -45,8 +45,8 @@
     VmSnapshot, //
 };
 use jasminebend_cluster::{
-    ClusterEdges,
     ClusterHandle,
+    ClusterPorts,
     ClusterSettings,
     ConfigurationChange,
     PeerLink,
@@ -152,7 +152,7 @@
             .with_slot_shares(u16::from(self.seats) * 10)
             .with_shards(u16::from(self.seats))
             .with_longest_request(Duration::from_secs(10));
-        let edges = ClusterEdges {
+        let ports = ClusterPorts {
             table: Arc::new(self.table.clone()),
             vm_list: Arc::new(EmptyVmList),
             clock: Arc::new(SystemClock::new()),
@@ -163,7 +163,7 @@
             bytes: self.bytes.clone(),
             frames: self.frames.clone(),
         };
-        ClusterHandle::start_with_link(settings, edges, Arc::new(link))
+        ClusterHandle::start_with_link(settings, ports, Arc::new(link))
             .await
             .unwrap()
     }
@@ -218,7 +218,7 @@
         };
         let proposer = &self.handles[round as usize % self.handles.len()];
         let started = Instant::now();
-        let change = ConfigurationChange::Domain {
+        let change = ConfigurationChange::SetDomainState {
             name: "east".into(),
             state,
             force: false,
--- a/crates/cluster/src/cluster_handle.rs
+++ b/crates/cluster/src/cluster_handle.rs
@@ -30,8 +30,8 @@
 use tokio::sync::watch;
 
 use crate::{
-    ClusterEdges,
     ClusterError,
+    ClusterPorts,
     ClusterSettings,
     ClusterStatus,
     ConfigurationChange,
@@ -71,10 +71,10 @@
     /// Returns [`ClusterError`] if the settings cannot be used.
     pub async fn start(
         settings: ClusterSettings,
-        edges: ClusterEdges,
+        ports: ClusterPorts,
     ) -> Result<Self, ClusterError> {
         let link = Arc::new(TcpLink::new(settings.peer_listen_address)?);
-        Self::start_with_link(settings, edges, link).await
+        Self::start_with_link(settings, ports, link).await
     }
 
     /// Starts with another implementation of the network between daemons.
@@ -84,15 +84,15 @@
     /// Returns [`ClusterError`] if the settings cannot be used.
     pub async fn start_with_link(
         settings: ClusterSettings,
-        edges: ClusterEdges,
+        ports: ClusterPorts,
         link: Arc<dyn PeerLink>,
     ) -> Result<Self, ClusterError> {
         let seats = settings.ownership.seats;
         if seats == 0 || seats > MAX_SEATS {
             return Err(ClusterError::InvalidSeatCount { seats });
         }
-        let clock = edges.clock.clone();
-        let state = ClusterState::new(settings, edges, link);
+        let clock = ports.clock.clone();
+        let state = ClusterState::new(settings, ports, link);
         let machine = state.machine.clone();
         let configuration = state.configuration.subscribe();
         let vms = state.vms.subscribe();
@@ -122,13 +122,13 @@
     }
 
     /// Returns the newest VM list that was read.
-    pub fn vms(&self) -> watch::Receiver<Arc<VmSnapshot>> {
+    pub fn vm_list(&self) -> watch::Receiver<Arc<VmSnapshot>> {
         self.vms.clone()
     }
 
     /// Adds a part of the daemon that acts on held resources. Before a resource is released, the
     /// cluster part waits until this part has no work on it in progress.
-    pub fn add_user(&self, user: Arc<dyn ResourceUser>) {
+    pub fn add_resource_user(&self, user: Arc<dyn ResourceUser>) {
         let _ = self
             .actor
             .send_message(ClusterMessage::AddResourceUser(user));
@@ -163,7 +163,7 @@
     }
 
     /// Returns whether this daemon holds a seat, may start work and is not leaving.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let machine = self.machine.lock().unwrap_or_else(PoisonError::into_inner);
         machine.may_start(self.clock.monotonic()) && !machine.is_leaving()
     }
--- a/crates/cluster/src/cluster_edges.rs
+++ b/crates/cluster/src/cluster_ports.rs
@@ -1,4 +1,4 @@
-//! The external services of the cluster part.
+//! The ports of the cluster part to external services.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
     VmList, //
 };
 
-/// The external services of the cluster part, and the seed of its random numbers.
+/// The ports of the cluster part to external services, and the seed of its random numbers.
 #[derive(Clone, Debug)]
-pub struct ClusterEdges {
+pub struct ClusterPorts {
     /// The platform's table service.
     #[debug(skip)]
     pub table: Arc<dyn TableService>,
--- a/crates/cluster/src/cluster_state.rs
+++ b/crates/cluster/src/cluster_state.rs
@@ -44,7 +44,7 @@
 use tokio::sync::watch;
 
 use crate::{
-    ClusterEdges,
+    ClusterPorts,
     ClusterSettings,
     PeerLink,
     cluster_message::ClusterMessage,
@@ -59,7 +59,7 @@
 /// The state of the cluster actor. All times are on the daemon's monotonic clock.
 pub(crate) struct ClusterState {
     pub(crate) settings: ClusterSettings,
-    pub(crate) edges: ClusterEdges,
+    pub(crate) ports: ClusterPorts,
     pub(crate) link: Arc<dyn PeerLink>,
     /// The ownership protocol, which [`crate::ClusterHandle`] and its views read too.
     pub(crate) machine: Arc<Mutex<MemberMachine>>,
@@ -108,10 +108,10 @@
 impl ClusterState {
     pub(crate) fn new(
         settings: ClusterSettings,
-        edges: ClusterEdges,
+        ports: ClusterPorts,
         link: Arc<dyn PeerLink>,
     ) -> Self {
-        let mut rng = StdRng::seed_from_u64(edges.seed);
+        let mut rng = StdRng::seed_from_u64(ports.seed);
         let daemon = DaemonRecord {
             nonce: rng.random(),
             peer: link.address(),
@@ -147,7 +147,7 @@
             table_unreadable: false,
             reported_may_start: false,
             settings,
-            edges,
+            ports,
             link,
         }
     }
@@ -159,7 +159,7 @@
 
     /// Returns the time on the daemon's monotonic clock.
     pub(crate) fn now(&self) -> Duration {
-        self.edges.clock.monotonic()
+        self.ports.clock.monotonic()
     }
 
     /// Starts the tick timer and the task that forwards received frames.
--- a/crates/cluster/src/configuration_change.rs
+++ b/crates/cluster/src/configuration_change.rs
@@ -19,7 +19,7 @@
         expected: Option<ConfigurationVersion>,
     },
     /// Sets the state of a failure domain, regardless of the version in force.
-    Domain {
+    SetDomainState {
         /// The name of the failure domain.
         name: DomainName,
         /// The new state.
--- a/crates/cluster/src/configuration_edit.rs
+++ b/crates/cluster/src/configuration_edit.rs
@@ -26,7 +26,7 @@
         ConfigurationChange::Replace { configuration, .. } => {
             replace_document(current, configuration)?
         }
-        ConfigurationChange::Domain { name, state, force } => {
+        ConfigurationChange::SetDomainState { name, state, force } => {
             set_domain_state(current, name, *state, *force)?
         }
     };
--- a/crates/cluster/src/document_fetch.rs
+++ b/crates/cluster/src/document_fetch.rs
@@ -53,7 +53,7 @@
         }
         self.fetch_in_progress = true;
         self.next_fetch_at = now + TABLE_FETCH_INTERVAL;
-        let table = self.edges.table.clone();
+        let table = self.ports.table.clone();
         spawn_and_report(myself, async move {
             let key = document_key(version);
             let read = timeout(DOCUMENT_READ_TIMEOUT, table.read(&key)).await;
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -6,10 +6,10 @@
 //! service, and exchanges messages with the other daemons over TCP.
 
 mod cluster_actor;
-mod cluster_edges;
 mod cluster_error;
 mod cluster_handle;
 mod cluster_message;
+mod cluster_ports;
 mod cluster_settings;
 mod cluster_state;
 mod cluster_status;
@@ -38,9 +38,9 @@
 mod write_outcome;
 
 pub use self::{
-    cluster_edges::ClusterEdges,
     cluster_error::ClusterError,
     cluster_handle::ClusterHandle,
+    cluster_ports::ClusterPorts,
     cluster_settings::ClusterSettings,
     cluster_status::{
         ClusterStatus,
--- a/crates/cluster/src/liveness_checks.rs
+++ b/crates/cluster/src/liveness_checks.rs
@@ -55,7 +55,7 @@
         }
         let jitter = self.rng.random_range(0.8..1.2);
         self.next_vm_list_read_at = now + self.settings.vm_list_interval.mul_f64(jitter);
-        let list = self.edges.vm_list.clone();
+        let list = self.ports.vm_list.clone();
         spawn_and_report(myself, async move {
             let read = timeout(TABLE_TIMEOUT, list.read()).await;
             ClusterMessage::VmListRead(read.ok().and_then(Result::ok))
--- a/crates/cluster/src/table_access.rs
+++ b/crates/cluster/src/table_access.rs
@@ -56,7 +56,7 @@
     ) {
         let changes = row_changes(write);
         let id = WriteId::new(&mut self.rng);
-        let table = self.edges.table.clone();
+        let table = self.ports.table.clone();
         metrics::counter!("jasminebend_shared_writes_total").increment(1);
         spawn_and_report(myself, async move {
             let outcome = match changes {
@@ -107,7 +107,7 @@
         let jitter = self.rng.random_range(0.8..1.2);
         self.next_poll_at = now + self.settings.poll_interval.mul_f64(jitter);
         metrics::counter!("jasminebend_shared_polls_total").increment(1);
-        let table = self.edges.table.clone();
+        let table = self.ports.table.clone();
         spawn_and_report(myself, async move {
             let read = timeout(TABLE_TIMEOUT, read_snapshot(&*table, now)).await;
             let timed_out = Err(RowError::Table(TableError::Unknown));
--- a/crates/cluster/tests/cluster/configuration.rs
+++ b/crates/cluster/tests/cluster/configuration.rs
@@ -239,7 +239,7 @@
 
     table.set_unreachable(true);
     sleep_ms(3_000).await;
-    assert!(partitioned.ready(), "peers confirm its seat");
+    assert!(partitioned.is_ready(), "peers confirm its seat");
     let out = set_domain_state("east", DomainState::Out, false);
     let version = handles[0].propose(out).await.unwrap();
     assert!(
@@ -250,7 +250,7 @@
     cluster.network.partition(&[9], &[1, 2, 3, 4]);
     sleep_ms(2_100).await;
     assert!(
-        !partitioned.ready(),
+        !partitioned.is_ready(),
         "neither the table nor peers confirm its seat"
     );
     assert!(partitioned.ownership().held().is_empty());
--- a/crates/cluster/tests/cluster/harness.rs
+++ b/crates/cluster/tests/cluster/harness.rs
@@ -26,8 +26,8 @@
     VmState, //
 };
 use jasminebend_cluster::{
-    ClusterEdges,
     ClusterHandle,
+    ClusterPorts,
     ClusterSettings,
     ConfigurationChange, //
 };
@@ -212,14 +212,14 @@
         table: Arc<dyn TableService>,
     ) -> ClusterHandle {
         self.seed += 1;
-        let edges = ClusterEdges {
+        let ports = ClusterPorts {
             table,
             vm_list: self.vms.clone(),
             clock: Arc::new(SystemClock::new()),
             seed: self.seed,
         };
         let link = self.network.link(Self::address(number));
-        ClusterHandle::start_with_link(settings, edges, link)
+        ClusterHandle::start_with_link(settings, ports, link)
             .await
             .unwrap()
     }
@@ -272,7 +272,7 @@
 
 /// Returns the change that sets the state of a failure domain.
 pub(crate) fn set_domain_state(name: &str, state: DomainState, force: bool) -> ConfigurationChange {
-    ConfigurationChange::Domain {
+    ConfigurationChange::SetDomainState {
         name: name.into(),
         state,
         force,
@@ -308,7 +308,7 @@
         let least = held.iter().min().unwrap();
         let most = held.iter().max().unwrap();
         let all = held.iter().sum::<usize>() == RESOURCE_COUNT;
-        if all && handles.iter().all(ClusterHandle::ready) && most - least <= 2 {
+        if all && handles.iter().all(ClusterHandle::is_ready) && most - least <= 2 {
             return;
         }
     }
--- a/crates/cluster/tests/cluster/membership.rs
+++ b/crates/cluster/tests/cluster/membership.rs
@@ -82,5 +82,5 @@
         check_exclusive_holders(&handles, 5_000).await,
         RESOURCE_COUNT
     );
-    assert!(!mismatched.ready() && mismatched.status().seat.is_none());
+    assert!(!mismatched.is_ready() && mismatched.status().seat.is_none());
 }
--- a/crates/cluster/tests/cluster/outages.rs
+++ b/crates/cluster/tests/cluster/outages.rs
@@ -110,7 +110,7 @@
     let after = cluster.table.faults().counts();
     assert_eq!(after.writes, before.writes);
     assert!(after.reads - before.reads <= 6 * 100 * 12 / 10);
-    assert!(handles.iter().all(ClusterHandle::ready));
+    assert!(handles.iter().all(ClusterHandle::is_ready));
 }
 
 /// Guards against resources held twice, or lost, in a rolling replacement: each daemon leaves, and
@@ -194,7 +194,7 @@
     table.set_unreachable(true);
     cluster.network.partition(&[9], &[1, 2, 3]);
     check_exclusive_holders(&handles, 20_000).await;
-    assert!(!handles[3].ready());
+    assert!(!handles[3].is_ready());
     assert!(handles[0].status().slots_unusable > 0);
     table.set_unreachable(false);
     cluster.network.reconnect_all();
@@ -234,8 +234,8 @@
         }
         check_exclusive_holders(&all, 30_000).await;
         for (side, continues) in sides.iter().zip(continues) {
-            let ready = side.iter().all(ClusterHandle::ready);
-            let stopped = !side.iter().any(ClusterHandle::ready);
+            let ready = side.iter().all(ClusterHandle::is_ready);
+            let stopped = !side.iter().any(ClusterHandle::is_ready);
             assert!(if continues { ready } else { stopped }, "{name}");
         }
         cluster.network.reconnect_all();
@@ -284,7 +284,7 @@
     cluster.network.partition(&[2], &[1, 3, 4]);
     let least = check_exclusive_holders(&handles, 120_000).await;
     assert!(least >= RESOURCE_COUNT * 2 / 3, "{least}");
-    assert!(handles[1].ready() && handles[1].status().seat == seat);
+    assert!(handles[1].is_ready() && handles[1].status().seat == seat);
     assert_eq!(handles[1].status().members[1].incarnation, 1);
     cluster.network.reconnect_all();
     wait_until_balanced(&handles).await;
@@ -307,5 +307,5 @@
         check_exclusive_holders(&handles, 60_000).await,
         RESOURCE_COUNT
     );
-    assert!(handles.iter().all(ClusterHandle::ready));
+    assert!(handles.iter().all(ClusterHandle::is_ready));
 }
--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -97,7 +97,7 @@
         let configuration = self.configuration();
         let mut classes = configuration.classes.iter();
         let serves = classes.any(|class| class.kind == ClassKind::Service);
-        !serves || !self.cluster.vms().borrow().vms.is_empty()
+        !serves || !self.cluster.vm_list().borrow().vms.is_empty()
     }
 
     /// Looks at the slots from time to time, until the sender of `stop` is dropped. Whoever asks
@@ -150,7 +150,7 @@
     /// balancer is told to wait until some slots are its own.
     fn ready(&self) -> bool {
         !self.stopping()
-            && self.cluster.ready()
+            && self.cluster.is_ready()
             && self.knows_vms()
             && self.settled.load(Ordering::Relaxed)
     }
@@ -177,7 +177,7 @@
         state: DomainState,
         force: bool,
     ) -> Result<ConfigurationVersion, ControlError> {
-        let change = ConfigurationChange::Domain { name, state, force };
+        let change = ConfigurationChange::SetDomainState { name, state, force };
         self.propose(change).await
     }
 
--- a/crates/jasminebend/src/entry_daemon.rs
+++ b/crates/jasminebend/src/entry_daemon.rs
@@ -7,8 +7,8 @@
 };
 
 use jasminebend_cluster::{
-    ClusterEdges,
     ClusterHandle,
+    ClusterPorts,
     ClusterSettings, //
 };
 use jasminebend_gateway::{
@@ -90,8 +90,8 @@
         let cluster = start_cluster(&settings, keys, front.address()?, &edges).await?;
         let gateway = start_gateway(&settings, callers, &cluster, &edges);
         let planner = start_planner(&settings, &cluster, &edges).await;
-        cluster.add_user(gateway.clone());
-        cluster.add_user(Arc::new(planner.clone()));
+        cluster.add_resource_user(gateway.clone());
+        cluster.add_resource_user(Arc::new(planner.clone()));
         let domain = settings.domain.clone();
         let region = settings.region.clone();
         let control = EntryControl::new(
@@ -192,7 +192,7 @@
     if let Some(vm) = &settings.vm {
         cluster = cluster.with_vm(vm.clone());
     }
-    let edges = ClusterEdges {
+    let edges = ClusterPorts {
         table: Arc::clone(&edges.table),
         vm_list: Arc::clone(&edges.vm_list),
         clock: Arc::clone(&edges.clock),
@@ -233,7 +233,7 @@
     let edges = GatewayEdges {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
-        vms: cluster.vms(),
+        vms: cluster.vm_list(),
         table: Arc::clone(&edges.table),
         clock: Arc::clone(&edges.clock),
         seed: edges.seed ^ GATEWAY_SEED,
@@ -249,7 +249,7 @@
     let edges = PlannerEdges {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
-        vms: cluster.vms(),
+        vms: cluster.vm_list(),
         table: Arc::clone(&edges.table),
         objects: Arc::clone(&edges.objects),
         workers: Arc::clone(&edges.workers),
