--- a/crates/jasminebend/benches/administration_cost.rs
+++ b/crates/jasminebend/benches/administration_cost.rs
@@ -46,10 +46,10 @@
     VmListStandIn, //
 };
 use jbctl::{
-    AdminAnswer,
-    AdminCall,
     AdminClient,
-    TargetOptions, //
+    AdminRequest,
+    AdminResponse,
+    GlobalOptions, //
 };
 use tokio::time::sleep;
 
@@ -155,26 +155,26 @@
     }
 }
 
-async fn call(daemon: &EntryDaemon, call: AdminCall) -> AdminAnswer {
-    let mut options = TargetOptions::new();
+async fn call(daemon: &EntryDaemon, call: AdminRequest) -> AdminResponse {
+    let mut options = GlobalOptions::new();
     options.address = daemon.admin_address().to_string();
     let client = AdminClient::new(&options).expect("a client");
     client.call(&call).await.expect("an answer")
 }
 
-fn get(path: &str) -> AdminCall {
-    AdminCall {
+fn get(path: &str) -> AdminRequest {
+    AdminRequest {
         method: Method::GET,
         path: path.to_owned(),
-        expected: None,
+        expected_version: None,
         body: Default::default(),
     }
 }
 
-fn put(configuration: &Configuration) -> AdminCall {
+fn put(configuration: &Configuration) -> AdminRequest {
     let mut call = get("/v1/configuration");
     call.method = Method::PUT;
-    call.expected = Some(configuration.version);
+    call.expected_version = Some(configuration.version);
     call.body = serde_json::to_vec(configuration).expect("JSON").into();
     call
 }
--- a/crates/jasminebend/benches/control_cost.rs
+++ b/crates/jasminebend/benches/control_cost.rs
@@ -49,10 +49,10 @@
     WorkerFleet, //
 };
 use jbctl::{
-    AdminAnswer,
-    AdminCall,
     AdminClient,
-    TargetOptions, //
+    AdminRequest,
+    AdminResponse,
+    GlobalOptions, //
 };
 use tokio::time::sleep;
 
@@ -156,7 +156,7 @@
     call_until_done(operator, call).await;
 }
 
-async fn call_until_done(operator: SocketAddr, call: AdminCall) {
+async fn call_until_done(operator: SocketAddr, call: AdminRequest) {
     loop {
         let answer = ask(operator, call.clone()).await;
         if answer
@@ -169,10 +169,10 @@
     }
 }
 
-async fn ask(operator: SocketAddr, call: AdminCall) -> Option<AdminAnswer> {
-    let target = TargetOptions {
+async fn ask(operator: SocketAddr, call: AdminRequest) -> Option<AdminResponse> {
+    let target = GlobalOptions {
         address: operator.to_string(),
-        ..TargetOptions::new()
+        ..GlobalOptions::new()
     };
     let client = AdminClient::new(&target).ok()?;
     client.call(&call).await.ok()
@@ -182,12 +182,12 @@
     method: Method,
     path: &str,
     body: String,
-    expected: Option<ConfigurationVersion>,
-) -> AdminCall {
-    AdminCall {
+    expected_version: Option<ConfigurationVersion>,
+) -> AdminRequest {
+    AdminRequest {
         method,
         path: path.to_owned(),
-        expected,
+        expected_version,
         body: body.into(),
     }
 }
--- a/crates/jasminebend/tests/administration/access.rs
+++ b/crates/jasminebend/tests/administration/access.rs
@@ -15,11 +15,11 @@
     TokenTable, //
 };
 use jbctl::{
-    AdminCall,
     AdminClient,
-    CallError,
+    AdminClientError,
+    AdminRequest,
+    GlobalOptions, //
     OperatorCommand,
-    TargetOptions, //
 };
 use rcgen::generate_simple_self_signed;
 
@@ -157,13 +157,17 @@
     AdminFront::bind(&settings).await.expect("an open API");
 }
 
-async fn ask_over_tls(harness: &AdminHarness, ca: &Path, token: &Path) -> Result<u16, CallError> {
-    let mut options = TargetOptions::new();
+async fn ask_over_tls(
+    harness: &AdminHarness,
+    ca: &Path,
+    token: &Path,
+) -> Result<u16, AdminClientError> {
+    let mut options = GlobalOptions::new();
     options.address = harness.guard.address().to_string();
     options.ca_file = Some(ca.to_owned());
     options.token_file = Some(token.to_owned());
     let client = AdminClient::new(&options)?;
-    let call = AdminCall::new(&OperatorCommand::Status)?.expect("a call");
+    let call = AdminRequest::new(&OperatorCommand::Status)?.expect("a call");
     Ok(client.call(&call).await?.status.as_u16())
 }
 
@@ -181,7 +185,7 @@
     let replaced = async || ask_over_tls(&harness, &tls.cert_file, &token).await == Ok(200);
     until("the new certificate in force", replaced).await;
     let stale = ask_over_tls(&harness, &old, &token).await;
-    assert!(matches!(stale, Err(CallError::Unreachable { .. })));
+    assert!(matches!(stale, Err(AdminClientError::Unreachable { .. })));
 }
 
 #[test]
--- a/crates/jasminebend/tests/daemon/caller.rs
+++ b/crates/jasminebend/tests/daemon/caller.rs
@@ -19,11 +19,11 @@
 use jasminebend_base::Configuration;
 use jasminebend_standins::EndpointAnswer;
 use jbctl::{
-    AdminAnswer,
-    AdminCall,
     AdminClient,
+    AdminRequest,
+    AdminResponse,
+    GlobalOptions, //
     OperatorCommand,
-    TargetOptions, //
 };
 use tokio::{
     net::TcpStream,
@@ -103,10 +103,10 @@
 
 /// Tells whether the balancer may send callers to a daemon; one that is gone is not ready.
 pub(crate) async fn is_ready(admin: SocketAddr) -> bool {
-    let call = AdminCall {
+    let call = AdminRequest {
         method: http::Method::GET,
         path: "/readyz".to_owned(),
-        expected: None,
+        expected_version: None,
         body: Default::default(),
     };
     let answer = client(admin).call(&call).await;
@@ -114,28 +114,30 @@
 }
 
 /// Makes one call of the administration API.
-pub(crate) async fn operate(daemon: SocketAddr, call: AdminCall) -> AdminAnswer {
+pub(crate) async fn operate(daemon: SocketAddr, call: AdminRequest) -> AdminResponse {
     client(daemon).call(&call).await.expect("an answer")
 }
 
 fn client(daemon: SocketAddr) -> AdminClient {
-    let mut options = TargetOptions::new();
+    let mut options = GlobalOptions::new();
     options.address = daemon.to_string();
     AdminClient::new(&options).expect("a client")
 }
 
 /// Makes the call of a command that reads no file.
-pub(crate) async fn command(daemon: SocketAddr, command: OperatorCommand) -> AdminAnswer {
-    let call = AdminCall::new(&command).expect("a call").expect("a call");
+pub(crate) async fn command(daemon: SocketAddr, command: OperatorCommand) -> AdminResponse {
+    let call = AdminRequest::new(&command)
+        .expect("a call")
+        .expect("a call");
     operate(daemon, call).await
 }
 
 /// Makes the call that replaces the configuration of the same version.
-pub(crate) fn put(configuration: &Configuration) -> AdminCall {
-    AdminCall {
+pub(crate) fn put(configuration: &Configuration) -> AdminRequest {
+    AdminRequest {
         method: http::Method::PUT,
         path: "/v1/configuration".to_owned(),
-        expected: Some(configuration.version),
+        expected_version: Some(configuration.version),
         body: serde_json::to_vec(configuration).expect("JSON").into(),
     }
 }
--- a/crates/jasminebend/tests/daemon/jobs.rs
+++ b/crates/jasminebend/tests/daemon/jobs.rs
@@ -8,8 +8,8 @@
 };
 use jasminebend_standins::TaskPayload;
 use jbctl::{
-    AdminCall,
-    JobListing,
+    AdminRequest,
+    JobListQuery,
     OperatorCommand, //
 };
 use serde_json::{
@@ -30,11 +30,11 @@
     }, //
 };
 
-fn submission(job: &Value) -> AdminCall {
-    AdminCall {
+fn submission(job: &Value) -> AdminRequest {
+    AdminRequest {
         method: Method::POST,
         path: "/v1/jobs".to_owned(),
-        expected: None,
+        expected_version: None,
         body: job.to_string().into(),
     }
 }
@@ -70,7 +70,7 @@
     assert_eq!(command(admin, cancel).await.status, StatusCode::OK);
     let ended = async || status(&long).await["phase"] == "cancelled";
     until("a job cancelled", ended).await;
-    let listed = command(admin, OperatorCommand::JobList(JobListing::default()))
+    let listed = command(admin, OperatorCommand::JobList(JobListQuery::default()))
         .await
         .json()
         .unwrap();
--- a/crates/jasminebend/tests/daemon/whole_path.rs
+++ b/crates/jasminebend/tests/daemon/whole_path.rs
@@ -16,8 +16,8 @@
     OutageState, //
 };
 use jbctl::{
-    AdminCall,
-    JobListing,
+    AdminRequest,
+    JobListQuery,
     OperatorCommand, //
 };
 
@@ -40,10 +40,10 @@
 };
 
 async fn get_text(admin: SocketAddr, path: &str) -> String {
-    let call = AdminCall {
+    let call = AdminRequest {
         method: Method::GET,
         path: path.to_owned(),
-        expected: None,
+        expected_version: None,
         body: Default::default(),
     };
     String::from_utf8(operate(admin, call).await.body.to_vec()).expect("text")
@@ -84,7 +84,7 @@
     let metrics = get_text(admin, "/metrics").await;
     assert!(metrics.contains("jasminebend_daemon_ready{"), "{metrics}");
     assert!(metrics.contains("jasminebend_administration_requests_total{"));
-    let jobs = command(admin, OperatorCommand::JobList(JobListing::default())).await;
+    let jobs = command(admin, OperatorCommand::JobList(JobListQuery::default())).await;
     assert_eq!(
         jobs.json().unwrap(),
         serde_json::json!({"jobs": [], "after": null})
--- a/crates/jasminebend/tests/pages.rs
+++ b/crates/jasminebend/tests/pages.rs
@@ -118,7 +118,7 @@
     for command in &shown {
         assert_eq!(check(command), Ok(()), "{command}");
     }
-    let (_, help) = jbctl::HELP.split_once("COMMAND\n").expect("a usage");
+    let (_, help) = jbctl::HELP_TEXT.split_once("COMMAND\n").expect("a usage");
     let (help, _) = help.split_once("\n\n").expect("its end");
     for line in help.lines() {
         let command = line.trim().split("  ").next().unwrap_or_default();
--- a/crates/jbctl/src/admin_client.rs
+++ b/crates/jbctl/src/admin_client.rs
@@ -30,12 +30,12 @@
 use tokio_rustls::TlsConnector;
 
 use crate::{
-    AdminAnswer,
-    AdminCall,
-    CallError,
-    TargetOptions,
+    AdminClientError,
+    AdminRequest,
+    AdminResponse,
+    GlobalOptions,
     UsageError,
-    admin_call::read_text,
+    admin_request::read_text,
     tls_client, //
 };
 
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// Returns a [`UsageError`] if the address is invalid, or a file can't be read or is invalid.
-    pub fn new(options: &TargetOptions) -> Result<Self, UsageError> {
+    pub fn new(options: &GlobalOptions) -> Result<Self, UsageError> {
         let invalid_address = |_| UsageError::InvalidAddress {
             address: options.address.clone(),
         };
@@ -85,34 +85,37 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallError::Unreachable`] if nothing was sent, [`CallError::Lost`] if the daemon may have received the
-    /// request.
-    pub async fn call(&self, call: &AdminCall) -> Result<AdminAnswer, CallError> {
+    /// Returns [`AdminClientError::Unreachable`] if nothing was sent, [`AdminClientError::Lost`] if the daemon may have
+    /// received the request.
+    pub async fn call(
+        &self,
+        admin_request: &AdminRequest,
+    ) -> Result<AdminResponse, AdminClientError> {
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await;
         let stream = connected
             .map_err(|_| self.unreachable_error("no connection in time"))?
             .map_err(|error| self.unreachable_error(&error.to_string()))?;
         let Some(tls) = &self.tls else {
-            return self.exchange_with_timeout(stream, call).await;
+            return self.exchange_with_timeout(stream, admin_request).await;
         };
         let handshake = tls_client::handshake(tls, self.address.ip(), stream);
         let stream = timeout(CONNECT_TIMEOUT, handshake)
             .await
             .map_err(|_| self.unreachable_error("no TLS handshake in time"))?
             .map_err(|error| self.unreachable_error(&error.to_string()))?;
-        self.exchange_with_timeout(stream, call).await
+        self.exchange_with_timeout(stream, admin_request).await
     }
 
     /// Sends the request and receives the response within the response timeout.
     async fn exchange_with_timeout<Stream>(
         &self,
         stream: Stream,
-        call: &AdminCall,
-    ) -> Result<AdminAnswer, CallError>
+        admin_request: &AdminRequest,
+    ) -> Result<AdminResponse, AdminClientError>
     where
         Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
-        let exchange = timeout(self.response_timeout, self.exchange(stream, call)).await;
+        let exchange = timeout(self.response_timeout, self.exchange(stream, admin_request)).await;
         exchange.map_err(|_| response_lost_error(&"it did not come in time"))?
     }
 
@@ -120,13 +123,13 @@
     async fn exchange<Stream>(
         &self,
         stream: Stream,
-        call: &AdminCall,
-    ) -> Result<AdminAnswer, CallError>
+        admin_request: &AdminRequest,
+    ) -> Result<AdminResponse, AdminClientError>
     where
         Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
         let request = self
-            .build_request(call)
+            .build_request(admin_request)
             .map_err(|error| response_lost_error(&error))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (mut sender, connection) = handshake.map_err(|error| response_lost_error(&error))?;
@@ -140,43 +143,43 @@
             .await
             .map_err(|error| response_lost_error(&error))?;
         connection.abort();
-        Ok(AdminAnswer {
+        Ok(AdminResponse {
             status,
             body: body.to_bytes(),
         })
     }
 
     /// Builds the HTTP request with its headers.
-    fn build_request(&self, call: &AdminCall) -> http::Result<Request<Full<Bytes>>> {
+    fn build_request(&self, admin_request: &AdminRequest) -> http::Result<Request<Full<Bytes>>> {
         let mut request = Request::builder()
-            .method(&call.method)
-            .uri(&call.path)
+            .method(&admin_request.method)
+            .uri(&admin_request.path)
             .header(header::HOST, self.address.to_string());
         if let Some(authorization) = &self.authorization {
             request = request.header(header::AUTHORIZATION, authorization);
         }
-        if let Some(version) = call.expected {
+        if let Some(version) = admin_request.expected_version {
             request = request.header(header::IF_MATCH, format!("\"{version}\""));
         }
-        if !call.body.is_empty() {
+        if !admin_request.body.is_empty() {
             request = request.header(header::CONTENT_TYPE, "application/json");
         }
-        request.body(Full::new(call.body.clone()))
+        request.body(Full::new(admin_request.body.clone()))
     }
 
-    fn unreachable_error(&self, reason: &str) -> CallError {
-        CallError::Unreachable {
+    fn unreachable_error(&self, reason: &str) -> AdminClientError {
+        AdminClientError::Unreachable {
             address: self.address.to_string(),
             reason: reason.to_owned(),
         }
     }
 }
 
-fn response_lost_error<Reason>(reason: &Reason) -> CallError
+fn response_lost_error<Reason>(reason: &Reason) -> AdminClientError
 where
     Reason: Display + ?Sized,
 {
-    CallError::Lost {
+    AdminClientError::Lost {
         reason: reason.to_string(),
     }
 }
--- a/crates/jbctl/src/call_error.rs
+++ b/crates/jbctl/src/admin_client_error.rs
@@ -10,7 +10,7 @@
 
 /// A call got no complete response.
 #[derive(Clone, Debug, Display, Eq, Error, From, PartialEq)]
-pub enum CallError {
+pub enum AdminClientError {
     /// The command line, or a file that it names, can't be used; nothing was sent.
     #[display("{_0}")]
     Usage(UsageError),
--- a/crates/jbctl/src/admin_call.rs
+++ b/crates/jbctl/src/admin_request.rs
@@ -27,29 +27,29 @@
 
 /// A request to the administration API.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AdminCall {
+pub struct AdminRequest {
     /// The HTTP method.
     pub method: Method,
     /// The URL path and query.
     pub path: String,
     /// The configuration's version on which the change is based, sent as `If-Match`; `None` sends no such header.
-    pub expected: Option<ConfigurationVersion>,
+    pub expected_version: Option<ConfigurationVersion>,
     /// The JSON body; empty if the request has none.
     pub body: Bytes,
 }
 
-impl AdminCall {
+impl AdminRequest {
     /// Returns the request for a command; `None` if the command needs no daemon.
     ///
     /// # Errors
     ///
     /// Returns a [`UsageError`] if a file that the command names can't be read or is invalid.
     pub fn new(command: &OperatorCommand) -> Result<Option<Self>, UsageError> {
-        let call = match command {
+        let request = match command {
             OperatorCommand::Status => get_request("/v1/status"),
             OperatorCommand::ConfigGet => get_request("/v1/configuration"),
             OperatorCommand::ClassList => get_request("/v1/classes"),
-            OperatorCommand::JobList(listing) => get_request(&listing.path()),
+            OperatorCommand::JobList(query) => get_request(&query.path()),
             OperatorCommand::JobStatus(job) => get_request(&format!("/v1/jobs/{job}")),
             OperatorCommand::JobCancel(job) => {
                 request_without_body(Method::DELETE, format!("/v1/jobs/{job}"))
@@ -65,7 +65,7 @@
             | OperatorCommand::Summary { .. }
             | OperatorCommand::TokenHash(_) => return Ok(None),
         };
-        Ok(Some(call))
+        Ok(Some(request))
     }
 
     /// Returns whether the request may change something.
@@ -129,34 +129,34 @@
     }
 }
 
-fn get_request(path: &str) -> AdminCall {
+fn get_request(path: &str) -> AdminRequest {
     request_without_body(Method::GET, path.to_owned())
 }
 
-fn request_without_body(method: Method, path: String) -> AdminCall {
-    AdminCall {
+fn request_without_body(method: Method, path: String) -> AdminRequest {
+    AdminRequest {
         method,
         path,
-        expected: None,
+        expected_version: None,
         body: Bytes::new(),
     }
 }
 
 /// Returns the request that replaces the configuration by the one in a file.
-fn configuration_replacement(file: &Path) -> Result<AdminCall, UsageError> {
+fn configuration_replacement(file: &Path) -> Result<AdminRequest, UsageError> {
     let configuration = read_configuration(file)?;
-    let mut call = request_without_body(Method::PUT, "/v1/configuration".to_owned());
-    call.expected = Some(configuration.version);
-    call.body = encode_json(&configuration);
-    Ok(call)
+    let mut request = request_without_body(Method::PUT, "/v1/configuration".to_owned());
+    request.expected_version = Some(configuration.version);
+    request.body = encode_json(&configuration);
+    Ok(request)
 }
 
 /// Returns the request that submits the job in a file.
-fn job_submission(file: &Path) -> Result<AdminCall, UsageError> {
+fn job_submission(file: &Path) -> Result<AdminRequest, UsageError> {
     let job: serde_json::Value = parse_yaml(file, &read_text(file)?)?;
-    let mut call = request_without_body(Method::POST, "/v1/jobs".to_owned());
-    call.body = encode_json(&job);
-    Ok(call)
+    let mut request = request_without_body(Method::POST, "/v1/jobs".to_owned());
+    request.body = encode_json(&job);
+    Ok(request)
 }
 
 /// Encodes a value as JSON; returns an empty body if that fails.
--- a/crates/jbctl/src/admin_answer.rs
+++ b/crates/jbctl/src/admin_response.rs
@@ -6,14 +6,14 @@
 
 /// An HTTP response of the administration API.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AdminAnswer {
+pub struct AdminResponse {
     /// The HTTP status.
     pub status: StatusCode,
     /// The complete body.
     pub body: Bytes,
 }
 
-impl AdminAnswer {
+impl AdminResponse {
     /// Returns the outcome of a change; `None` if the body is not one.
     pub fn outcome(&self) -> Option<ChangeOutcome> {
         serde_json::from_slice(&self.body).ok()
--- a/crates/jbctl/src/command_line.rs
+++ b/crates/jbctl/src/command_line.rs
@@ -13,14 +13,14 @@
 };
 
 use crate::{
-    JobListing,
+    GlobalOptions,
+    JobListQuery,
     OperatorCommand,
-    TargetOptions,
     UsageError, //
 };
 
 /// The text that `--help` prints.
-pub const HELP: &str = "\
+pub const HELP_TEXT: &str = "\
 jbctl: drives jasminebend through the administration API of any entry VM
 
 Usage: jbctl [OPTIONS] COMMAND
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommandLine {
     /// Run a command with the given options.
-    Run(OperatorCommand, TargetOptions),
+    Run(OperatorCommand, GlobalOptions),
     /// Print the help.
     Help,
     /// Print the version.
@@ -72,10 +72,10 @@
         Arguments::IntoIter: 'static,
     {
         let mut parser = Parser::from_args(arguments);
-        let mut options = TargetOptions::new();
+        let mut options = GlobalOptions::new();
         let mut positional = Vec::new();
         let mut force = false;
-        let mut job_listing = JobListing::default();
+        let mut job_list_query = JobListQuery::default();
         let mut plot_path = None;
         while let Some(argument) = parser.next()? {
             match argument {
@@ -86,16 +86,19 @@
                 Arg::Long("ca-file") => options.ca_file = Some(parser.value()?.into()),
                 Arg::Long("output") => options.output = parser.value()?.string()?.parse()?,
                 Arg::Long("force") => force = true,
-                Arg::Long("limit") => job_listing.limit = Some(parser.value()?.parse()?),
+                Arg::Long("limit") => job_list_query.limit = Some(parser.value()?.parse()?),
                 Arg::Long("after") => {
-                    job_listing.after = Some(checked_name(&parser.value()?.string()?)?)
+                    job_list_query.after = Some(checked_name(&parser.value()?.string()?)?)
                 }
                 Arg::Long("plot") => plot_path = Some(PathBuf::from(parser.value()?)),
                 Arg::Value(value) => positional.push(value.string()?),
                 other => return Err(other.unexpected().into()),
             }
         }
-        let command = add_plot_path(parse_command(&positional, force, job_listing)?, plot_path)?;
+        let command = add_plot_path(
+            parse_command(&positional, force, job_list_query)?,
+            plot_path,
+        )?;
         Ok(Self::Run(command, options))
     }
 }
@@ -105,7 +108,7 @@
 fn parse_command(
     positional: &[String],
     force: bool,
-    job_listing: JobListing,
+    job_list_query: JobListQuery,
 ) -> Result<OperatorCommand, UsageError> {
     let positional: Vec<&str> = positional.iter().map(String::as_str).collect();
     let command = match positional.as_slice() {
@@ -127,7 +130,7 @@
         ["job", "status", job] => OperatorCommand::JobStatus(checked_name(job)?),
         ["job", "cancel", job] => OperatorCommand::JobCancel(checked_name(job)?),
         ["job", "status" | "cancel"] => return missing_argument("job", "the job's identity"),
-        ["job", "list"] => OperatorCommand::JobList(job_listing.clone()),
+        ["job", "list"] => OperatorCommand::JobList(job_list_query.clone()),
         ["class", "list"] => OperatorCommand::ClassList,
         ["explain", job] => OperatorCommand::Explain(checked_name(job)?),
         ["explain"] => return missing_argument("explain", "a job's identity"),
@@ -140,7 +143,10 @@
         }
     };
     let is_job_list = matches!(command, OperatorCommand::JobList(_));
-    match (force, is_job_list || job_listing == JobListing::default()) {
+    match (
+        force,
+        is_job_list || job_list_query == JobListQuery::default(),
+    ) {
         (false, true) => Ok(command),
         (true, _) => misplaced_option("`--force` goes with `domain out` alone"),
         (false, false) => misplaced_option("`--limit` and `--after` go with `job list` alone"),
--- a/crates/jbctl/src/target_options.rs
+++ b/crates/jbctl/src/global_options.rs
@@ -9,7 +9,7 @@
 
 /// The options that apply to every command: the daemon to call, the credentials and the output format.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct TargetOptions {
+pub struct GlobalOptions {
     /// The administration API's IP address and port.
     pub address: String,
     /// The file with the bearer token; `None` sends no token.
@@ -20,7 +20,7 @@
     pub output: OutputFormat,
 }
 
-impl TargetOptions {
+impl GlobalOptions {
     /// Returns the default options: the local daemon without a token or TLS, and text output.
     pub fn new() -> Self {
         Self {
@@ -32,7 +32,7 @@
     }
 }
 
-impl Default for TargetOptions {
+impl Default for GlobalOptions {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/jbctl/src/job_listing.rs
+++ b/crates/jbctl/src/job_list_query.rs
@@ -2,14 +2,14 @@
 
 /// The page of the job list to request.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct JobListing {
+pub struct JobListQuery {
     /// The maximum number of jobs; `None` for the daemon's default.
     pub limit: Option<u32>,
     /// The identity of the last job of the previous page; `None` for the first page.
     pub after: Option<String>,
 }
 
-impl JobListing {
+impl JobListQuery {
     /// Returns the URL path and query that request the page.
     pub(crate) fn path(&self) -> String {
         let limit = self.limit.map(|limit| format!("limit={limit}"));
--- a/crates/jbctl/src/lib.rs
+++ b/crates/jbctl/src/lib.rs
@@ -1,12 +1,13 @@
 //! Operator's command-line client: sends requests to the administration API of any entry VM, and analyzes daemons' logs.
 
-mod admin_answer;
-mod admin_call;
 mod admin_client;
-mod call_error;
+mod admin_client_error;
+mod admin_request;
+mod admin_response;
 mod command_line;
 mod configuration_lines;
-mod job_listing;
+mod global_options;
+mod job_list_query;
 mod job_timeline;
 mod log_line;
 mod log_summary;
@@ -15,20 +16,20 @@
 mod pool_plot;
 mod pool_usage_history;
 mod program;
-mod target_options;
 mod tls_client;
 mod usage_error;
 
 pub use self::{
-    admin_answer::AdminAnswer,
-    admin_call::AdminCall,
     admin_client::AdminClient,
-    call_error::CallError,
+    admin_client_error::AdminClientError,
+    admin_request::AdminRequest,
+    admin_response::AdminResponse,
     command_line::{
         CommandLine,
-        HELP, //
+        HELP_TEXT, //
     },
-    job_listing::JobListing,
+    global_options::GlobalOptions,
+    job_list_query::JobListQuery,
     job_timeline::{
         DiagnosedCause,
         JobTimeline, //
@@ -38,6 +39,5 @@
     output_format::OutputFormat,
     pool_usage_history::PoolUsageHistory,
     program::run_program,
-    target_options::TargetOptions,
     usage_error::UsageError, //
 };
--- a/crates/jbctl/src/operator_command.rs
+++ b/crates/jbctl/src/operator_command.rs
@@ -4,7 +4,7 @@
 
 use jasminebend_base::DomainState;
 
-use crate::JobListing;
+use crate::JobListQuery;
 
 /// A command of `jbctl` with its arguments.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -33,7 +33,7 @@
     /// Cancel the job with this identity.
     JobCancel(String),
     /// Print a page of the jobs.
-    JobList(JobListing),
+    JobList(JobListQuery),
     /// Print the classes and their targets.
     ClassList,
     /// Print the timeline of the job with this identity, from daemons' log lines on standard input.
--- a/crates/jbctl/src/program.rs
+++ b/crates/jbctl/src/program.rs
@@ -12,19 +12,19 @@
 use tokio::runtime::Builder;
 
 use crate::{
-    AdminAnswer,
-    AdminCall,
     AdminClient,
-    CallError,
+    AdminClientError,
+    AdminRequest,
+    AdminResponse,
     CommandLine,
-    HELP,
+    GlobalOptions,
+    HELP_TEXT,
     JobTimeline,
     LogSummary,
     OperatorCommand,
     OutputFormat,
-    TargetOptions,
     UsageError,
-    admin_call::{
+    admin_request::{
         read_configuration,
         read_text, //
     }, //
@@ -49,22 +49,25 @@
 {
     match CommandLine::parse(arguments) {
         Err(error) => report_failure(EXIT_USAGE, &error),
-        Ok(CommandLine::Help) => print_success(HELP),
+        Ok(CommandLine::Help) => print_success(HELP_TEXT),
         Ok(CommandLine::Version) => {
             print_success(&format!("jbctl {}\n", env!("CARGO_PKG_VERSION")))
         }
         Ok(CommandLine::Run(command, options)) => match run_command(&command, &options) {
             Ok(code) => code,
-            Err(CallError::Usage(error)) => report_failure(EXIT_USAGE, &error),
+            Err(AdminClientError::Usage(error)) => report_failure(EXIT_USAGE, &error),
             Err(error) => report_failure(EXIT_UNKNOWN, &error),
         },
     }
 }
 
 /// Calls the daemon, or runs the command locally if it needs no daemon.
-fn run_command(command: &OperatorCommand, options: &TargetOptions) -> Result<ExitCode, CallError> {
-    match AdminCall::new(command)? {
-        Some(call) => call_api(&call, options),
+fn run_command(
+    command: &OperatorCommand,
+    options: &GlobalOptions,
+) -> Result<ExitCode, AdminClientError> {
+    match AdminRequest::new(command)? {
+        Some(request) => call_api(&request, options),
         None => Ok(run_locally(command)?),
     }
 }
@@ -148,17 +151,17 @@
 }
 
 /// Sends the call and reports its response.
-fn call_api(call: &AdminCall, options: &TargetOptions) -> Result<ExitCode, CallError> {
+fn call_api(request: &AdminRequest, options: &GlobalOptions) -> Result<ExitCode, AdminClientError> {
     let client = AdminClient::new(options)?;
     let runtime = Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| CallError::Unreachable {
+    let runtime = runtime.map_err(|error| AdminClientError::Unreachable {
         address: options.address.clone(),
         reason: error.to_string(),
     })?;
-    match runtime.block_on(client.call(call)) {
-        Ok(answer) if call.is_change() => Ok(report_change(&answer, options.output)),
-        Ok(answer) => Ok(report_read(&answer, options.output)),
-        Err(CallError::Lost { reason }) if call.is_change() => Ok(report_failure(
+    match runtime.block_on(client.call(request)) {
+        Ok(response) if request.is_change() => Ok(report_change(&response, options.output)),
+        Ok(response) => Ok(report_read(&response, options.output)),
+        Err(AdminClientError::Lost { reason }) if request.is_change() => Ok(report_failure(
             EXIT_UNKNOWN,
             &format!("the answer was lost ({reason}); {UNKNOWN_OUTCOME_ADVICE}"),
         )),
@@ -167,10 +170,10 @@
 }
 
 /// Prints the outcome of a change and returns its exit code.
-fn report_change(answer: &AdminAnswer, output: OutputFormat) -> ExitCode {
-    let outcome = answer.outcome();
+fn report_change(response: &AdminResponse, output: OutputFormat) -> ExitCode {
+    let outcome = response.outcome();
     if output == OutputFormat::Json
-        && let Some(json) = answer.json()
+        && let Some(json) = response.json()
     {
         print_success(&format!("{json}\n"));
     }
@@ -192,7 +195,7 @@
             EXIT_UNKNOWN,
             &format!(
                 "the answer ({}) cannot be read; {UNKNOWN_OUTCOME_ADVICE}",
-                answer.status
+                response.status
             ),
         ),
     }
@@ -211,22 +214,22 @@
 }
 
 /// Prints the response to a read and returns its exit code.
-fn report_read(answer: &AdminAnswer, output: OutputFormat) -> ExitCode {
-    let Some(json) = answer.json() else {
-        let cause = format!("the answer ({}) cannot be read", answer.status);
+fn report_read(response: &AdminResponse, output: OutputFormat) -> ExitCode {
+    let Some(json) = response.json() else {
+        let cause = format!("the answer ({}) cannot be read", response.status);
         return report_failure(EXIT_UNKNOWN, &cause);
     };
-    if answer.status == StatusCode::OK {
+    if response.status == StatusCode::OK {
         return print_success(&format_document(&json, output));
     }
-    let code = match answer.status.is_client_error() {
+    let code = match response.status.is_client_error() {
         true => EXIT_REFUSED,
         false => EXIT_UNKNOWN,
     };
-    match answer.outcome() {
+    match response.outcome() {
         Some(ChangeOutcome::NotAccepted { reason }) => report_failure(code, &reason),
         Some(ChangeOutcome::Unknown { find_out }) => report_failure(code, &find_out),
-        _ => report_failure(code, &format!("the daemon answers {}", answer.status)),
+        _ => report_failure(code, &format!("the daemon answers {}", response.status)),
     }
 }
 
