--- a/crates/base/src/change_outcome.rs
+++ b/crates/base/src/change_outcome.rs
@@ -1,4 +1,4 @@
-//! What became of an operator's change, as the administration API tells it.
+//! The outcome of an operator's change, as the administration API returns it.
 
 use serde::{
     Deserialize,
@@ -7,27 +7,28 @@
 
 use crate::ConfigurationVersion;
 
-/// What became of an operator's change, as the administration API tells it.
+/// The outcome of an operator's change, as the administration API returns it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// The change is accepted and stays.
+    /// The change is accepted and durable.
     Accepted {
-        /// The configuration's version that holds it, for a change of the configuration.
+        /// The configuration version that contains the change; `None` unless the configuration
+        /// was changed.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         version: Option<ConfigurationVersion>,
-        /// The job, for a submission or a cancellation.
+        /// The id of the job that was submitted or cancelled; `None` for any other change.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         job: Option<String>,
     },
-    /// Nothing was changed.
+    /// The change is rejected and has no effect.
     NotAccepted {
-        /// Why, as a sentence.
+        /// The reason, as a sentence for the operator.
         reason: String,
     },
-    /// The change may or may not take effect.
+    /// The outcome is unknown: the change may or may not take effect.
     Unknown {
-        /// How to find out, as a sentence.
+        /// How the operator can find out whether it took effect, as a sentence.
         find_out: String,
     },
 }
--- a/crates/base/src/class_kind.rs
+++ b/crates/base/src/class_kind.rs
@@ -1,4 +1,4 @@
-//! The two kinds of work.
+//! The kind of work in a class.
 
 use derive_more::Display;
 use serde::{
@@ -6,14 +6,14 @@
     Serialize, //
 };
 
-/// The two kinds of work.
+/// The kind of work in a class.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClassKind {
-    /// Requests that callers wait for, and the long-running tasks that serve them.
+    /// Requests for whose response a caller waits, and the long-running tasks that serve them.
     #[display("service")]
     Service,
-    /// Work that may wait, be throttled, evicted and resumed.
+    /// Tasks that may be queued, throttled, evicted and resumed.
     #[display("batch")]
     Batch,
 }
--- a/crates/base/src/class_target.rs
+++ b/crates/base/src/class_target.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a class.
+//! The target time of a class.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
     Serialize, //
 };
 
-/// What operators ask of a class: a target, never a weight.
+/// The target time that operators set for a class. A class has no priority or weight besides it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ClassTarget {
-    /// 99 of 100 requests are answered within this time from their arrival.
+    /// For a service class: 99 of 100 requests are answered within this time after their arrival.
     #[serde(with = "humantime_serde")]
     AnswerWithin(Duration),
-    /// A job is finished within this time from its submission.
+    /// For a batch class: a job is finished within this time after its submission.
     #[serde(with = "humantime_serde")]
     FinishWithin(Duration),
 }
--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that every daemon follows.
+//! The configuration shared by all daemons.
 
 use std::hash::Hash;
 
@@ -22,49 +22,50 @@
     TeamQuota, //
 };
 
-/// The configuration that every daemon follows: targets, failure domains and quotas.
+/// The configuration shared by all daemons: failure domains, classes of work with their targets,
+/// and team quotas.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Configuration {
-    /// The version; zero before the first change is accepted.
+    /// The version of the configuration; 0 until the first change is accepted.
     #[serde(default)]
     pub version: ConfigurationVersion,
-    /// The failure domains.
+    /// The declared failure domains; names are unique.
     #[serde(default)]
     pub domains: Vec<FailureDomain>,
-    /// The classes of work.
+    /// The declared classes of work; names are unique.
     #[serde(default)]
     pub classes: Vec<ServiceClass>,
-    /// The teams and their quotas.
+    /// The teams and their quotas; names are unique.
     #[serde(default)]
     pub teams: Vec<TeamQuota>,
 }
 
 impl Configuration {
-    /// Checks what one document can say about itself.
+    /// Validates the names, targets and routes of the configuration.
     ///
     /// # Errors
     ///
-    /// Returns the first fault found. That the last failure domain is out is not among them, see
-    /// [`Configuration::check_domain_left`].
+    /// Returns the first fault found. A configuration in which every failure domain is out passes;
+    /// [`Configuration::check_domain_left`] checks that separately.
     pub fn check(&self) -> Result<(), ConfigurationError> {
-        check_names(
+        check_unique_names(
             "failure domain",
             self.domains.iter().map(|domain| domain.name.as_str()),
         )?;
-        check_names(
+        check_unique_names(
             "class",
             self.classes.iter().map(|class| class.name.as_str()),
         )?;
-        check_names("team", self.teams.iter().map(|team| team.name.as_str()))?;
+        check_unique_names("team", self.teams.iter().map(|team| team.name.as_str()))?;
         self.classes.iter().try_for_each(check_class)
     }
 
-    /// Checks that some failure domain may take work.
+    /// Checks that at least one failure domain is in.
     ///
     /// # Errors
     ///
-    /// Returns [`ConfigurationError::NoDomainIn`] if domains are declared and all are out.
+    /// Returns [`ConfigurationError::NoDomainIn`] if domains are declared and all of them are out.
     pub fn check_domain_left(&self) -> Result<(), ConfigurationError> {
         let all_out = self
             .domains
@@ -76,7 +77,7 @@
         Ok(())
     }
 
-    /// Returns a failure domain's state; a domain that is not declared is in.
+    /// Returns the state of a failure domain; [`DomainState::In`] if it is not declared.
     pub fn domain_state(&self, name: &DomainName) -> DomainState {
         self.domains
             .iter()
@@ -84,29 +85,31 @@
             .map_or(DomainState::In, |domain| domain.state)
     }
 
-    /// Returns the class of this name.
+    /// Returns the class with this name; `None` if it is not declared.
     pub fn class(&self, name: &ClassName) -> Option<&ServiceClass> {
         self.classes.iter().find(|class| class.name == *name)
     }
 
-    /// Returns the quota of this team.
+    /// Returns the quota of the team with this name; `None` if it is not declared.
     pub fn team(&self, name: &TeamName) -> Option<&TeamQuota> {
         self.teams.iter().find(|team| team.name == *name)
     }
 }
 
-fn check_names<'a, Names>(kind: &'static str, names: Names) -> Result<(), ConfigurationError>
+/// Checks that the names are non-empty and unique; `kind` says in errors what they name.
+fn check_unique_names<'a, Names>(kind: &'static str, names: Names) -> Result<(), ConfigurationError>
 where
     Names: Iterator<Item = &'a str>,
 {
     let mut seen = IndexSet::new();
     for name in names {
-        check_name(kind, name, &mut seen)?;
+        check_unique_name(kind, name, &mut seen)?;
     }
     Ok(())
 }
 
-fn check_name<'a, Name>(
+/// Checks that the name is non-empty and not in `seen`, and adds it to `seen`.
+fn check_unique_name<'a, Name>(
     kind: &'static str,
     name: Name,
     seen: &mut IndexSet<Name>,
@@ -126,15 +129,17 @@
     })
 }
 
+/// Checks that the target fits the kind of the class and is not zero, and that a service class has
+/// a service and a valid route.
 fn check_class(class: &ServiceClass) -> Result<(), ConfigurationError> {
-    let name = class.name.to_string();
+    let class_name = class.name.to_string();
     let target = match (class.kind, class.target) {
         (ClassKind::Service, ClassTarget::AnswerWithin(target)) => target,
         (ClassKind::Batch, ClassTarget::FinishWithin(target)) => target,
-        _ => return Err(ConfigurationError::TargetKind { class: name }),
+        _ => return Err(ConfigurationError::TargetKind { class: class_name }),
     };
     if target.is_zero() {
-        return Err(ConfigurationError::ZeroTarget { class: name });
+        return Err(ConfigurationError::ZeroTarget { class: class_name });
     }
     if class.kind == ClassKind::Batch {
         return Ok(());
@@ -142,16 +147,17 @@
     check_route(class)
 }
 
+/// Checks that a service class has a service, and a route whose path prefix begins with `/`.
 fn check_route(class: &ServiceClass) -> Result<(), ConfigurationError> {
-    let name = class.name.to_string();
+    let class_name = class.name.to_string();
     let (Some(_), Some(route)) = (&class.service, &class.route) else {
-        return Err(ConfigurationError::MissingRoute { class: name });
+        return Err(ConfigurationError::MissingRoute { class: class_name });
     };
     if route.path_prefix.starts_with('/') {
         return Ok(());
     }
     Err(ConfigurationError::BadPrefix {
-        class: name,
+        class: class_name,
         prefix: route.path_prefix.clone(),
     })
 }
--- a/crates/base/src/configuration_error.rs
+++ b/crates/base/src/configuration_error.rs
@@ -1,56 +1,56 @@
-//! Why a configuration is refused.
+//! The reason why a configuration is rejected.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a configuration is refused.
+/// The reason why a configuration is rejected.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ConfigurationError {
-    /// A name is given twice.
+    /// Two classes, two failure domains or two teams have the same name.
     #[display("the {kind} `{name}` is declared twice; give each its own name")]
     DuplicateName {
-        /// What is named: class, failure domain or team.
+        /// What the name belongs to: `class`, `failure domain` or `team`.
         kind: &'static str,
-        /// The name.
+        /// The name that is declared twice.
         name: String,
     },
-    /// A name is empty.
+    /// A class, failure domain or team has an empty name.
     #[display("a {kind} has an empty name; give it one")]
     EmptyName {
-        /// What is named: class, failure domain or team.
+        /// What the name belongs to: `class`, `failure domain` or `team`.
         kind: &'static str,
     },
-    /// A class's target does not fit its kind.
+    /// The target of a class does not fit its kind.
     #[display(
         "class `{class}`: a service class takes `answer_within`, a batch class `finish_within`"
     )]
     TargetKind {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
-    /// A target is zero.
+    /// The target of a class is zero.
     #[display("class `{class}`: the target must be longer than zero")]
     ZeroTarget {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
-    /// A service class names no service, or no route.
+    /// A service class lacks its service or its route.
     #[display("class `{class}`: a service class needs `service` and `route`")]
     MissingRoute {
-        /// The class.
+        /// The name of the class.
         class: String,
     },
-    /// A route's prefix does not begin with a slash.
+    /// The path prefix of a route does not begin with a slash.
     #[display("class `{class}`: `path_prefix` must begin with `/`, not `{prefix}`")]
     BadPrefix {
-        /// The class.
+        /// The name of the class.
         class: String,
-        /// The prefix as given.
+        /// The prefix as declared.
         prefix: String,
     },
-    /// No failure domain is left to take work.
+    /// Every declared failure domain is out, so that no new work could start anywhere.
     #[display("every failure domain is out; leave one in, or use force to take out the last one")]
     NoDomainIn,
 }
--- a/crates/base/src/configuration_version.rs
+++ b/crates/base/src/configuration_version.rs
@@ -1,8 +1,8 @@
-//! The version of the configuration; each accepted change adds one.
+//! The version of the configuration; it increases by one with each accepted change.
 
-use crate::count_type::count_type;
+use crate::number_newtype::number_newtype;
 
-count_type!(
-    /// The version of the configuration; each accepted change adds one.
+number_newtype!(
+    /// The version of the configuration; it increases by one with each accepted change.
     ConfigurationVersion(u64)
 );
--- a/crates/base/src/domain_state.rs
+++ b/crates/base/src/domain_state.rs
@@ -1,4 +1,4 @@
-//! Whether operators let a failure domain take work.
+//! Whether work may run in a failure domain, as set by operators.
 
 use derive_more::Display;
 use serde::{
@@ -6,15 +6,15 @@
     Serialize, //
 };
 
-/// Whether operators let a failure domain take work.
+/// Whether work may run in a failure domain, as set by operators.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DomainState {
-    /// New work may start there.
+    /// Work may start and run in the domain.
     #[default]
     #[display("in")]
     In,
-    /// No new work starts there, and what runs there leaves.
+    /// No new work starts in the domain, and the work that runs there is moved out.
     #[display("out")]
     Out,
 }
--- a/crates/base/src/executor_record.rs
+++ b/crates/base/src/executor_record.rs
@@ -1,4 +1,4 @@
-//! An endpoint as the VM list describes it.
+//! The VM list's record of an endpoint.
 
 use std::net::SocketAddr;
 
@@ -9,15 +9,16 @@
 
 use crate::ServiceName;
 
-/// An endpoint (a service's executor) as the VM list describes it.
+/// The VM list's record of an endpoint, which the VM list calls an executor: a process that serves
+/// the requests of one service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ExecutorRecord {
-    /// The service that it serves.
+    /// The service whose requests the endpoint serves.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// The address on which the endpoint accepts requests.
     pub address: SocketAddr,
-    /// The requests that it can work on at once.
+    /// The maximum number of requests that the endpoint serves at the same time.
     pub slots: u16,
-    /// The connections that it can hold open at once.
+    /// The maximum number of connections that the endpoint keeps open at the same time.
     pub connections: u16,
 }
--- a/crates/base/src/failure_domain.rs
+++ b/crates/base/src/failure_domain.rs
@@ -1,4 +1,4 @@
-//! A failure domain as operators declare it.
+//! A failure domain, as declared in the configuration.
 
 use serde::{
     Deserialize,
@@ -10,15 +10,15 @@
     DomainState, //
 };
 
-/// A failure domain as operators declare it.
+/// A failure domain, as declared in the configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct FailureDomain {
-    /// The domain's name; unique in the configuration.
+    /// The name of the domain; unique in the configuration.
     pub name: DomainName,
-    /// The region that it lies in.
+    /// The region to which the domain belongs.
     pub region: String,
-    /// Whether it may take work.
+    /// Whether work may run in the domain.
     #[serde(default)]
     pub state: DomainState,
 }
--- a/crates/base/src/idempotency_rule.rs
+++ b/crates/base/src/idempotency_rule.rs
@@ -1,15 +1,17 @@
-//! Which requests of a class may be sent twice.
+//! The rule that decides which requests of a class are idempotent.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Which requests of a class may run more than once.
+/// The rule that decides which requests of a class are idempotent, so that they may run more than
+/// once.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IdempotencyRule {
-    /// By method: GET, HEAD, OPTIONS, TRACE, PUT and DELETE are idempotent (RFC 9110, 9.2.2).
+    /// The method decides: GET, HEAD, OPTIONS, TRACE, PUT and DELETE are idempotent (RFC 9110,
+    /// 9.2.2).
     #[default]
     ByMethod,
     /// Every request is idempotent, whatever its method.
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,7 +1,7 @@
-//! The vocabulary that every part of jasminebend shares: names, keys, epochs, the configuration
-//! document and the records of VMs.
+//! Types that all crates of jasminebend share: names, resource ids, epochs, the configuration and
+//! the records of the VM list.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number of its own.
+//! Nothing in this crate performs I/O, reads a clock or generates random numbers.
 
 mod change_outcome;
 mod class_kind;
@@ -10,12 +10,12 @@
 mod configuration;
 mod configuration_error;
 mod configuration_version;
-mod count_type;
 mod domain_name;
 mod domain_state;
 mod executor_record;
 mod failure_domain;
 mod idempotency_rule;
+mod number_newtype;
 mod owner_epoch;
 mod resource_amount;
 mod resource_id;
--- a/crates/base/src/count_type.rs
+++ b/crates/base/src/number_newtype.rs
@@ -1,10 +1,10 @@
-//! How a number that only grows is declared: a type of its own.
+//! The macro that declares a newtype around an unsigned integer.
 
-/// Declares a number that only grows: a type of its own, so that numbers of different things are not
-/// confused.
-macro_rules! count_type {
-    ($(#[$about:meta])* $name:ident($number:ty)) => {
-        $(#[$about])*
+/// Declares a newtype around an unsigned integer, so that numbers of different things, such as
+/// epochs and versions, can't be mixed up.
+macro_rules! number_newtype {
+    ($(#[$attribute:meta])* $name:ident($integer:ty)) => {
+        $(#[$attribute])*
         #[derive(
             Clone,
             Copy,
@@ -21,10 +21,10 @@
             ::serde::Serialize,
         )]
         #[serde(transparent)]
-        pub struct $name(pub $number);
+        pub struct $name(pub $integer);
 
         impl $name {
-            /// Returns the value that follows this one.
+            /// Returns the value increased by one, or the value itself if it is the type's maximum.
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
             }
@@ -32,4 +32,4 @@
     };
 }
 
-pub(crate) use count_type;
+pub(crate) use number_newtype;
--- a/crates/base/src/owner_epoch.rs
+++ b/crates/base/src/owner_epoch.rs
@@ -1,8 +1,8 @@
-//! The epoch of a resource; each change of its holder adds one.
+//! The epoch of a resource; it increases by one each time that the resource's owner changes.
 
-use crate::count_type::count_type;
+use crate::number_newtype::number_newtype;
 
-count_type!(
-    /// The epoch of a resource; each change of its holder adds one.
+number_newtype!(
+    /// The epoch of a resource; it increases by one each time that the resource's owner changes.
     OwnerEpoch(u64)
 );
--- a/crates/base/src/resource_amount.rs
+++ b/crates/base/src/resource_amount.rs
@@ -1,4 +1,4 @@
-//! An amount of what a VM has.
+//! An amount of compute resources.
 
 use derive_more::{
     Add,
@@ -10,17 +10,17 @@
     Serialize, //
 };
 
-/// An amount of processors, memory and accelerators.
+/// An amount of compute resources: processors, memory and accelerators.
 #[derive(
     Add, AddAssign, Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize, Sub,
 )]
 #[serde(deny_unknown_fields)]
 pub struct ResourceAmount {
-    /// Thousandths of a processor core.
+    /// Processor time, in thousandths of a core.
     pub cpu_millis: u64,
-    /// Mebibytes of memory.
+    /// Memory, in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// The number of whole accelerators.
     #[serde(default)]
     pub accelerators: u64,
 }
@@ -41,14 +41,14 @@
         self
     }
 
-    /// Tells whether every part of this amount is at most that of `capacity`.
+    /// Returns whether each component of this amount is at most that of `capacity`.
     pub fn fits_in(self, capacity: Self) -> bool {
         self.cpu_millis <= capacity.cpu_millis
             && self.memory_mib <= capacity.memory_mib
             && self.accelerators <= capacity.accelerators
     }
 
-    /// Returns the larger of each part.
+    /// Returns the component-wise maximum.
     pub fn max(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.max(other.cpu_millis),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Subtracts part by part, down to zero.
+    /// Subtracts each component, with zero as the lower bound.
     pub fn saturating_sub(self, other: Self) -> Self {
         Self {
             cpu_millis: self.cpu_millis.saturating_sub(other.cpu_millis),
--- a/crates/base/src/route_rule.rs
+++ b/crates/base/src/route_rule.rs
@@ -1,17 +1,18 @@
-//! Which requests belong to a class.
+//! The rule that assigns requests to a class.
 
 use serde::{
     Deserialize,
     Serialize, //
 };
 
-/// Which requests belong to a class: the longest matching path prefix of a matching host wins.
+/// The rule that assigns requests to a class by host and path prefix. If several rules match a
+/// request, the one with the longest path prefix applies.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteRule {
-    /// The `Host` header's name without its port; any host when absent.
+    /// The host name in the `Host` header, without the port; `None` matches any host.
     #[serde(default)]
     pub host: Option<String>,
-    /// The start of the request's path; begins with `/`.
+    /// The prefix that the request's path must have; begins with `/`.
     pub path_prefix: String,
 }
--- a/crates/base/src/seat_number.rs
+++ b/crates/base/src/seat_number.rs
@@ -1,8 +1,8 @@
-//! The number of a member's seat; the settings say how many seats there are.
+//! The number of a member's seat, counted from 0; the setting `seats` is the number of seats.
 
-use crate::count_type::count_type;
+use crate::number_newtype::number_newtype;
 
-count_type!(
-    /// The number of a member's seat; the settings say how many seats there are.
+number_newtype!(
+    /// The number of a member's seat, counted from 0; the setting `seats` is the number of seats.
     SeatNumber(u8)
 );
--- a/crates/base/src/service_class.rs
+++ b/crates/base/src/service_class.rs
@@ -1,4 +1,4 @@
-//! A class of work as operators declare it.
+//! A class of work, as declared in the configuration.
 
 use serde::{
     Deserialize,
@@ -14,23 +14,25 @@
     ServiceName, //
 };
 
-/// A class of work as operators declare it.
+/// A class of work, as declared in the configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceClass {
-    /// The class's name; unique in the configuration.
+    /// The name of the class; unique in the configuration.
     pub name: ClassName,
-    /// Requests or batch jobs.
+    /// Whether the class consists of requests or of batch jobs.
     pub kind: ClassKind,
-    /// What operators ask of it.
+    /// The target time; its variant fits the kind.
     pub target: ClassTarget,
-    /// The service whose endpoints answer its requests; for the kind `service` only.
+    /// The service whose endpoints serve the class's requests; required for the kind `service`,
+    /// unused for `batch`.
     #[serde(default)]
     pub service: Option<ServiceName>,
-    /// The requests that belong to it; for the kind `service` only.
+    /// The rule that assigns requests to the class; required for the kind `service`, unused for
+    /// `batch`.
     #[serde(default)]
     pub route: Option<RouteRule>,
-    /// Which of its requests may run more than once.
+    /// The rule that decides which of the class's requests may run more than once.
     #[serde(default)]
     pub idempotency: IdempotencyRule,
 }
--- a/crates/base/src/service_name.rs
+++ b/crates/base/src/service_name.rs
@@ -1,8 +1,8 @@
-//! The name of a service that endpoints serve.
+//! The name of a service, whose requests are served by endpoints.
 
 use crate::text_name;
 
 text_name!(
-    /// The name of a service that endpoints serve.
+    /// The name of a service, whose requests are served by endpoints.
     ServiceName
 );
--- a/crates/base/src/team_name.rs
+++ b/crates/base/src/team_name.rs
@@ -1,8 +1,8 @@
-//! The name of a team with a quota.
+//! The name of a team, which owns batch jobs and has a quota.
 
 use crate::text_name;
 
 text_name!(
-    /// The name of a team with a quota.
+    /// The name of a team, which owns batch jobs and has a quota.
     TeamName
 );
--- a/crates/base/src/team_quota.rs
+++ b/crates/base/src/team_quota.rs
@@ -1,4 +1,4 @@
-//! What a team's batch jobs may hold at once.
+//! The quota of a team.
 
 use serde::{
     Deserialize,
@@ -10,12 +10,12 @@
     TeamName, //
 };
 
-/// What a team's batch jobs may hold at once.
+/// The quota of a team: a limit on what its batch tasks reserve at the same time.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct TeamQuota {
-    /// The team's name; unique in the configuration.
+    /// The name of the team; unique in the configuration.
     pub name: TeamName,
-    /// The most that its running batch tasks may hold together.
+    /// The maximum total of what the team's running batch tasks reserve.
     pub limit: ResourceAmount,
 }
--- a/crates/base/src/text_name.rs
+++ b/crates/base/src/text_name.rs
@@ -1,11 +1,11 @@
-//! How a name is declared: a type of its own around a text.
+//! The macro that declares a newtype around a string.
 
-/// Declares a name: a type of its own around a text, so that names of different things are not
-/// confused.
+/// Declares a name as a newtype around a string, so that names of different things can't be mixed
+/// up. The crate that calls it must depend on `derive_more` and `serde`.
 #[macro_export]
 macro_rules! text_name {
-    ($(#[$about:meta])* $name:ident) => {
-        $(#[$about])*
+    ($(#[$attribute:meta])* $name:ident) => {
+        $(#[$attribute])*
         #[derive(
             ::derive_more::AsRef,
             Clone,
@@ -26,7 +26,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
--- a/crates/base/src/vm_name.rs
+++ b/crates/base/src/vm_name.rs
@@ -1,8 +1,8 @@
-//! The platform's name of a VM; a replaced VM may come back under the same one.
+//! The name that the platform gives a VM; the replacement of a VM may have the same name.
 
 use crate::text_name;
 
 text_name!(
-    /// The platform's name of a VM; a replaced VM may come back under the same one.
+    /// The name that the platform gives a VM; the replacement of a VM may have the same name.
     VmName
 );
--- a/crates/base/src/vm_record.rs
+++ b/crates/base/src/vm_record.rs
@@ -1,4 +1,4 @@
-//! A VM as the VM list describes it.
+//! The VM list's record of a VM.
 
 use serde::{
     Deserialize,
@@ -13,22 +13,22 @@
     WorkerRecord, //
 };
 
-/// A VM as the VM list describes it. A VM may be an executor and a worker at once: services share
-/// VMs with batch work.
+/// The VM list's record of a VM. A VM may run an endpoint and a worker at the same time, so that
+/// services share VMs with batch work.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmRecord {
-    /// The platform's name of it.
+    /// The name that the platform gives the VM.
     pub name: VmName,
-    /// Differs each time that a VM of this name is made anew.
+    /// The incarnation of the VM; it differs each time that a VM of this name is created.
     pub incarnation: u64,
-    /// The failure domain that it lies in.
+    /// The failure domain to which the VM belongs.
     pub domain: DomainName,
-    /// Live or leaving.
+    /// Whether the VM accepts new work.
     pub state: VmState,
-    /// The endpoint that runs on it, if any.
+    /// The endpoint that runs on the VM, if any.
     #[serde(default)]
     pub executor: Option<ExecutorRecord>,
-    /// The worker that runs on it, if any.
+    /// The worker that runs on the VM, if any.
     #[serde(default)]
     pub worker: Option<WorkerRecord>,
 }
--- a/crates/base/src/vm_snapshot.rs
+++ b/crates/base/src/vm_snapshot.rs
@@ -1,4 +1,4 @@
-//! One reading of the VM list.
+//! The content of the VM list at one revision.
 
 use serde::{
     Deserialize,
@@ -7,11 +7,12 @@
 
 use crate::VmRecord;
 
-/// One reading of the VM list.
+/// The content of the VM list at one revision.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmSnapshot {
-    /// Grows with each change of the list; an older snapshot never replaces a newer one.
+    /// The revision of the list, which increases with each change. A snapshot with a lower revision
+    /// never replaces one with a higher revision.
     pub revision: u64,
-    /// The VMs that are listed, in the list's order.
+    /// The listed VMs, in the order of the list.
     pub vms: Vec<VmRecord>,
 }
--- a/crates/base/src/vm_state.rs
+++ b/crates/base/src/vm_state.rs
@@ -1,4 +1,4 @@
-//! What the VM list says of a VM.
+//! The state of a VM in the VM list.
 
 use derive_more::Display;
 use serde::{
@@ -6,15 +6,15 @@
     Serialize, //
 };
 
-/// What the VM list says of a VM; the list lags behind the truth.
+/// The state of a VM in the VM list. The list is stale: the VM's actual state may have changed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// The VM is up.
+    /// The VM runs and accepts new work.
     #[default]
     #[display("live")]
     Live,
-    /// The VM is about to be stopped and takes no new work.
+    /// The VM is about to be stopped and accepts no new work.
     #[display("leaving")]
     Leaving,
 }
--- a/crates/base/src/worker_record.rs
+++ b/crates/base/src/worker_record.rs
@@ -1,4 +1,4 @@
-//! A worker as the VM list describes it.
+//! The VM list's record of a worker.
 
 use std::net::SocketAddr;
 
@@ -9,13 +9,13 @@
 
 use crate::ResourceAmount;
 
-/// A worker as the VM list describes it.
+/// The VM list's record of a worker, the process that runs tasks on a VM.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WorkerRecord {
-    /// Where its control API listens.
+    /// The address on which the worker's control API listens.
     pub address: SocketAddr,
-    /// The rack that it sits in.
+    /// The rack that contains the worker's machine.
     pub rack: String,
-    /// What it can hold.
+    /// The total that the worker's tasks can reserve.
     pub capacity: ResourceAmount,
 }
