--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,9 @@
-//! What daemons send each other: typed messages, their codec, and the keyed hash over each.
+//! The messages between daemons, their codec, and the keyed hash that authenticates them.
 //!
-//! A frame is two bytes of version, a [`WirePayload`] in postcard, and a keyed BLAKE3 hash over
-//! both. The payload names the sending and the receiving process and a sequence number, so that a
-//! frame that was recorded is of no use for anybody else, for a later process, or a second time.
+//! A frame consists of a major and a minor version of one byte each, a [`WirePayload`] in postcard,
+//! and a keyed BLAKE3 hash over both. The payload contains the nonces of the sending and of the
+//! receiving process and a sequence number, so that a recorded frame can't be replayed to another
+//! process, to a restarted one, or a second time to the same one.
 
 mod key_ring;
 mod peer_codec;
--- a/crates/wire/src/peer_codec.rs
+++ b/crates/wire/src/peer_codec.rs
@@ -1,4 +1,4 @@
-//! Frames and their checks.
+//! Encodes and verifies the frames between daemons.
 
 use bytes::Bytes;
 use indexmap::IndexMap;
@@ -11,68 +11,78 @@
     WirePayload, //
 };
 
-/// The largest frame; a configuration's document must fit into it.
+/// The maximum size of a frame, in bytes. A configuration document must fit into it.
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
-/// The major version; frames of another one are ignored.
+/// The major version of the protocol. Frames with another one are ignored.
 pub const WIRE_MAJOR: u8 = 1;
 
-/// The minor version; frames of a newer one are read as far as they are known.
+/// The minor version of the protocol. Frames with a higher one are decoded as far as this version
+/// knows their content.
 pub const WIRE_MINOR: u8 = 0;
 
+/// The size of the version header: one byte for the major and one for the minor version.
 const HEADER_BYTES: usize = 2;
+/// The size of the BLAKE3 hash at the end of a frame.
 const HASH_BYTES: usize = 32;
 
-/// How many senders are remembered. Only those that have the key are, and the oldest makes room.
-const MAX_SENDERS: usize = 256;
+/// The maximum number of senders with a replay window. Only a sender of authentic frames gets one;
+/// if there are too many, the one that was added first is removed.
+const MAX_TRACKED_SENDERS: usize = 256;
 
-/// Makes frames for one process, and checks those that it receives.
+/// Encodes the frames that one process sends, and verifies and decodes those that it receives.
 #[derive(Clone, Debug)]
 pub struct PeerCodec {
+    /// The nonce of this process.
     nonce: u64,
     keys: KeyRing,
-    sequence: u64,
-    minor: u8,
-    windows: IndexMap<u64, ReplayWindow>,
+    /// The sequence number of the last frame that was encoded; 0 before the first.
+    last_sequence: u64,
+    /// The minor version in the header of encoded frames.
+    minor_version: u8,
+    /// The replay window of each sender, by the nonce of its process.
+    replay_windows: IndexMap<u64, ReplayWindow>,
 }
 
 impl PeerCodec {
-    /// Creates the codec of the process with this nonce.
+    /// Creates the codec of the process that this nonce identifies.
     pub fn new(nonce: u64, keys: KeyRing) -> Self {
         Self {
             nonce,
             keys,
-            sequence: 0,
-            minor: WIRE_MINOR,
-            windows: IndexMap::new(),
+            last_sequence: 0,
+            minor_version: WIRE_MINOR,
+            replay_windows: IndexMap::new(),
         }
     }
 
-    /// Marks frames with another minor version, as a later release will.
+    /// Sets the minor version in the header of encoded frames, to simulate a later release.
     pub fn with_minor(mut self, minor: u8) -> Self {
-        self.minor = minor;
+        self.minor_version = minor;
         self
     }
 
-    /// Replaces the keys; frames under way with the former ones are lost, and heartbeats repeat.
+    /// Replaces the keys. Frames in transit that are signed with a removed key are lost; heartbeats
+    /// are repeated anyway.
     pub fn set_keys(&mut self, keys: KeyRing) {
         self.keys = keys;
     }
 
-    /// Makes a frame.
+    /// Encodes a message to the process with the nonce `recipient` as a frame.
     ///
     /// # Errors
     ///
-    /// Returns [`WireError::TooLarge`] or [`WireError::Malformed`] if the body makes no frame.
+    /// Returns [`WireError::TooLarge`] if the frame exceeds [`MAX_FRAME_BYTES`], and
+    /// [`WireError::Malformed`] if the body can't be encoded.
     pub fn encode(&mut self, recipient: u64, body: WireBody) -> Result<Bytes, WireError> {
-        self.sequence += 1;
+        self.last_sequence += 1;
         let payload = WirePayload {
             sender: self.nonce,
             recipient,
-            sequence: self.sequence,
+            sequence: self.last_sequence,
             body,
         };
-        let frame = vec![WIRE_MAJOR, self.minor];
+        let frame = vec![WIRE_MAJOR, self.minor_version];
         let mut frame = postcard::to_extend(&payload, frame).map_err(|_| WireError::Malformed)?;
         if frame.len() + HASH_BYTES > MAX_FRAME_BYTES {
             return Err(WireError::TooLarge);
@@ -82,27 +92,29 @@
         Ok(Bytes::from(frame))
     }
 
-    /// Checks a frame, and returns who sent what. The hash is checked before anything is parsed.
+    /// Verifies and decodes a frame, and returns the nonce of the sender's process and the message.
+    /// The hash is verified before any of the frame is parsed.
     ///
     /// # Errors
     ///
-    /// Returns why the frame is to be ignored; it then has changed nothing.
+    /// Returns the reason why the frame must be ignored. A rejected frame changes no state.
     pub fn decode(&mut self, frame: &[u8]) -> Result<(u64, WireBody), WireError> {
-        let signed = self.check_hash(frame)?;
+        let signed = self.verify_hash(frame)?;
         let (version, payload) = signed.split_at(HEADER_BYTES);
         if version[0] != WIRE_MAJOR {
             return Err(WireError::OtherVersion);
         }
-        let newer = version[1] > WIRE_MINOR;
-        let payload = read_payload(payload, newer)?;
+        let is_newer_minor = version[1] > WIRE_MINOR;
+        let payload = parse_payload(payload, is_newer_minor)?;
         if payload.recipient != self.nonce {
             return Err(WireError::OtherRecipient);
         }
-        self.admit(payload.sender, payload.sequence)?;
+        self.check_replay(payload.sender, payload.sequence)?;
         Ok((payload.sender, payload.body))
     }
 
-    fn check_hash<'a>(&self, frame: &'a [u8]) -> Result<&'a [u8], WireError> {
+    /// Verifies the size and the hash of a frame, and returns the bytes that the hash covers.
+    fn verify_hash<'a>(&self, frame: &'a [u8]) -> Result<&'a [u8], WireError> {
         if frame.len() > MAX_FRAME_BYTES {
             return Err(WireError::TooLarge);
         }
@@ -111,30 +123,40 @@
         }
         let (signed, hash) = frame.split_at(frame.len() - HASH_BYTES);
         let hash = blake3::Hash::from_slice(hash).map_err(|_| WireError::TooShort)?;
-        if !self.keys.accepts(signed, &hash) {
+        if !self.keys.verify(signed, &hash) {
             return Err(WireError::NotAuthentic);
         }
         Ok(signed)
     }
 
-    fn admit(&mut self, sender: u64, sequence: u64) -> Result<(), WireError> {
-        if !self.windows.contains_key(&sender) && self.windows.len() == MAX_SENDERS {
-            self.windows.shift_remove_index(0);
+    /// Records the sequence number in the sender's replay window, and returns
+    /// [`WireError::Replayed`] if it was received before or is too old.
+    fn check_replay(&mut self, sender: u64, sequence: u64) -> Result<(), WireError> {
+        if !self.replay_windows.contains_key(&sender)
+            && self.replay_windows.len() == MAX_TRACKED_SENDERS
+        {
+            self.replay_windows.shift_remove_index(0);
         }
-        if self.windows.entry(sender).or_default().admit(sequence) {
+        if self
+            .replay_windows
+            .entry(sender)
+            .or_default()
+            .admit(sequence)
+        {
             return Ok(());
         }
         Err(WireError::Replayed)
     }
 }
 
-/// A newer minor version may have added fields at the end, and kinds of messages.
-fn read_payload(bytes: &[u8], newer: bool) -> Result<WirePayload, WireError> {
+/// Parses the payload. A newer minor version may append fields, which are skipped, and add kinds of
+/// messages, which give [`WireError::UnknownKind`].
+fn parse_payload(bytes: &[u8], is_newer_minor: bool) -> Result<WirePayload, WireError> {
     match postcard::take_from_bytes::<WirePayload>(bytes) {
         Ok((payload, [])) => Ok(payload),
-        Ok((payload, _)) if newer => Ok(payload),
+        Ok((payload, _)) if is_newer_minor => Ok(payload),
         Ok(_) => Err(WireError::Malformed),
-        Err(_) if newer => Err(WireError::UnknownKind),
+        Err(_) if is_newer_minor => Err(WireError::UnknownKind),
         Err(_) => Err(WireError::Malformed),
     }
 }
--- a/crates/wire/src/peer_key.rs
+++ b/crates/wire/src/peer_key.rs
@@ -1,14 +1,18 @@
-//! The secret that all daemons share.
+//! The key that authenticates frames between daemons.
 
 use std::fmt;
 
 use crate::PeerKeyError;
 
+/// The size of a BLAKE3 key.
 const KEY_BYTES: usize = 32;
+/// The minimum length of a secret, in bytes.
 const MIN_SECRET_BYTES: usize = 16;
-const KEY_CONTEXT: &str = "jasminebend 2026-12 peer messages";
+/// The BLAKE3 context string for the derivation of a key from a secret.
+const KEY_DERIVATION_CONTEXT: &str = "jasminebend 2026-12 peer messages";
 
-/// The secret that all daemons share; its text is never shown.
+/// The key that authenticates frames between daemons; all daemons share it. `Debug` does not print
+/// it.
 #[derive(Clone, Copy, Eq, PartialEq)]
 pub struct PeerKey([u8; KEY_BYTES]);
 
@@ -22,16 +26,20 @@
     ///
     /// # Errors
     ///
-    /// Returns [`PeerKeyError::TooShort`] if the secret could be guessed.
+    /// Returns [`PeerKeyError::TooShort`] if the secret is so short that it could be guessed.
     pub fn from_secret(secret: &str) -> Result<Self, PeerKeyError> {
         if secret.len() < MIN_SECRET_BYTES {
             return Err(PeerKeyError::TooShort {
                 least: MIN_SECRET_BYTES,
             });
         }
-        Ok(Self(blake3::derive_key(KEY_CONTEXT, secret.as_bytes())))
+        Ok(Self(blake3::derive_key(
+            KEY_DERIVATION_CONTEXT,
+            secret.as_bytes(),
+        )))
     }
 
+    /// Returns the hash of the bytes, keyed with this key.
     pub(crate) fn hash(&self, bytes: &[u8]) -> blake3::Hash {
         blake3::keyed_hash(&self.0, bytes)
     }
--- a/crates/wire/src/peer_key_error.rs
+++ b/crates/wire/src/peer_key_error.rs
@@ -1,17 +1,17 @@
-//! Why a secret makes no key.
+//! The reason why no key can be derived from a secret.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a secret makes no key.
+/// The reason why no key can be derived from a secret.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum PeerKeyError {
-    /// The secret could be guessed.
+    /// The secret is so short that it could be guessed.
     #[display("the peer key is too short; give at least {least} characters")]
     TooShort {
-        /// The least length in bytes.
+        /// The minimum length of a secret, in bytes.
         least: usize,
     },
 }
--- a/crates/wire/src/wire_body.rs
+++ b/crates/wire/src/wire_body.rs
@@ -1,4 +1,4 @@
-//! What a message is about.
+//! The content of a message between daemons.
 
 use jasminebend_ownership::PeerMessage;
 use serde::{
@@ -6,22 +6,23 @@
     Serialize, //
 };
 
-/// What a message is about. New kinds are added at the end; a daemon of an older version does not
-/// know them and ignores them.
+/// The content of a message between daemons. New kinds of messages must be appended, because the
+/// position of a variant is its encoding; a daemon of an older minor version ignores them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum WireBody {
-    /// Membership: heartbeat, telling and vouching.
+    /// A message of the ownership protocol: a heartbeat, which also notifies the recipient of newer
+    /// epochs and confirms that the sender knows none that are newer still.
     Member(PeerMessage),
-    /// Asks for the document of a configuration.
+    /// Requests the document of a committed configuration.
     DocumentRequest {
-        /// The version.
+        /// The version of the configuration.
         version: u64,
     },
     /// The document of a committed configuration.
     Document {
-        /// The version.
+        /// The version of the configuration.
         version: u64,
-        /// The document as it stands in the table.
+        /// The document, with the same bytes as in the table.
         document: Vec<u8>,
     },
 }
--- a/crates/wire/src/wire_error.rs
+++ b/crates/wire/src/wire_error.rs
@@ -1,35 +1,37 @@
-//! Why a frame was ignored, or could not be made.
+//! The reason why a frame is ignored or can't be encoded.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a frame was ignored, or could not be made.
+/// The reason why a frame is ignored or can't be encoded. Its `Display` texts are values of the
+/// label `reason` of the metric `jasminebend_peer_frames_ignored_total`.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, Hash, PartialEq)]
 pub enum WireError {
-    /// The frame is larger than any daemon sends.
+    /// The frame exceeds [`crate::MAX_FRAME_BYTES`].
     #[display("the frame is too large")]
     TooLarge,
-    /// The frame is too short to be one.
+    /// The frame is too short to contain a header, a payload and a hash.
     #[display("the frame is too short")]
     TooShort,
-    /// The frame's hash fits no key.
+    /// The frame's hash is valid under none of the accepted keys.
     #[display("the frame is not from a daemon that has the key")]
     NotAuthentic,
-    /// The frame is of another major version.
+    /// The frame has another major version.
     #[display("the frame is of another version")]
     OtherVersion,
-    /// The frame is of a kind that this version does not know.
+    /// The frame has a newer minor version, and contains a kind of message that this version does
+    /// not know.
     #[display("the frame is of an unknown kind")]
     UnknownKind,
-    /// The payload cannot be read.
+    /// The payload can't be parsed or encoded.
     #[display("the frame is malformed")]
     Malformed,
-    /// The frame is for another process.
+    /// The frame is addressed to another process.
     #[display("the frame is for another process")]
     OtherRecipient,
-    /// The frame was seen already, or is too old to tell.
+    /// The frame was received before, or is too old for the replay window to decide.
     #[display("the frame was seen already")]
     Replayed,
 }
--- a/crates/wire/src/wire_payload.rs
+++ b/crates/wire/src/wire_payload.rs
@@ -1,4 +1,4 @@
-//! What the keyed hash covers.
+//! The payload of a frame.
 
 use serde::{
     Deserialize,
@@ -7,16 +7,16 @@
 
 use crate::WireBody;
 
-/// What the keyed hash covers. A later minor version may add fields at the end, which older daemons
-/// skip.
+/// The payload of a frame, encoded with postcard and covered by the keyed hash. A later minor
+/// version may append fields, which older daemons skip.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WirePayload {
-    /// The process that sends.
+    /// The nonce of the sending process.
     pub sender: u64,
-    /// The process that it is for.
+    /// The nonce of the receiving process.
     pub recipient: u64,
-    /// Grows with each message of the sender.
+    /// The sequence number, which increases with each frame that the sender encodes.
     pub sequence: u64,
-    /// What the message is about.
+    /// The message.
     pub body: WireBody,
 }
