--- a/crates/ports/src/table_error.rs
+++ b/crates/ports/src/table_error.rs
@@ -5,7 +5,8 @@
     Error, //
 };
 
-/// The error of a call to the table service.
+/// The error of a call to the table service. The administration API returns its `Display` text as
+/// part of an answer.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum TableError {
     /// No connection to the service was established, so that the call had no effect.
@@ -13,7 +14,7 @@
     Unreachable,
     /// The service rejects calls temporarily (throttling or an outage), so that the call had no
     /// effect.
-    #[display("the table service rejects calls temporarily")]
+    #[display("the table service refuses for now")]
     Refused,
     /// The answer was lost or late; a write may have taken effect, which the writer must find out
     /// by reading.
@@ -23,7 +24,7 @@
     #[display("the table service's answer is malformed")]
     Malformed,
     /// The request exceeds the service's size limit, so that the call had no effect.
-    #[display("the request exceeds the table service's size limit")]
+    #[display("the request is larger than the table service takes")]
     TooLarge,
 }
 
