--- a/crates/base/src/domain_name.rs
+++ b/crates/base/src/domain_name.rs
@@ -1,8 +1,8 @@
 //! The name of a failure domain, as declared in the configuration.
 
-use crate::text_name;
+use crate::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The name of a failure domain, as declared in the configuration.
     DomainName
 );
--- a/crates/base/src/text_name.rs
+++ b/crates/base/src/name_newtype.rs
@@ -3,7 +3,7 @@
 /// Declares a name as a newtype around a string, so that names of different things can't be mixed
 /// up. The crate that calls it must depend on `derive_more` and `serde`.
 #[macro_export]
-macro_rules! text_name {
+macro_rules! name_newtype {
     ($(#[$attribute:meta])* $name:ident) => {
         $(#[$attribute])*
         #[derive(
--- a/crates/base/src/service_name.rs
+++ b/crates/base/src/service_name.rs
@@ -1,8 +1,8 @@
 //! The name of a service, whose requests are served by endpoints.
 
-use crate::text_name;
+use crate::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The name of a service, whose requests are served by endpoints.
     ServiceName
 );
--- a/crates/base/src/team_name.rs
+++ b/crates/base/src/team_name.rs
@@ -1,8 +1,8 @@
 //! The name of a team, which owns batch jobs and has a quota.
 
-use crate::text_name;
+use crate::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The name of a team, which owns batch jobs and has a quota.
     TeamName
 );
--- a/crates/base/src/vm_name.rs
+++ b/crates/base/src/vm_name.rs
@@ -1,8 +1,8 @@
 //! The name that the platform gives a VM; the replacement of a VM may have the same name.
 
-use crate::text_name;
+use crate::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The name that the platform gives a VM; the replacement of a VM may have the same name.
     VmName
 );
--- a/crates/ports/src/answer_format.rs
+++ b/crates/ports/src/answer_format.rs
@@ -19,7 +19,7 @@
     pub const POSTCARD_TYPE: &str = "application/x-postcard";
 
     /// Returns the value of the `Accept` header that requests this encoding.
-    pub fn accept(self) -> HeaderValue {
+    pub fn accept_header(self) -> HeaderValue {
         match self {
             Self::Json => HeaderValue::from_static("application/json"),
             Self::Postcard => {
--- a/crates/ports/src/checkpoint_id.rs
+++ b/crates/ports/src/checkpoint_id.rs
@@ -1,8 +1,8 @@
 //! The name under which a worker stored a checkpoint of a task.
 
-use jasminebend_base::text_name;
+use jasminebend_base::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The name under which a worker stored a checkpoint of a task.
     CheckpointId
 );
--- a/crates/ports/src/http_workers.rs
+++ b/crates/ports/src/http_workers.rs
@@ -127,7 +127,7 @@
             method: Method::POST,
             path: WorkerRequest::PATH.to_owned(),
             body: body.into(),
-            accept: Some(self.format.accept()),
+            accept: Some(self.format.accept_header()),
             if_none_match: None,
         };
         let response = self.client(worker).send_write(call).await;
--- a/crates/ports/src/row_key.rs
+++ b/crates/ports/src/row_key.rs
@@ -1,8 +1,8 @@
 //! The key of a row: path segments separated by slashes.
 
-use jasminebend_base::text_name;
+use jasminebend_base::name_newtype;
 
-text_name!(
+name_newtype!(
     /// The key of a row: path segments separated by slashes.
     RowKey
 );
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -19,8 +19,8 @@
     peer_codec::{
         MAX_FRAME_BYTES,
         PeerCodec,
-        WIRE_MAJOR,
-        WIRE_MINOR, //
+        WIRE_MAJOR_VERSION,
+        WIRE_MINOR_VERSION, //
     },
     peer_key::PeerKey,
     peer_key_error::PeerKeyError,
--- a/crates/wire/src/peer_codec.rs
+++ b/crates/wire/src/peer_codec.rs
@@ -15,11 +15,11 @@
 pub const MAX_FRAME_BYTES: usize = 256 * 1024;
 
 /// The major version of the protocol. Frames with another one are ignored.
-pub const WIRE_MAJOR: u8 = 1;
+pub const WIRE_MAJOR_VERSION: u8 = 1;
 
 /// The minor version of the protocol. Frames with a higher one are decoded as far as this version
 /// knows their content.
-pub const WIRE_MINOR: u8 = 0;
+pub const WIRE_MINOR_VERSION: u8 = 0;
 
 /// The size of the version header: one byte for the major and one for the minor version.
 const HEADER_BYTES: usize = 2;
@@ -51,13 +51,13 @@
             nonce,
             keys,
             last_sequence: 0,
-            minor_version: WIRE_MINOR,
+            minor_version: WIRE_MINOR_VERSION,
             replay_windows: IndexMap::new(),
         }
     }
 
     /// Sets the minor version in the header of encoded frames, to simulate a later release.
-    pub fn with_minor(mut self, minor: u8) -> Self {
+    pub fn with_minor_version(mut self, minor: u8) -> Self {
         self.minor_version = minor;
         self
     }
@@ -82,7 +82,7 @@
             sequence: self.last_sequence,
             body,
         };
-        let frame = vec![WIRE_MAJOR, self.minor_version];
+        let frame = vec![WIRE_MAJOR_VERSION, self.minor_version];
         let mut frame = postcard::to_extend(&payload, frame).map_err(|_| WireError::Malformed)?;
         if frame.len() + HASH_BYTES > MAX_FRAME_BYTES {
             return Err(WireError::TooLarge);
@@ -101,10 +101,10 @@
     pub fn decode(&mut self, frame: &[u8]) -> Result<(u64, WireBody), WireError> {
         let signed = self.verify_hash(frame)?;
         let (version, payload) = signed.split_at(HEADER_BYTES);
-        if version[0] != WIRE_MAJOR {
-            return Err(WireError::OtherVersion);
+        if version[0] != WIRE_MAJOR_VERSION {
+            return Err(WireError::UnsupportedMajorVersion);
         }
-        let is_newer_minor = version[1] > WIRE_MINOR;
+        let is_newer_minor = version[1] > WIRE_MINOR_VERSION;
         let payload = parse_payload(payload, is_newer_minor)?;
         if payload.recipient != self.nonce {
             return Err(WireError::OtherRecipient);
@@ -124,7 +124,7 @@
         let (signed, hash) = frame.split_at(frame.len() - HASH_BYTES);
         let hash = blake3::Hash::from_slice(hash).map_err(|_| WireError::TooShort)?;
         if !self.keys.verify(signed, &hash) {
-            return Err(WireError::NotAuthentic);
+            return Err(WireError::InvalidHash);
         }
         Ok(signed)
     }
@@ -141,7 +141,7 @@
             .replay_windows
             .entry(sender)
             .or_default()
-            .admit(sequence)
+            .record(sequence)
         {
             return Ok(());
         }
@@ -150,13 +150,13 @@
 }
 
 /// Parses the payload. A newer minor version may append fields, which are skipped, and add kinds of
-/// messages, which give [`WireError::UnknownKind`].
+/// messages, which give [`WireError::UnknownMessageKind`].
 fn parse_payload(bytes: &[u8], is_newer_minor: bool) -> Result<WirePayload, WireError> {
     match postcard::take_from_bytes::<WirePayload>(bytes) {
         Ok((payload, [])) => Ok(payload),
         Ok((payload, _)) if is_newer_minor => Ok(payload),
         Ok(_) => Err(WireError::Malformed),
-        Err(_) if is_newer_minor => Err(WireError::UnknownKind),
+        Err(_) if is_newer_minor => Err(WireError::UnknownMessageKind),
         Err(_) => Err(WireError::Malformed),
     }
 }
--- a/crates/wire/src/peer_key.rs
+++ b/crates/wire/src/peer_key.rs
@@ -30,7 +30,7 @@
     pub fn from_secret(secret: &str) -> Result<Self, PeerKeyError> {
         if secret.len() < MIN_SECRET_BYTES {
             return Err(PeerKeyError::TooShort {
-                least: MIN_SECRET_BYTES,
+                min_bytes: MIN_SECRET_BYTES,
             });
         }
         Ok(Self(blake3::derive_key(
--- a/crates/wire/src/peer_key_error.rs
+++ b/crates/wire/src/peer_key_error.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum PeerKeyError {
     /// The secret is so short that it could be guessed.
-    #[display("the peer key is too short; give at least {least} characters")]
+    #[display("the peer key is too short; give at least {min_bytes} characters")]
     TooShort {
         /// The minimum length of a secret, in bytes.
-        least: usize,
+        min_bytes: usize,
     },
 }
--- a/crates/wire/src/replay_window.rs
+++ b/crates/wire/src/replay_window.rs
@@ -17,7 +17,7 @@
 impl ReplayWindow {
     /// Records a sequence number as received, and returns whether it is new. The number 0 is never
     /// new.
-    pub fn admit(&mut self, sequence: u64) -> bool {
+    pub fn record(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let shift = sequence - self.highest;
             self.seen = self
--- a/crates/wire/src/wire_error.rs
+++ b/crates/wire/src/wire_error.rs
@@ -17,14 +17,14 @@
     TooShort,
     /// The frame's hash is valid under none of the accepted keys.
     #[display("the frame is not from a daemon that has the key")]
-    NotAuthentic,
+    InvalidHash,
     /// The frame has another major version.
     #[display("the frame is of another version")]
-    OtherVersion,
+    UnsupportedMajorVersion,
     /// The frame has a newer minor version, and contains a kind of message that this version does
     /// not know.
     #[display("the frame is of an unknown kind")]
-    UnknownKind,
+    UnknownMessageKind,
     /// The payload can't be parsed or encoded.
     #[display("the frame is malformed")]
     Malformed,
--- a/crates/wire/tests/peer_codec.rs
+++ b/crates/wire/tests/peer_codec.rs
@@ -85,14 +85,14 @@
         .unwrap();
     let cases: [(&str, &[u8], WireError); 7] = [
         ("empty", &[], WireError::TooShort),
-        ("random bytes", &[0xAB; 90], WireError::NotAuthentic),
+        ("random bytes", &[0xAB; 90], WireError::InvalidHash),
         (
             "truncated",
             &frame[..frame.len() - 1],
-            WireError::NotAuthentic,
+            WireError::InvalidHash,
         ),
-        ("one bit flipped", &flipped, WireError::NotAuthentic),
-        ("another key", &other_cluster, WireError::NotAuthentic),
+        ("one bit flipped", &flipped, WireError::InvalidHash),
+        ("another key", &other_cluster, WireError::InvalidHash),
         (
             "for another process",
             &for_other_recipient,
@@ -137,12 +137,12 @@
 #[test]
 fn a_sequence_number_below_the_replay_window_is_rejected() {
     let mut window = ReplayWindow::default();
-    assert!(window.admit(100));
-    assert!(window.admit(37));
-    assert!(!window.admit(36));
-    assert!(!window.admit(0));
-    assert!(window.admit(1_000));
-    assert!(!window.admit(100));
+    assert!(window.record(100));
+    assert!(window.record(37));
+    assert!(!window.record(36));
+    assert!(!window.record(0));
+    assert!(window.record(1_000));
+    assert!(!window.record(100));
 }
 
 /// Guards against an outage while operators replace the key daemon by daemon: any two daemons in
@@ -225,7 +225,7 @@
     );
     assert_eq!(
         receiver.decode(&sign_frame(1, 1, &new_kind)),
-        Err(WireError::UnknownKind)
+        Err(WireError::UnknownMessageKind)
     );
     assert_eq!(
         receiver.decode(&sign_frame(1, 0, &new_kind)),
@@ -233,7 +233,7 @@
     );
     assert_eq!(
         receiver.decode(&sign_frame(2, 0, &with_added_field)),
-        Err(WireError::OtherVersion)
+        Err(WireError::UnsupportedMajorVersion)
     );
 }
 
--- a/crates/wire/tests/randomized_frames.rs
+++ b/crates/wire/tests/randomized_frames.rs
@@ -19,7 +19,7 @@
     MAX_FRAME_BYTES,
     PeerCodec,
     PeerKey,
-    WIRE_MAJOR,
+    WIRE_MAJOR_VERSION,
     WireBody,
     WireError, //
 };
@@ -91,7 +91,7 @@
         alter_frame(source, &mut altered)?;
         if altered != frame {
             let error = recipient.decode(&altered).unwrap_err();
-            let expected = [WireError::NotAuthentic, WireError::TooShort];
+            let expected = [WireError::InvalidHash, WireError::TooShort];
             assert!(expected.contains(&error), "{error:?}");
         }
         assert_eq!(recipient.decode(&frame), Ok((SENDER_NONCE, ask_message(1))));
@@ -129,12 +129,12 @@
 fn a_signed_frame_with_random_payload_is_rejected() {
     check_with_fixed_seeds(|source| {
         let mut recipient = new_codec(RECIPIENT_NONCE);
-        let mut frame = vec![WIRE_MAJOR];
+        let mut frame = vec![WIRE_MAJOR_VERSION];
         frame.extend(source.arbitrary::<Vec<u8>>()?);
         let hash = blake3::keyed_hash(&KEY, &frame);
         frame.extend(hash.as_bytes());
         let error = recipient.decode(&frame).unwrap_err();
-        assert_ne!(error, WireError::NotAuthentic, "the hash is valid");
+        assert_ne!(error, WireError::InvalidHash, "the hash is valid");
         Ok(())
     });
 }
@@ -151,17 +151,20 @@
         frame
     };
     let mut other_version = frame[..frame.len() - HASH_BYTES].to_vec();
-    other_version[0] = WIRE_MAJOR + 1;
+    other_version[0] = WIRE_MAJOR_VERSION + 1;
     let mut other_key = PeerCodec::new(SENDER_NONCE, KeyRing::new(PeerKey::new([8; 32])));
     let cases = [
         (
             sender.encode(9, ask_message(1)).unwrap(),
             WireError::OtherRecipient,
         ),
-        (with_hash(other_version).into(), WireError::OtherVersion),
+        (
+            with_hash(other_version).into(),
+            WireError::UnsupportedMajorVersion,
+        ),
         (
             other_key.encode(RECIPIENT_NONCE, ask_message(1)).unwrap(),
-            WireError::NotAuthentic,
+            WireError::InvalidHash,
         ),
         (vec![1; MAX_FRAME_BYTES + 1].into(), WireError::TooLarge),
         (Bytes::new(), WireError::TooShort),
