--- a/crates/dispatch/src/dispatcher_throttling.rs
+++ b/crates/dispatch/src/dispatcher_throttling.rs
@@ -316,7 +316,7 @@
             .collect()
     }
 
-    /// Orders throttle factors for a worker's fillers where they change: `pace` percent for the
+    /// Orders throttle factors for a worker's fillers where they change: `percent` for the
     /// causes, 100 percent for the others.
     fn set_throttle_factors(
         &mut self,
