--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -21,7 +21,7 @@
 };
 use jasminebend_gateway::{
     Gateway,
-    GatewayEdges,
+    GatewayPorts,
     GatewaySettings, //
 };
 use jasminebend_ports::SystemClock;
@@ -52,7 +52,7 @@
         revision: 1,
         vms: endpoints.iter().map(|address| vm(address, slots)).collect(),
     }));
-    let edges = GatewayEdges {
+    let ports = GatewayPorts {
         ownership: Arc::new(ownership),
         configuration: configuration.subscribe(),
         vms: vms.subscribe(),
@@ -60,7 +60,7 @@
         clock: Arc::new(SystemClock::new()),
         seed: 1,
     };
-    let gateway = Gateway::new(GatewaySettings::new("east".into(), SHARE_COUNT), edges);
+    let gateway = Gateway::new(GatewaySettings::new("east".into(), SHARE_COUNT), ports);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -31,7 +31,7 @@
 
 use crate::{
     caller_server::serve_callers,
-    gateway_edges::GatewayEdges,
+    gateway_ports::GatewayPorts,
     gateway_settings::GatewaySettings,
     gateway_state::GatewayState,
     key_sweeper::sweep_keys,
@@ -66,12 +66,12 @@
 impl Gateway {
     /// Creates a gateway that follows the configuration, the VM list and the held slot shares from
     /// now on. Must be called within a tokio runtime.
-    pub fn new(settings: GatewaySettings, edges: GatewayEdges) -> Arc<Self> {
-        let shared = Arc::new(GatewayState::new(settings, &edges));
+    pub fn new(settings: GatewaySettings, ports: GatewayPorts) -> Arc<Self> {
+        let shared = Arc::new(GatewayState::new(settings, &ports));
         let mut state = PoolUpdaterState {
             shared: Arc::clone(&shared),
-            configuration: edges.configuration,
-            vms: edges.vms,
+            configuration: ports.configuration,
+            vms: ports.vms,
             last_held_shares: HeldShares::new(),
             last_full_refresh: Duration::ZERO,
         };
--- a/crates/gateway/src/gateway_edges.rs
+++ b/crates/gateway/src/gateway_ports.rs
@@ -1,4 +1,4 @@
-//! [`GatewayEdges`]: what the gateway depends on.
+//! [`GatewayPorts`]: what the gateway depends on.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 
 /// What the gateway depends on: its data sources, the table and the clock.
-pub struct GatewayEdges {
+pub struct GatewayPorts {
     /// Which slot shares this daemon holds, and under which epoch.
     pub ownership: Arc<dyn OwnershipView>,
     /// The configuration in force.
--- a/crates/gateway/src/gateway_settings.rs
+++ b/crates/gateway/src/gateway_settings.rs
@@ -129,7 +129,7 @@
 
     /// Sets how many callers may be connected, and how many requests of one service may wait for a
     /// slot.
-    pub fn with_bounds(mut self, callers: usize, waiting: usize) -> Self {
+    pub fn with_caller_and_queue_limits(mut self, callers: usize, waiting: usize) -> Self {
         self.max_callers = callers;
         self.max_waiting_requests = waiting;
         self
@@ -137,7 +137,12 @@
 
     /// Sets the largest head and body of a request, and up to which size a body is read completely
     /// before a slot is taken for its request; in bytes.
-    pub fn with_sizes(mut self, max_head: usize, max_body: u64, max_buffered_body: u64) -> Self {
+    pub fn with_size_limits(
+        mut self,
+        max_head: usize,
+        max_body: u64,
+        max_buffered_body: u64,
+    ) -> Self {
         self.max_head_bytes = max_head;
         self.max_body_bytes = max_body;
         self.max_buffered_body_bytes = max_buffered_body;
--- a/crates/gateway/src/gateway_state.rs
+++ b/crates/gateway/src/gateway_state.rs
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    gateway_edges::GatewayEdges,
+    gateway_ports::GatewayPorts,
     gateway_settings::GatewaySettings,
     key_store::KeyStore,
     peer_directory::PeerDirectory,
@@ -55,20 +55,20 @@
 
 impl GatewayState {
     /// Creates the state without routes and pools.
-    pub(crate) fn new(settings: GatewaySettings, edges: &GatewayEdges) -> Self {
+    pub(crate) fn new(settings: GatewaySettings, ports: &GatewayPorts) -> Self {
         let keys = KeyStore::new(
-            Arc::clone(&edges.table),
-            Arc::clone(&edges.clock),
+            Arc::clone(&ports.table),
+            Arc::clone(&ports.clock),
             settings.key_retention,
         );
         let buffered_body_permits = Arc::new(Semaphore::new(settings.max_total_buffered_bytes));
         Self {
             settings: Arc::new(settings),
-            ownership: Arc::clone(&edges.ownership),
-            clock: Arc::clone(&edges.clock),
+            ownership: Arc::clone(&ports.ownership),
+            clock: Arc::clone(&ports.clock),
             keys: Arc::new(keys),
-            peers: PeerDirectory::new(Arc::clone(&edges.table)),
-            seed: edges.seed,
+            peers: PeerDirectory::new(Arc::clone(&ports.table)),
+            seed: ports.seed,
             slot_idle: Arc::new(Notify::new()),
             refresh_requested: AtomicBool::new(false),
             buffered_body_permits,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,7 +11,7 @@
 mod exchange;
 mod exchange_outcome;
 mod gateway;
-mod gateway_edges;
+mod gateway_ports;
 mod gateway_settings;
 mod gateway_state;
 mod head_error;
@@ -47,6 +47,6 @@
 
 pub use self::{
     gateway::Gateway,
-    gateway_edges::GatewayEdges,
+    gateway_ports::GatewayPorts,
     gateway_settings::GatewaySettings, //
 };
--- a/crates/gateway/tests/requests/refusals.rs
+++ b/crates/gateway/tests/requests/refusals.rs
@@ -131,7 +131,7 @@
         .with_target(Duration::from_secs(3600))
         .with_settings(|settings| {
             settings
-                .with_bounds(100, 1)
+                .with_caller_and_queue_limits(100, 1)
                 .with_longest_request(Duration::from_secs(7200))
         })
         .start()
--- a/crates/gateway/tests/requests/resource_limits.rs
+++ b/crates/gateway/tests/requests/resource_limits.rs
@@ -25,7 +25,7 @@
     let endpoint = ScriptedEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
     let gateway = builder
-        .with_settings(|settings| settings.with_bounds(3, 10))
+        .with_settings(|settings| settings.with_caller_and_queue_limits(3, 10))
         .start()
         .await;
     let mut held_streams = Vec::new();
@@ -124,7 +124,7 @@
     let endpoint = ScriptedEndpoint::start().await;
     let builder = GatewayBuilder::new().with_endpoint(&endpoint, 8);
     let gateway = builder
-        .with_settings(|settings| settings.with_sizes(8 * 1024, 1000, 100))
+        .with_settings(|settings| settings.with_size_limits(8 * 1024, 1000, 100))
         .start()
         .await;
     let reply = send_request(gateway.address, "POST /a", "", &"x".repeat(1001)).await;
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -25,7 +25,7 @@
 };
 use jasminebend_gateway::{
     Gateway,
-    GatewayEdges,
+    GatewayPorts,
     GatewaySettings, //
 };
 use jasminebend_ports::{
@@ -163,7 +163,7 @@
             revision: 1,
             vms: self.vms,
         }));
-        let edges = GatewayEdges {
+        let ports = GatewayPorts {
             ownership: ownership.clone(),
             configuration: configuration.subscribe(),
             vms: vms.subscribe(),
@@ -177,7 +177,7 @@
             true => self.settings.with_peer_address(address),
             false => self.settings,
         };
-        let gateway = Gateway::new(settings, edges);
+        let gateway = Gateway::new(settings, ports);
         let serving = tokio::spawn(Arc::clone(&gateway).serve(listener));
         TestGateway {
             address,
--- a/crates/jasminebend/src/entry_daemon.rs
+++ b/crates/jasminebend/src/entry_daemon.rs
@@ -13,7 +13,7 @@
 };
 use jasminebend_gateway::{
     Gateway,
-    GatewayEdges,
+    GatewayPorts,
     GatewaySettings, //
 };
 use jasminebend_planner::{
@@ -227,10 +227,10 @@
     let gateway = defaults
         .with_peer_address(forward_address(settings, callers))
         .with_longest_request(limits.longest_request)
-        .with_bounds(limits.caller_connections, limits.waiting_requests)
-        .with_sizes(limits.headers, limits.request_body, BUFFERED_BODY)
+        .with_caller_and_queue_limits(limits.caller_connections, limits.waiting_requests)
+        .with_size_limits(limits.headers, limits.request_body, BUFFERED_BODY)
         .with_traces(settings.traces.is_some());
-    let edges = GatewayEdges {
+    let edges = GatewayPorts {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
         vms: cluster.vm_list(),
