--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway under measurement.
+//! Starts the gateway to be measured.
 
 use std::{
     net::SocketAddr,
@@ -21,7 +21,7 @@
 };
 use jasminebend_gateway::{
     Gateway,
-    GatewayEdges,
+    GatewayPorts,
     GatewaySettings, //
 };
 use jasminebend_ports::SystemClock;
@@ -34,16 +34,17 @@
     sync::watch, //
 };
 
-const SHARES: u16 = 70;
+const SHARE_COUNT: u16 = 70;
 
-/// Starts a gateway that holds all slots of these endpoints, for one class with this target.
-pub(crate) async fn start_gateway_with(
+/// Starts a gateway that holds all slots of these endpoints, for one class with this target, and
+/// returns its address.
+pub(crate) async fn start_gateway(
     endpoints: &[SocketAddr],
     slots: u16,
     target: Duration,
 ) -> SocketAddr {
     let ownership = FixedOwnership::new();
-    for share in 0..SHARES {
+    for share in 0..SHARE_COUNT {
         ownership.hold(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
     }
     let configuration = watch::Sender::new(Arc::new(configuration(target)));
@@ -51,7 +52,7 @@
         revision: 1,
         vms: endpoints.iter().map(|address| vm(address, slots)).collect(),
     }));
-    let edges = GatewayEdges {
+    let ports = GatewayPorts {
         ownership: Arc::new(ownership),
         configuration: configuration.subscribe(),
         vms: vms.subscribe(),
@@ -59,7 +60,7 @@
         clock: Arc::new(SystemClock::new()),
         seed: 1,
     };
-    let gateway = Gateway::new(GatewaySettings::new("east".into(), SHARES), edges);
+    let gateway = Gateway::new(GatewaySettings::new("east".into(), SHARE_COUNT), ports);
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
--- a/crates/gateway/src/endpoint_connection.rs
+++ b/crates/gateway/src/endpoint_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to an endpoint, bound to one slot.
+//! [`EndpointConnection`]: a connection to an endpoint, bound to one slot.
 
 use std::{
     net::SocketAddr,
@@ -21,57 +21,61 @@
 
 use crate::request_body::RequestBody;
 
+/// The size limit of the read buffer, and so of the head of a response.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
-const MOST_HEADERS: usize = 100;
+/// The most headers in the head of a response.
+const MAX_HEADERS: usize = 100;
 
-/// A connection to an endpoint, bound to one slot: it carries one exchange at a time, so that an
-/// answer is paired with its request by the connection alone.
+/// A connection to an endpoint, bound to one slot. It carries one exchange at a time, so that a
+/// response is matched with its request by the connection alone.
 pub(crate) struct EndpointConnection {
-    /// Sends requests; closing it ends the connection's task.
+    /// Sends requests; dropping it ends the task of the connection.
     pub(crate) sender: SendRequest<RequestBody>,
-    /// When the endpoint was last heard from on it.
-    pub(crate) last_heard: Duration,
+    /// When something was last received on this connection, on the monotonic clock.
+    pub(crate) last_received_at: Duration,
 }
 
 /// Why no connection was opened; nothing was sent.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
-pub(crate) enum DialError {
-    /// The endpoint refused, or there is no way to it.
+pub(crate) enum ConnectError {
+    /// The endpoint refused the connection, or is unreachable.
     #[display("the endpoint refused the connection")]
     Refused,
-    /// It did not answer in time.
+    /// The endpoint did not accept the connection in time.
     #[display("the endpoint did not accept the connection in time")]
     Timeout,
 }
 
 impl EndpointConnection {
-    /// Opens a connection.
-    pub(crate) async fn dial(
+    /// Opens a connection within `time_limit`.
+    pub(crate) async fn connect(
         address: SocketAddr,
-        patience: Duration,
+        time_limit: Duration,
         now: Duration,
-    ) -> Result<Self, DialError> {
-        let stream = timeout(patience, TcpStream::connect(address))
+    ) -> Result<Self, ConnectError> {
+        let stream = timeout(time_limit, TcpStream::connect(address))
             .await
-            .map_err(|_| DialError::Timeout)?
-            .map_err(|_| DialError::Refused)?;
-        stream.set_nodelay(true).map_err(|_| DialError::Refused)?;
+            .map_err(|_| ConnectError::Timeout)?
+            .map_err(|_| ConnectError::Refused)?;
+        stream
+            .set_nodelay(true)
+            .map_err(|_| ConnectError::Refused)?;
         let (sender, connection) = Builder::new()
             .max_buf_size(READ_BUFFER_BYTES)
-            .max_headers(MOST_HEADERS)
+            .max_headers(MAX_HEADERS)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| DialError::Refused)?;
-        // An error of the connection reaches the exchange on it, or finds it closed before the
-        // next one; there is nobody else to tell.
+            .map_err(|_| ConnectError::Refused)?;
+        // An error of the connection is reported to the exchange on it, or found before the next
+        // one by `is_open`; it needs no handling here.
         tokio::spawn(async move { connection.await.is_ok() });
         Ok(Self {
             sender,
-            last_heard: now,
+            last_received_at: now,
         })
     }
 
-    /// Tells whether the connection can still carry a request, as far as is known.
+    /// Returns whether the connection can still carry a request, as far as is known.
     pub(crate) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request answered through a slot.
+//! One attempt to send a request through a slot.
 
 use std::{
     error::Error,
@@ -15,8 +15,8 @@
 
 use crate::{
     endpoint_connection::EndpointConnection,
-    exchange_end::ExchangeEnd,
-    gateway_shared::GatewayShared,
+    exchange_outcome::ExchangeOutcome,
+    gateway_state::GatewayState,
     pending_exchange::PendingExchange,
     pool_refresh::refresh_pool,
     refusal::Refusal,
@@ -24,111 +24,118 @@
     slot_lease::SlotLease, //
 };
 
-const MOST_CONNECTIONS_TRIED: usize = 2;
-const READY_PATIENCE: Duration = Duration::from_millis(50);
+/// The most connections tried in one attempt.
+const MAX_CONNECTIONS_TRIED: usize = 2;
+/// How long a kept connection may take to become ready; after that a new one is opened.
+const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// A request on its way to an endpoint.
+/// A request as it is sent to an endpoint.
 pub(crate) type EndpointRequest = Request<RequestBody>;
 
-/// How an attempt is made.
+/// The deadlines of an attempt, and whether it may be repeated.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptPlan {
-    /// When the request is given up.
-    pub(crate) give_up: Duration,
-    /// How long a connection may take to open: a part of the target, so that there is time for
-    /// another endpoint when a VM is gone and answers nothing.
-    pub(crate) connect: Duration,
+    /// The deadline of the request, on the monotonic clock.
+    pub(crate) give_up_at: Duration,
+    /// How long a connection may take to open: a part of the target, so that there is time to try
+    /// another endpoint when a VM has terminated and does not respond.
+    pub(crate) connect_timeout: Duration,
     /// Whether the request may run twice.
     pub(crate) idempotent: bool,
 }
 
-/// An answer whose body is still to come.
-pub(crate) struct EndpointAnswer {
-    /// The answer.
+/// A response whose body is still to arrive.
+pub(crate) struct EndpointResponse {
+    /// The head and the pending body.
     pub(crate) response: Response<Incoming>,
-    /// The slot that it came through.
+    /// The slot through which it arrived.
     pub(crate) lease: SlotLease,
-    /// The connection that it came on.
+    /// The connection on which it arrived.
     pub(crate) connection: EndpointConnection,
-    /// From sending to the answer's head.
+    /// The time from sending the request to the head of the response.
     pub(crate) latency: Duration,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt did not return a response.
 pub(crate) enum AttemptError {
-    /// Not one byte was written; the request comes back.
+    /// Not one byte was written; returns the request.
     NotRun {
-        /// What to tell the caller if it is not sent again.
+        /// The refusal for the caller if the request is not sent again.
         refusal: Refusal,
         /// The request.
         request: Box<EndpointRequest>,
     },
-    /// Whether the endpoint ran it is not known.
+    /// The endpoint may have run the request.
     Unknown(Refusal),
 }
 
-/// Sends a request through a slot and waits for the head of its answer.
+/// Sends a request through a slot and waits for the head of the response.
 pub(crate) async fn attempt(
-    shared: &GatewayShared,
+    shared: &GatewayState,
     mut lease: SlotLease,
     mut request: Box<EndpointRequest>,
     plan: AttemptPlan,
-) -> Result<EndpointAnswer, AttemptError> {
-    for _ in 0..MOST_CONNECTIONS_TRIED {
-        let connection = match open(shared, &mut lease, plan).await {
+) -> Result<EndpointResponse, AttemptError> {
+    for _ in 0..MAX_CONNECTIONS_TRIED {
+        let connection = match connection_for(shared, &mut lease, plan).await {
             Some(connection) => connection,
             None => {
-                lease.end(ExchangeEnd::Unconnected);
+                lease.release(ExchangeOutcome::Unconnected);
                 let refusal = Refusal::Unconnected;
                 return Err(AttemptError::NotRun { refusal, request });
             }
         };
-        // Asked immediately before the send: a daemon that was paused since it picked the slot
-        // learns here that another one may have the slot by now.
+        // Checked immediately before the request is sent: if this daemon was paused after it picked
+        // the slot, another daemon may hold the share by now.
         if shared.ownership.may_act(lease.grant.0) != Some(lease.grant.1) {
             lease.connection = Some(connection);
-            // The next pick must not meet the other slots of what was lost.
-            shared.outdated.store(true, Ordering::Relaxed);
+            // Refreshed at once, so that the next pick does not return other slots of the lost
+            // shares.
+            shared.refresh_requested.store(true, Ordering::Relaxed);
             let held = shared.held_shares();
             refresh_pool(lease.pool(), &held, shared.clock.monotonic());
             let refusal = Refusal::NoEndpoint;
             return Err(AttemptError::NotRun { refusal, request });
         }
         match send(shared, lease, connection, request, plan).await {
-            Ok(answer) => return Ok(answer),
+            Ok(response) => return Ok(response),
             Err(SendError::Unknown(refusal)) => return Err(AttemptError::Unknown(refusal)),
-            Err(SendError::Unsent(own, back)) => (lease, request) = (own, back),
+            Err(SendError::Unsent(returned_lease, returned_request)) => {
+                (lease, request) = (returned_lease, returned_request)
+            }
         }
     }
     let refusal = Refusal::Unconnected;
     Err(AttemptError::NotRun { refusal, request })
 }
 
+/// Why a request that was passed to a connection has no response.
 enum SendError {
+    /// Nothing was sent; returns the slot and the request.
     Unsent(SlotLease, Box<EndpointRequest>),
     Unknown(Refusal),
 }
 
 async fn send(
-    shared: &GatewayShared,
+    shared: &GatewayState,
     mut lease: SlotLease,
     mut connection: EndpointConnection,
     request: Box<EndpointRequest>,
     plan: AttemptPlan,
-) -> Result<EndpointAnswer, SendError> {
+) -> Result<EndpointResponse, SendError> {
     lease.sent = true;
     let sent_at = shared.clock.monotonic();
-    let answer = Box::pin(connection.sender.try_send_request(*request));
-    let pending = PendingExchange::new(answer, lease, connection, sent_at);
-    let left = plan.give_up.saturating_sub(sent_at);
-    let Some((outcome, mut lease, mut connection)) = pending.wait(left).await else {
+    let response_future = Box::pin(connection.sender.try_send_request(*request));
+    let pending = PendingExchange::new(response_future, lease, connection, sent_at);
+    let remaining = plan.give_up_at.saturating_sub(sent_at);
+    let Some((outcome, mut lease, mut connection)) = pending.wait(remaining).await else {
         return Err(SendError::Unknown(Refusal::EndpointTimeout));
     };
     match outcome {
         Ok(response) => {
-            connection.last_heard = shared.clock.monotonic();
-            let latency = connection.last_heard.saturating_sub(sent_at);
-            Ok(EndpointAnswer {
+            connection.last_received_at = shared.clock.monotonic();
+            let latency = connection.last_received_at.saturating_sub(sent_at);
+            Ok(EndpointResponse {
                 response,
                 lease,
                 connection,
@@ -140,13 +147,13 @@
                 lease.sent = false;
                 Err(SendError::Unsent(lease, Box::new(request)))
             }
-            None => Err(SendError::Unknown(refusal_of(error.error()))),
+            None => Err(SendError::Unknown(refusal_for(error.error()))),
         },
     }
 }
 
-/// Tells a fault of the caller's body from one of the endpoint.
-fn refusal_of(error: &hyper::Error) -> Refusal {
+/// Returns the refusal for a failed send: an error in the body of the caller, or of the endpoint.
+fn refusal_for(error: &hyper::Error) -> Refusal {
     let fault = error.source().and_then(|cause| cause.downcast_ref());
     match fault {
         Some(fault) => Refusal::BodyFailed(*fault),
@@ -154,32 +161,33 @@
     }
 }
 
-/// Returns the slot's connection, or a new one where it has none that can be trusted.
-async fn open(
-    shared: &GatewayShared,
+/// Returns the connection of the slot, or a new one if it has none that can be trusted.
+async fn connection_for(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
-    if let Some(mut connection) = trusted(shared, lease, plan) {
+    if let Some(mut connection) = trusted_connection(shared, lease, plan) {
         if connection.sender.is_ready() {
             return Some(connection);
         }
-        let ready = timeout(READY_PATIENCE, connection.sender.ready()).await;
+        let ready = timeout(CONNECTION_READY_TIMEOUT, connection.sender.ready()).await;
         if matches!(ready, Ok(Ok(()))) {
             return Some(connection);
         }
     }
-    dial(shared, lease, plan).await
+    connect(shared, lease, plan).await
 }
 
-/// Returns the slot's connection if it can be trusted with the request.
+/// Returns the connection of the slot if it can be trusted with the request.
 ///
-/// Something between the two ends may have lost track of a connection: what is sent on it then
-/// vanishes, and a request that must not run twice could only be answered "unknown". So such a
-/// request goes out only where the endpoint was heard from a moment ago, and none goes out on a
-/// connection that was quiet since before another one was found silent.
-fn trusted(
-    shared: &GatewayShared,
+/// A middlebox may have lost track of an idle connection: requests sent on it then vanish, and for
+/// one that must not run twice the caller could only be told that the outcome is unknown. Such a
+/// request is therefore sent only on a connection on which the endpoint sent something recently,
+/// and no request is sent on a connection that has been silent since before another one was found
+/// silent.
+fn trusted_connection(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
@@ -188,39 +196,42 @@
         .take()
         .filter(EndpointConnection::is_open)?;
     let now = shared.clock.monotonic();
-    let quiet = now.saturating_sub(connection.last_heard);
-    let most_quiet = match plan.idempotent {
-        true => shared.settings.endpoint_idle,
-        false => shared.settings.trusted_silence,
+    let silent_for = now.saturating_sub(connection.last_received_at);
+    let max_silence = match plan.idempotent {
+        true => shared.settings.endpoint_idle_timeout,
+        false => shared.settings.max_connection_silence,
     };
-    let suspect = lease.pool().is_suspect(connection.last_heard);
-    if quiet <= most_quiet && !suspect {
+    let is_suspect = lease.pool().is_suspect(connection.last_received_at);
+    if silent_for <= max_silence && !is_suspect {
         return Some(connection);
     }
     let mut state = lease.pool().lock();
-    // A connection that is merely quiet is better than none: at a low rate each booking finds its
-    // slot's connection quiet, and the endpoint may not have seen the ends of those before it.
-    if !suspect && !state.may_dial(lease.key(), now, 1) {
+    // A connection that is merely idle is better than none: at a low rate every booking finds the
+    // connection of its slot idle, and the endpoint may still count the connections that were
+    // replaced before.
+    if !is_suspect && !state.may_connect(lease.key(), now, 1) {
         return Some(connection);
     }
     state
         .slot(lease.key())
-        .linger(now + shared.settings.longest_request);
+        .add_lingering_connection(now + shared.settings.longest_request);
     None
 }
 
-async fn dial(
-    shared: &GatewayShared,
+/// Opens a connection for the slot, if its share of the connections of the endpoint allows one
+/// more.
+async fn connect(
+    shared: &GatewayState,
     lease: &mut SlotLease,
     plan: AttemptPlan,
 ) -> Option<EndpointConnection> {
     let now = shared.clock.monotonic();
-    if !lease.pool().lock().may_dial(lease.key(), now, 0) {
+    if !lease.pool().lock().may_connect(lease.key(), now, 0) {
         return None;
     }
-    let left = plan.give_up.saturating_sub(now);
-    let patience = plan.connect.min(left);
-    EndpointConnection::dial(lease.address, patience, now)
+    let remaining = plan.give_up_at.saturating_sub(now);
+    let time_limit = plan.connect_timeout.min(remaining);
+    EndpointConnection::connect(lease.address, time_limit, now)
         .await
         .ok()
 }
--- a/crates/gateway/src/gateway_shared.rs
+++ b/crates/gateway/src/gateway_state.rs
@@ -1,4 +1,4 @@
-//! What the gateway's parts share.
+//! [`GatewayState`]: the state that the parts of the gateway share.
 
 use std::sync::{
     Arc,
@@ -19,7 +19,7 @@
 };
 
 use crate::{
-    gateway_edges::GatewayEdges,
+    gateway_ports::GatewayPorts,
     gateway_settings::GatewaySettings,
     key_store::KeyStore,
     peer_directory::PeerDirectory,
@@ -28,55 +28,56 @@
     service_pool::ServicePool, //
 };
 
-/// What the gateway's parts share.
-pub(crate) struct GatewayShared {
-    /// The settings.
+/// The state that the parts of the gateway share.
+pub(crate) struct GatewayState {
+    /// The settings of the gateway.
     pub(crate) settings: Arc<GatewaySettings>,
-    /// The slot shares that this daemon holds.
+    /// Which slot shares this daemon holds, and under which epoch.
     pub(crate) ownership: Arc<dyn OwnershipView>,
-    /// The clock.
+    /// The clock by which all deadlines are computed.
     pub(crate) clock: Arc<dyn ClockSource>,
-    /// The idempotency keys.
+    /// Reserves idempotency keys and records the outcomes of their requests.
     pub(crate) keys: Arc<KeyStore>,
-    /// The other daemons.
+    /// The daemons that requests can be forwarded to.
     pub(crate) peers: PeerDirectory,
-    /// The seed of the random picks.
+    /// Seeds the random choices between endpoints.
     pub(crate) seed: u64,
-    /// Told whenever a slot falls idle.
-    pub(crate) idle: Arc<Notify>,
-    /// Whether a request found the keeper's last look at the shares outdated.
-    pub(crate) outdated: AtomicBool,
-    /// The bytes of bodies that may still be held in memory.
-    pub(crate) held_bytes: Arc<Semaphore>,
+    /// Notified whenever a slot becomes idle.
+    pub(crate) slot_idle: Arc<Notify>,
+    /// Set by a request that found the held shares as of the last refresh to be outdated; the next
+    /// tick then refreshes all pools.
+    pub(crate) refresh_requested: AtomicBool,
+    /// One permit for each byte that request bodies may still occupy in memory.
+    pub(crate) buffered_body_permits: Arc<Semaphore>,
     routes: RwLock<Arc<RouteSnapshot>>,
     pools: RwLock<IndexMap<ServiceName, Arc<ServicePool>>>,
 }
 
-impl GatewayShared {
-    /// Creates a gateway without routes.
-    pub(crate) fn new(settings: GatewaySettings, edges: &GatewayEdges) -> Self {
+impl GatewayState {
+    /// Creates the state without routes and pools.
+    pub(crate) fn new(settings: GatewaySettings, ports: &GatewayPorts) -> Self {
         let keys = KeyStore::new(
-            Arc::clone(&edges.table),
-            Arc::clone(&edges.clock),
+            Arc::clone(&ports.table),
+            Arc::clone(&ports.clock),
             settings.key_retention,
         );
-        let held_bytes = Arc::new(Semaphore::new(settings.most_held_bytes));
+        let buffered_body_permits = Arc::new(Semaphore::new(settings.max_total_buffered_bytes));
         Self {
             settings: Arc::new(settings),
-            ownership: Arc::clone(&edges.ownership),
-            clock: Arc::clone(&edges.clock),
+            ownership: Arc::clone(&ports.ownership),
+            clock: Arc::clone(&ports.clock),
             keys: Arc::new(keys),
-            peers: PeerDirectory::new(Arc::clone(&edges.table)),
-            seed: edges.seed,
-            idle: Arc::new(Notify::new()),
-            outdated: AtomicBool::new(false),
-            held_bytes,
+            peers: PeerDirectory::new(Arc::clone(&ports.table)),
+            seed: ports.seed,
+            slot_idle: Arc::new(Notify::new()),
+            refresh_requested: AtomicBool::new(false),
+            buffered_body_permits,
             routes: RwLock::default(),
             pools: RwLock::default(),
         }
     }
 
-    /// Returns the shares that may be used now.
+    /// Returns the shares that this daemon holds and may use now: those whose idle time is over.
     pub(crate) fn held_shares(&self) -> HeldShares {
         let ownership = &self.ownership;
         let held = ownership.held().into_iter();
@@ -90,33 +91,34 @@
         Arc::clone(&routes)
     }
 
-    /// Puts routes in force.
+    /// Replaces the routes in force.
     pub(crate) fn set_routes(&self, routes: RouteSnapshot) {
-        let mut own = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        *own = Arc::new(routes);
+        let mut current = self.routes.write().unwrap_or_else(PoisonError::into_inner);
+        *current = Arc::new(routes);
     }
 
-    /// Returns all pools.
+    /// Returns the pools of all services.
     pub(crate) fn pools(&self) -> Vec<Arc<ServicePool>> {
         let pools = self.pools.read().unwrap_or_else(PoisonError::into_inner);
         pools.values().cloned().collect()
     }
 
-    /// Returns a service's pool, made if there is none. Pools stay for good: a class that returns
-    /// must find the slots that its service's earlier requests still hold.
+    /// Returns the pool of a service, and creates it if there is none. Pools are never removed: a
+    /// class that is configured again must find the slots that earlier requests of its service
+    /// still occupy.
     pub(crate) fn pool(&self, service: &ServiceName) -> Arc<ServicePool> {
         let mut pools = self.pools.write().unwrap_or_else(PoisonError::into_inner);
-        // CAST: a `usize` of these machines fits a `u64`.
+        // CAST: a `usize` of the supported targets fits a `u64`.
         let seed = self.seed.wrapping_add(pools.len() as u64);
         let pool = pools.entry(service.clone()).or_insert_with(|| {
             let settings = Arc::clone(&self.settings);
             let clock = Arc::clone(&self.clock);
-            let idle = Arc::clone(&self.idle);
+            let slot_idle = Arc::clone(&self.slot_idle);
             Arc::new(ServicePool::new(
                 service.clone(),
                 settings,
                 clock,
-                idle,
+                slot_idle,
                 seed,
             ))
         });
--- a/crates/gateway/src/header_rules.rs
+++ b/crates/gateway/src/header_rules.rs
@@ -1,4 +1,5 @@
-//! What of a head is checked, removed and added at this hop (RFC 9110, 7.6; RFC 9112).
+//! Checks the head of a request, and removes and adds headers at this hop (RFC 9110, 7.6; RFC
+//! 9112).
 
 use std::net::IpAddr;
 
@@ -34,13 +35,14 @@
     refusal::Refusal,
 };
 
-const VIA_SELF: HeaderValue = HeaderValue::from_static("1.1 jasminebend");
-const MOST_CONNECTION_OPTIONS: usize = 16;
+const VIA_VALUE: HeaderValue = HeaderValue::from_static("1.1 jasminebend");
+/// How many of the headers that `Connection` names are removed.
+const MAX_CONNECTION_OPTIONS: usize = 16;
 
-/// Checks a request's head for what must not go further.
+/// Rejects a request whose head must not be forwarded.
 ///
-/// Which faults hyper leaves to us: two `Host` headers or none, a `Transfer-Encoding` list with
-/// more than `chunked`, a path with dot segments (which could cross from one route to another).
+/// hyper does not reject two or no `Host` headers, a `Transfer-Encoding` list with more than
+/// `chunked`, and a path with dot segments (which could lead from one route to another).
 pub(crate) fn check_head<Body>(request: &Request<Body>) -> Result<(), Refusal> {
     if request.method() == Method::CONNECT || request.headers().contains_key(UPGRADE) {
         return Err(Refusal::UpgradeRefused);
@@ -59,14 +61,14 @@
     match first {
         None if request.version() == Version::HTTP_10 => Ok(()),
         None => Err(Refusal::Malformed("it has no Host header")),
-        Some(host) if is_host(host.as_bytes()) => Ok(()),
+        Some(host) if is_valid_host(host.as_bytes()) => Ok(()),
         Some(_) => Err(Refusal::Malformed("its Host header is no host")),
     }
 }
 
-fn is_host(host: &[u8]) -> bool {
-    let legal = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:[]%".contains(byte);
-    host.iter().all(legal)
+fn is_valid_host(host: &[u8]) -> bool {
+    let is_legal = |byte: &u8| byte.is_ascii_alphanumeric() || b"-._~:[]%".contains(byte);
+    host.iter().all(is_legal)
 }
 
 fn check_framing(headers: &HeaderMap) -> Result<(), Refusal> {
@@ -91,29 +93,29 @@
     Ok(())
 }
 
-/// Refuses paths with dot segments, written out or escaped: an endpoint that resolves them would
-/// answer for another route than the one by which the request was judged.
+/// Rejects paths with dot segments, literal or percent-encoded: an endpoint that resolves them
+/// would serve another route than the one by which the request was classified.
 fn check_path(path: &str) -> Result<(), Refusal> {
     if !path.contains(['.', '%']) {
         return Ok(());
     }
-    let plain = path.to_ascii_lowercase();
-    let plain = plain.replace("%2e", ".");
-    let plain = plain
+    let decoded_path = path.to_ascii_lowercase();
+    let decoded_path = decoded_path.replace("%2e", ".");
+    let decoded_path = decoded_path
         .replace("%2f", "/")
         .replace("%5c", "/")
         .replace('\\', "/");
-    let dotted = plain
+    let has_dot_segments = decoded_path
         .split('/')
         .any(|segment| segment == "." || segment == "..");
-    match dotted {
+    match has_dot_segments {
         true => Err(Refusal::Malformed("its path has dot segments")),
         false => Ok(()),
     }
 }
 
-/// Returns the host that a request names, without its port.
-pub(crate) fn host_of<Body>(request: &Request<Body>) -> &str {
+/// Returns the host of a request, without its port.
+pub(crate) fn request_host<Body>(request: &Request<Body>) -> &str {
     if let Some(host) = request.uri().host() {
         return host;
     }
@@ -125,8 +127,8 @@
     }
 }
 
-/// Turns a caller's head into the one that goes to the endpoint.
-pub(crate) fn prepare_request(uri: &mut Uri, headers: &mut HeaderMap, caller: IpAddr) {
+/// Converts the head of the request of a caller into the one that is sent to the endpoint.
+pub(crate) fn prepare_request_head(uri: &mut Uri, headers: &mut HeaderMap, caller: IpAddr) {
     if let Some(authority) = uri.authority()
         && let Ok(host) = HeaderValue::from_str(authority.as_str())
     {
@@ -139,16 +141,17 @@
     headers.remove(EXPECT);
     headers.remove(TE);
     headers.remove(&FORWARDED);
-    headers.append(VIA, VIA_SELF);
-    add_forwarded(headers, caller);
+    headers.append(VIA, VIA_VALUE);
+    append_forwarded_for(headers, caller);
 }
 
-/// Turns an endpoint's head into the one that goes to the caller.
-pub(crate) fn prepare_answer(headers: &mut HeaderMap) {
+/// Converts the head of the response of an endpoint into the one that is sent to the caller.
+pub(crate) fn prepare_response_head(headers: &mut HeaderMap) {
     remove_hop_headers(headers);
-    headers.append(VIA, VIA_SELF);
+    headers.append(VIA, VIA_VALUE);
 }
 
+/// Returns the path and query of a URI in absolute form.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri
         .path_and_query()
@@ -158,7 +161,7 @@
 }
 
 fn remove_hop_headers(headers: &mut HeaderMap) {
-    for name in named_by_connection(headers) {
+    for name in connection_options(headers) {
         headers.remove(name);
     }
     headers.remove(CONNECTION);
@@ -169,9 +172,9 @@
     headers.remove(UPGRADE);
 }
 
-/// Returns the headers that `Connection` names, but for those that frame or address the message:
-/// a caller could otherwise have us drop the length of the body that we pass on.
-fn named_by_connection(headers: &HeaderMap) -> Vec<HeaderName> {
+/// Returns the headers that `Connection` names, except those that frame or address the message:
+/// otherwise a caller could make the gateway drop the length of a body that it forwards.
+fn connection_options(headers: &HeaderMap) -> Vec<HeaderName> {
     headers
         .get_all(CONNECTION)
         .iter()
@@ -179,22 +182,23 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| HeaderName::try_from(name.trim()).ok())
         .filter(|name| *name != CONTENT_LENGTH && *name != HOST)
-        .take(MOST_CONNECTION_OPTIONS)
+        .take(MAX_CONNECTION_OPTIONS)
         .collect()
 }
 
-fn add_forwarded(headers: &mut HeaderMap, caller: IpAddr) {
-    let own = caller.to_string();
-    let whole = match headers.get(&FORWARDED_FOR).and_then(|v| v.to_str().ok()) {
-        Some(earlier) => format!("{earlier}, {own}"),
-        None => own,
+/// Appends the address of the caller to `X-Forwarded-For`.
+fn append_forwarded_for(headers: &mut HeaderMap, caller: IpAddr) {
+    let caller_address = caller.to_string();
+    let forwarded_for = match headers.get(&FORWARDED_FOR).and_then(|v| v.to_str().ok()) {
+        Some(earlier) => format!("{earlier}, {caller_address}"),
+        None => caller_address,
     };
-    if let Ok(value) = HeaderValue::from_str(&whole) {
+    if let Ok(value) = HeaderValue::from_str(&forwarded_for) {
         headers.insert(&FORWARDED_FOR, value);
     }
 }
 
-/// Tells whether a list of tokens, such as `Connection`, holds this one.
+/// Returns whether a list of tokens, such as `Connection`, contains this one.
 pub(crate) fn has_token(headers: &HeaderMap, name: HeaderName, token: &str) -> bool {
     headers
         .get_all(name)
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -1,4 +1,4 @@
-//! Reserves idempotency keys and keeps what became of their requests.
+//! [`KeyStore`]: reserves idempotency keys and records the outcomes of their requests.
 
 use std::{
     sync::{
@@ -39,16 +39,16 @@
 };
 
 use crate::{
-    key_hours::KeyHours,
+    hour_counter::HourCounter,
     key_record::{
-        KeptAnswer,
         KeyRecord,
         KeyState, //
+        StoredResponse,
     },
     key_write::{
-        KeyPurpose,
         KeyWrite,
         ReserveOutcome, //
+        WritePurpose,
     },
     key_writer::{
         KeyWriter,
@@ -58,76 +58,77 @@
     refusal::Refusal,
 };
 
-const FLUSH_PATIENCE: Duration = Duration::from_secs(5);
+/// How long writing the pending outcomes may take when the gateway drains.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reserves idempotency keys and keeps what became of their requests.
+/// Reserves idempotency keys and records the outcomes of their requests.
 pub(crate) struct KeyStore {
-    /// The table.
+    /// The table with the rows of the keys.
     pub(crate) table: Arc<dyn TableService>,
-    /// The clock.
+    /// The clock by which all deadlines are computed.
     pub(crate) clock: Arc<dyn ClockSource>,
-    /// The hours by which keys are kept.
-    pub(crate) hours: KeyHours,
+    /// The hours by which the retention of keys is measured.
+    pub(crate) hour_counter: HourCounter,
     retention: Duration,
-    running: Arc<watch::Sender<usize>>,
+    running_requests: Arc<watch::Sender<usize>>,
     writer: Mutex<Option<ActorRef<WriterMessage>>>,
-    source: Mutex<StdRng>,
+    rng: Mutex<StdRng>,
 }
 
-/// What a request with a key is to do.
-pub(crate) enum KeyGrant {
-    /// Run: the key is its own.
+/// How to process a request with a key.
+pub(crate) enum KeyDecision {
+    /// Run the request: the key is reserved for it.
     Run(KeyReservation),
-    /// Answer as before.
-    Replay(KeptAnswer),
+    /// Return the stored response of the earlier request.
+    Replay(StoredResponse),
 }
 
-/// A key that is reserved for a request. Dropping it keeps the outcome as unknown, so that no way
-/// out of the code frees a key whose request may have run.
+/// A key that is reserved for a request. Dropping it records the outcome as unknown, so that no
+/// code path frees a key whose request may have run.
 pub(crate) struct KeyReservation {
     writer: ActorRef<WriterMessage>,
     row: RowKey,
     record: KeyRecord,
     version: RowVersion,
-    settled: bool,
-    running: Arc<watch::Sender<usize>>,
+    outcome_recorded: bool,
+    running_requests: Arc<watch::Sender<usize>>,
 }
 
 impl KeyStore {
     /// Creates a store over the table.
     ///
-    /// Its numbers are drawn from the machine's entropy and not from the daemon's seed: two daemons
-    /// that were given the same seed would take each other's reservations for their own, and both
-    /// would run the request.
+    /// Reservation numbers are drawn from the entropy of the machine and not from the seed of the
+    /// daemon: two daemons with the same seed would mistake the reservations of each other for
+    /// their own, and both would run the request.
     pub(crate) fn new(
         table: Arc<dyn TableService>,
         clock: Arc<dyn ClockSource>,
         retention: Duration,
     ) -> Self {
-        let hours = KeyHours::new(Arc::clone(&table), Arc::clone(&clock));
+        let hour_counter = HourCounter::new(Arc::clone(&table), Arc::clone(&clock));
         Self {
-            hours,
+            hour_counter,
             table,
             clock,
             retention,
-            running: Arc::new(watch::Sender::new(0)),
+            running_requests: Arc::new(watch::Sender::new(0)),
             writer: Mutex::new(None),
-            source: Mutex::new(rand::make_rng()),
+            rng: Mutex::new(rand::make_rng()),
         }
     }
 
-    /// Reserves a key for a request, or tells why it must not be run.
+    /// Reserves a key for a request, or returns why the request must not be run.
     pub(crate) async fn reserve(
         &self,
         row: RowKey,
         fingerprint: [u8; 16],
-        give_up: Duration,
-    ) -> Result<KeyGrant, Refusal> {
+        give_up_at: Duration,
+    ) -> Result<KeyDecision, Refusal> {
         let writer = self.writer().await?;
         let record = KeyRecord {
             fingerprint,
-            reservation: self.draw(),
-            expiry_hour: self.expiry_hour(give_up).await?,
+            reservation: self.new_reservation_id(),
+            expiry_hour: self.expiry_hour(give_up_at).await?,
             state: KeyState::Reserved,
         };
         let (reply, outcome) = oneshot::channel();
@@ -135,98 +136,102 @@
             row: row.clone(),
             record: record.clone(),
             expected: RowExpectation::Absent,
-            purpose: KeyPurpose::Reserve { reply, give_up },
+            purpose: WritePurpose::Reserve { reply, give_up_at },
         };
         writer
             .cast(WriterMessage::Write(write))
             .map_err(|_| Refusal::KeyUnreserved)?;
-        let left = give_up.saturating_sub(self.clock.monotonic());
-        let outcome = timeout(left, outcome)
+        let remaining = give_up_at.saturating_sub(self.clock.monotonic());
+        let outcome = timeout(remaining, outcome)
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)?;
         match outcome {
             ReserveOutcome::Refused(refusal) => Err(refusal),
-            ReserveOutcome::Replay(answer) => Ok(KeyGrant::Replay(answer)),
+            ReserveOutcome::Replay(stored_response) => Ok(KeyDecision::Replay(stored_response)),
             ReserveOutcome::Granted(version) => {
-                self.running.send_modify(|count| *count += 1);
-                Ok(KeyGrant::Run(KeyReservation {
+                self.running_requests.send_modify(|count| *count += 1);
+                Ok(KeyDecision::Run(KeyReservation {
                     writer,
                     row,
                     record,
                     version,
-                    settled: false,
-                    running: Arc::clone(&self.running),
+                    outcome_recorded: false,
+                    running_requests: Arc::clone(&self.running_requests),
                 }))
             }
         }
     }
 
-    /// Waits until every request with a key is over, its caller's presence or not, and until what is
-    /// known is written, within bounds: the table may be away.
-    pub(crate) async fn flush(&self, longest: Duration) {
-        let mut running = self.running.subscribe();
-        let over = running.wait_for(|count| *count == 0);
-        if timeout(longest, over).await.is_err() {
-            warn!("[gateway] Requests with idempotency keys are still running at the end.");
+    /// Waits until every request with a key is complete, even if its caller disconnected, and until
+    /// the known outcomes are written. Both waits are limited, because the table may be
+    /// unavailable.
+    pub(crate) async fn flush(&self, longest_request: Duration) {
+        let mut running_requests = self.running_requests.subscribe();
+        let all_complete = running_requests.wait_for(|count| *count == 0);
+        if timeout(longest_request, all_complete).await.is_err() {
+            warn!(
+                "[gateway] Requests with idempotency keys are still running after the longest request; not waiting for them."
+            );
         }
         let Some(writer) = self.live_writer() else {
             return;
         };
-        let flushed = writer
-            .call(WriterMessage::Flush, Some(FLUSH_PATIENCE))
-            .await;
-        if !matches!(flushed, Ok(CallResult::Success(()))) {
-            error!("[gateway] Some requests' outcomes were not kept before the end.");
+        let flush_result = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
+        if !matches!(flush_result, Ok(CallResult::Success(()))) {
+            error!(
+                "[gateway] The outcomes of some requests with idempotency keys were not written in time."
+            );
         }
     }
 
-    /// Ends the writer.
-    pub(crate) fn stop(&self) {
+    /// Stops the writer.
+    pub(crate) fn stop_writer(&self) {
         if let Some(writer) = self.live_writer() {
             writer.stop(None);
         }
     }
 
-    /// Returns the writer, started at the first need, and anew if it ended before its time: what it
-    /// had not written stays reserved, and so is never run twice.
+    /// Returns the writer, which is started on first use and after it stopped early. Keys whose
+    /// outcomes it had not written stay reserved, and so their requests never run twice.
     async fn writer(&self) -> Result<ActorRef<WriterMessage>, Refusal> {
         if let Some(writer) = self.live_writer() {
             return Ok(writer);
         }
         let state = WriterState::new(Arc::clone(&self.table), Arc::clone(&self.clock));
-        let started = Actor::spawn(None, KeyWriter, state).await;
-        let (writer, _) = started.map_err(|_| Refusal::KeyUnreserved)?;
-        let mut own = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        // Two may have started one at once: the first to get here stays.
-        match own.as_ref().filter(|own| is_live(own)) {
+        let spawned = Actor::spawn(None, KeyWriter, state).await;
+        let (writer, _) = spawned.map_err(|_| Refusal::KeyUnreserved)?;
+        let mut current = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
+        // Two tasks may have started a writer concurrently: the first one is kept.
+        match current.as_ref().filter(|current| is_live(current)) {
             Some(first) => {
                 writer.stop(None);
                 Ok(first.clone())
             }
             None => {
-                *own = Some(writer.clone());
+                *current = Some(writer.clone());
                 Ok(writer)
             }
         }
     }
 
-    async fn expiry_hour(&self, give_up: Duration) -> Result<u64, Refusal> {
-        let left = give_up.saturating_sub(self.clock.monotonic());
-        timeout(left, self.hours.expiry_after(self.retention))
+    async fn expiry_hour(&self, give_up_at: Duration) -> Result<u64, Refusal> {
+        let remaining = give_up_at.saturating_sub(self.clock.monotonic());
+        timeout(remaining, self.hour_counter.expiry_hour_for(self.retention))
             .await
             .map_err(|_| Refusal::KeyUnreserved)?
             .map_err(|_| Refusal::KeyUnreserved)
     }
 
+    /// Returns the writer if it is running.
     fn live_writer(&self) -> Option<ActorRef<WriterMessage>> {
         let writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
         writer.as_ref().filter(|writer| is_live(writer)).cloned()
     }
 
-    fn draw(&self) -> u64 {
-        let mut source = self.source.lock().unwrap_or_else(PoisonError::into_inner);
-        source.random()
+    fn new_reservation_id(&self) -> u64 {
+        let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
+        rng.random()
     }
 }
 
@@ -235,29 +240,29 @@
 }
 
 impl KeyReservation {
-    /// Keeps what became of the request.
-    pub(crate) fn settle(mut self, state: KeyState) {
+    /// Records the outcome of the request.
+    pub(crate) fn complete(mut self, state: KeyState) {
         self.write(state);
     }
 
     fn write(&mut self, state: KeyState) {
-        self.settled = true;
+        self.outcome_recorded = true;
         let write = KeyWrite {
             row: self.row.clone(),
             record: self.record.clone().with_state(state),
             expected: RowExpectation::Version(self.version),
-            purpose: KeyPurpose::Settle,
+            purpose: WritePurpose::RecordOutcome,
         };
-        // Without a writer the key stays reserved, which never runs its request twice.
+        // Without a writer the key stays reserved, and so its request never runs twice.
         self.writer.cast(WriterMessage::Write(write)).ok();
     }
 }
 
 impl Drop for KeyReservation {
     fn drop(&mut self) {
-        if !self.settled {
+        if !self.outcome_recorded {
             self.write(KeyState::Unknown);
         }
-        self.running.send_modify(|count| *count -= 1);
+        self.running_requests.send_modify(|count| *count -= 1);
     }
 }
--- a/crates/gateway/src/key_write.rs
+++ b/crates/gateway/src/key_write.rs
@@ -1,4 +1,5 @@
-//! One write of an idempotency key's row, and what the table's answer means for it.
+//! [`KeyWrite`]: a write of the row of an idempotency key, and how the response of the table is
+//! handled.
 
 use std::time::Duration;
 
@@ -14,71 +15,73 @@
 
 use crate::{
     key_record::{
-        KeptAnswer,
         KeyRecord,
         KeyState, //
+        StoredResponse,
     },
     refusal::Refusal,
 };
 
-/// About what a row takes without an answer.
-const ROW_BYTES: usize = 200;
+/// The approximate size in bytes of a row without a response.
+const ROW_OVERHEAD_BYTES: usize = 200;
 
-/// What became of a reservation.
+/// The outcome of a reservation.
 pub(crate) enum ReserveOutcome {
-    /// The key is this request's; its row has this version.
+    /// The key is reserved for this request; its row has this version.
     Granted(RowVersion),
-    /// The request was answered before.
-    Replay(KeptAnswer),
-    /// The request is not to be run.
+    /// The request was answered before, with this response.
+    Replay(StoredResponse),
+    /// The request must not be run.
     Refused(Refusal),
 }
 
 /// Why a row is written.
-pub(crate) enum KeyPurpose {
+pub(crate) enum WritePurpose {
     /// To reserve the key.
     Reserve {
-        /// Where the outcome goes.
+        /// Receives the outcome.
         reply: oneshot::Sender<ReserveOutcome>,
-        /// When the request is given up.
-        give_up: Duration,
+        /// The deadline of the request, on the monotonic clock.
+        give_up_at: Duration,
     },
-    /// To keep what became of the request.
-    Settle,
+    /// To record the outcome of the request.
+    RecordOutcome,
 }
 
-/// One write of an idempotency key's row.
+/// A write of the row of an idempotency key.
 pub(crate) struct KeyWrite {
-    /// The row.
+    /// The key of the row.
     pub(crate) row: RowKey,
-    /// What it is to hold.
+    /// The new content of the row.
     pub(crate) record: KeyRecord,
-    /// What must hold beforehand.
+    /// The condition for the write.
     pub(crate) expected: RowExpectation,
-    /// Why it is written.
-    pub(crate) purpose: KeyPurpose,
+    /// The purpose of the write.
+    pub(crate) purpose: WritePurpose,
 }
 
 impl KeyWrite {
-    /// Returns the write as a part of a transaction.
+    /// Returns the change of the row for a transaction.
     pub(crate) fn change(&self) -> RowChange {
-        // A record of plain data always encodes.
+        // Encoding a record of plain data cannot fail.
         let value = postcard::to_allocvec(&self.record).unwrap_or_default();
         RowChange::put(self.row.clone(), self.expected, value)
     }
 
-    /// Returns about how many bytes the write takes.
-    pub(crate) fn size(&self) -> usize {
+    /// Returns the approximate size of the write in bytes.
+    pub(crate) fn encoded_size_estimate(&self) -> usize {
         match &self.record.state {
-            KeyState::Answered(answer) => ROW_BYTES + answer.size(),
-            _ => ROW_BYTES,
+            KeyState::Answered(stored_response) => {
+                ROW_OVERHEAD_BYTES + stored_response.encoded_size_estimate()
+            }
+            _ => ROW_OVERHEAD_BYTES,
         }
     }
 
-    /// Takes in that the write took effect. What comes back is still to be written: the release of
-    /// a key whose request is gone.
-    pub(crate) fn committed(self, version: RowVersion) -> Option<Self> {
-        let KeyPurpose::Reserve { reply, .. } = self.purpose else {
+    /// Handles a committed write. Returns a write that is still needed: the release of a key whose
+    /// request no longer waits for it.
+    pub(crate) fn on_committed(self, version: RowVersion) -> Option<Self> {
+        let WritePurpose::Reserve { reply, .. } = self.purpose else {
             return None;
         };
         match reply.send(ReserveOutcome::Granted(version)) {
@@ -87,13 +90,13 @@
                 row: self.row,
                 record: self.record.with_state(KeyState::NotRun),
                 expected: RowExpectation::Version(version),
-                purpose: KeyPurpose::Settle,
+                purpose: WritePurpose::RecordOutcome,
             }),
         }
     }
 
-    /// Takes in that the row was not as expected. What comes back is to be written again.
-    pub(crate) fn conflicted(mut self, found: Option<TableRow>) -> Option<Self> {
+    /// Handles a row that was not as expected. Returns the write if it must be retried.
+    pub(crate) fn on_conflict(mut self, found: Option<TableRow>) -> Option<Self> {
         let Some(row) = found else {
             self.expected = RowExpectation::Absent;
             return Some(self);
@@ -102,22 +105,24 @@
             return self.refuse(Refusal::KeyInUse);
         };
         if present.reservation == self.record.reservation {
-            return self.own_found(&present, row.version);
+            return self.on_own_row_found(&present, row.version);
         }
-        self.other_found(present, row.version)
+        self.on_other_row_found(present, row.version)
     }
 
-    /// The row holds this reservation: an earlier write whose answer was lost took effect.
-    fn own_found(mut self, present: &KeyRecord, version: RowVersion) -> Option<Self> {
+    /// Handles a row that contains this reservation: an earlier write whose response was lost took
+    /// effect.
+    fn on_own_row_found(mut self, present: &KeyRecord, version: RowVersion) -> Option<Self> {
         if *present == self.record {
-            return self.committed(version);
+            return self.on_committed(version);
         }
         self.expected = RowExpectation::Version(version);
         Some(self)
     }
 
-    fn other_found(mut self, present: KeyRecord, version: RowVersion) -> Option<Self> {
-        if matches!(self.purpose, KeyPurpose::Settle) {
+    /// Handles a row that contains the reservation of another request.
+    fn on_other_row_found(mut self, present: KeyRecord, version: RowVersion) -> Option<Self> {
+        if matches!(self.purpose, WritePurpose::RecordOutcome) {
             return None;
         }
         if present.state == KeyState::NotRun {
@@ -128,31 +133,33 @@
             return self.refuse(Refusal::KeyMismatch);
         }
         match present.state {
-            KeyState::Answered(answer) => self.reply(ReserveOutcome::Replay(answer)),
+            KeyState::Answered(stored_response) => {
+                self.reply(ReserveOutcome::Replay(stored_response))
+            }
             KeyState::AnsweredLarge => self.refuse(Refusal::KeyAnswered),
             _ => self.refuse(Refusal::KeyInUse),
         }
     }
 
-    /// Takes in that the table gave no answer. What comes back is to be written again.
+    /// Handles an error of the table. Returns the write that must be made next, if any.
     ///
-    /// A reservation whose fate is unknown is written again under the same reservation number: the
-    /// lost write, should it arrive late, and this one exclude each other, and the number tells
-    /// that the row found is its own. When its request's time is over the key is released in the
-    /// same way, so that a repetition is not refused for a request that never ran.
-    pub(crate) fn unanswered(mut self, error: TableError, now: Duration) -> Option<Self> {
+    /// A reservation with an unknown outcome is written again with the same reservation number: the
+    /// lost write, if it arrives late, and this one exclude each other, and the number identifies
+    /// the row as its own. When the deadline of its request has passed, the key is released in the
+    /// same way, so that a repetition is not refused because of a request that never ran.
+    pub(crate) fn on_error(mut self, error: TableError, now: Duration) -> Option<Self> {
         let surely_not_run = error.surely_not_run();
-        let KeyPurpose::Reserve { reply, give_up } = self.purpose else {
+        let WritePurpose::Reserve { reply, give_up_at } = self.purpose else {
             if error == TableError::TooLarge {
-                self.record.state = self.record.state.without_answer();
+                self.record.state = self.record.state.without_response();
             }
             return Some(self);
         };
-        if !surely_not_run && now < give_up && !reply.is_closed() {
-            let purpose = KeyPurpose::Reserve { reply, give_up };
+        if !surely_not_run && now < give_up_at && !reply.is_closed() {
+            let purpose = WritePurpose::Reserve { reply, give_up_at };
             return Some(Self { purpose, ..self });
         }
-        // A caller that left needs no answer.
+        // Best effort: the caller may have disconnected.
         reply
             .send(ReserveOutcome::Refused(Refusal::KeyUnreserved))
             .ok();
@@ -160,7 +167,7 @@
             row: self.row,
             record: self.record.with_state(KeyState::NotRun),
             expected: self.expected,
-            purpose: KeyPurpose::Settle,
+            purpose: WritePurpose::RecordOutcome,
         })
     }
 
@@ -169,8 +176,8 @@
     }
 
     fn reply(self, outcome: ReserveOutcome) -> Option<Self> {
-        if let KeyPurpose::Reserve { reply, .. } = self.purpose {
-            // A caller that left needs no answer.
+        if let WritePurpose::Reserve { reply, .. } = self.purpose {
+            // Best effort: the caller may have disconnected.
             reply.send(outcome).ok();
         }
         None
--- a/crates/gateway/src/keyed_delivery.rs
+++ b/crates/gateway/src/keyed_delivery.rs
@@ -1,4 +1,4 @@
-//! Has a request with an idempotency key answered, at most once for all daemons together.
+//! Records the outcome of requests with idempotency keys.
 
 use bytes::Bytes;
 use http::{
@@ -12,78 +12,84 @@
 use spdlog::warn;
 
 use crate::{
-    answer_body::AnswerBody,
     header_names::EXECUTED,
     key_record::{
-        KeptAnswer,
         KeyState, //
+        StoredResponse,
     },
     key_store::KeyReservation,
     refusal::Refusal,
+    response_body::ResponseBody,
 };
 
-/// The largest answer that is kept.
-pub(crate) const MOST_KEPT_BYTES: usize = 32 * 1024;
+/// The largest body of a response that is stored, in bytes.
+pub(crate) const MAX_STORED_BODY_BYTES: usize = 32 * 1024;
 
-/// Keeps what became of a request, and returns its answer.
+/// Records the outcome of a request under its key, and returns the response.
 ///
-/// A small answer is taken in whole first: it is then kept even if the caller is gone, and the
-/// caller that asks again gets it.
-pub(crate) async fn keep(
+/// A small response is read completely first: it is then stored even if the caller disconnects, and
+/// a caller that repeats the request receives it.
+pub(crate) async fn record_outcome(
     reservation: KeyReservation,
-    outcome: Result<Response<AnswerBody>, Refusal>,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let answer = match outcome {
-        Ok(answer) => answer,
+    outcome: Result<Response<ResponseBody>, Refusal>,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let response = match outcome {
+        Ok(response) => response,
         Err(refusal) => {
-            reservation.settle(match refusal.surely_not_run() {
+            reservation.complete(match refusal.surely_not_run() {
                 true => KeyState::NotRun,
                 false => KeyState::Unknown,
             });
             return Err(refusal);
         }
     };
-    if answer.headers().contains_key(&EXECUTED) {
-        // The endpoint itself said that the request was not run.
-        reservation.settle(KeyState::NotRun);
-        return Ok(answer);
+    if response.headers().contains_key(&EXECUTED) {
+        // The endpoint itself reported that the request was not run.
+        reservation.complete(KeyState::NotRun);
+        return Ok(response);
     }
-    if !is_small(&answer) {
-        reservation.settle(KeyState::AnsweredLarge);
-        return Ok(answer);
+    if !is_storable(&response) {
+        reservation.complete(KeyState::AnsweredLarge);
+        return Ok(response);
     }
-    keep_small(reservation, answer).await
+    record_small_response(reservation, response).await
 }
 
-fn is_small(answer: &Response<AnswerBody>) -> bool {
-    let length = answer.headers().get(CONTENT_LENGTH);
+/// Returns whether the response is known to be small enough to be stored.
+fn is_storable(response: &Response<ResponseBody>) -> bool {
+    let length = response.headers().get(CONTENT_LENGTH);
     let length = length.and_then(|value| value.to_str().ok()?.parse::<usize>().ok());
-    let ended = http_body::Body::is_end_stream(answer.body());
-    ended || length.is_some_and(|length| length <= MOST_KEPT_BYTES)
+    let has_ended = http_body::Body::is_end_stream(response.body());
+    has_ended || length.is_some_and(|length| length <= MAX_STORED_BODY_BYTES)
 }
 
-async fn keep_small(
+async fn record_small_response(
     reservation: KeyReservation,
-    answer: Response<AnswerBody>,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let (head, body) = answer.into_parts();
-    let Ok(whole) = Limited::new(body, MOST_KEPT_BYTES).collect().await else {
-        reservation.settle(KeyState::Unknown);
+    response: Response<ResponseBody>,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let (head, body) = response.into_parts();
+    let Ok(collected) = Limited::new(body, MAX_STORED_BODY_BYTES).collect().await else {
+        reservation.complete(KeyState::Unknown);
         return Err(Refusal::EndpointFailed);
     };
-    let whole: Bytes = whole.to_bytes();
-    let kept = KeptAnswer::new(head.status, &head.headers, whole.clone());
-    reservation.settle(KeyState::Answered(kept));
-    Ok(Response::from_parts(head, AnswerBody::whole(whole)))
+    let collected: Bytes = collected.to_bytes();
+    let stored_response = StoredResponse::new(head.status, &head.headers, collected.clone());
+    reservation.complete(KeyState::Answered(stored_response));
+    Ok(Response::from_parts(
+        head,
+        ResponseBody::buffered(collected),
+    ))
 }
 
-/// Runs a delivery to its end even if the caller leaves meanwhile, so that its outcome is kept.
-pub(crate) async fn detached<Delivery>(delivery: Delivery) -> Result<Response<AnswerBody>, Refusal>
+/// Runs a delivery to completion even if the caller disconnects, so that its outcome is recorded.
+pub(crate) async fn run_detached<Delivery>(
+    delivery: Delivery,
+) -> Result<Response<ResponseBody>, Refusal>
 where
-    Delivery: Future<Output = Result<Response<AnswerBody>, Refusal>> + Send + 'static,
+    Delivery: Future<Output = Result<Response<ResponseBody>, Refusal>> + Send + 'static,
 {
     tokio::spawn(delivery).await.unwrap_or_else(|_| {
-        warn!("[gateway] A request's task ended early.");
+        warn!("[gateway] The task of a request with an idempotency key failed; its outcome is unknown.");
         Err(Refusal::EndpointFailed)
     })
 }
--- a/crates/gateway/src/peer_directory.rs
+++ b/crates/gateway/src/peer_directory.rs
@@ -1,4 +1,4 @@
-//! Which daemon can answer for which service.
+//! [`PeerDirectory`]: which daemon can serve which service.
 
 use std::{
     net::SocketAddr,
@@ -33,105 +33,122 @@
 };
 use tokio::time::sleep;
 
-use crate::gateway_shared::GatewayShared;
+use crate::gateway_state::GatewayState;
 
+/// The prefix of the rows of all daemons.
 const PEER_PREFIX: &str = "request-peers/";
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-const BEAT_EVERY: Duration = Duration::from_secs(30);
-/// A daemon whose row did not change for this long is taken for gone.
-const MOST_SILENCE: Duration = Duration::from_secs(90);
-const ROWS_AT_ONCE: usize = 200;
-
-/// What a daemon tells the others of itself.
+/// How often the row of this daemon is checked and the rows of the others are read.
+const PEER_LOOP_INTERVAL: Duration = Duration::from_secs(1);
+/// How often the row of this daemon is written if its content did not change.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(30);
+/// A daemon whose row was unchanged for this long is treated as terminated.
+const PEER_ROW_TTL: Duration = Duration::from_secs(90);
+/// The most rows read in one scan.
+const MAX_PEER_ROWS: usize = 200;
+
+/// What a daemon publishes about itself: where its listener for callers is, and the services that
+/// it can serve. The row is encoded with postcard, so that the order of the fields is its format.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct PeerRecord {
     address: SocketAddr,
     services: Vec<ServiceName>,
 }
 
-struct SeenPeer {
+/// A peer, with the version of its row and the time since which it is unchanged.
+struct KnownPeer {
     record: PeerRecord,
     version: RowVersion,
-    since: Duration,
+    unchanged_since: Duration,
 }
 
+/// The known peers, and what this daemon last published and when.
 struct DirectoryState {
-    peers: IndexMap<RowKey, SeenPeer>,
-    told: Option<(PeerRecord, Duration)>,
-    source: StdRng,
+    peers: IndexMap<RowKey, KnownPeer>,
+    published: Option<(PeerRecord, Duration)>,
+    rng: StdRng,
 }
 
-/// Which daemon can answer for which service, by rows that the daemons write of themselves.
+/// Which daemon can serve which service, according to rows that the daemons write about themselves.
 ///
-/// What it says may be old: a peer that is gone refuses the connection, and one that lost its slots
-/// says that it did not run the request.
+/// The rows may be outdated: a peer that terminated refuses the connection, and one that lost its
+/// slots reports that it did not run the request.
 pub(crate) struct PeerDirectory {
     table: Arc<dyn TableService>,
     state: Mutex<DirectoryState>,
 }
 
 impl PeerDirectory {
-    /// Creates a directory that knows nobody.
+    /// Creates a directory without peers.
     pub(crate) fn new(table: Arc<dyn TableService>) -> Self {
         Self {
             table,
             state: Mutex::new(DirectoryState {
                 peers: IndexMap::new(),
-                told: None,
-                source: rand::make_rng(),
+                published: None,
+                rng: rand::make_rng(),
             }),
         }
     }
 
-    /// Picks a daemon that has slots of a service, other than those to avoid.
-    pub(crate) fn pick(&self, service: &ServiceName, avoid: &[SocketAddr]) -> Option<SocketAddr> {
+    /// Returns a random daemon that has slots of a service, except those in `avoid`.
+    pub(crate) fn pick_peer(
+        &self,
+        service: &ServiceName,
+        avoid: &[SocketAddr],
+    ) -> Option<SocketAddr> {
         let mut state = self.lock();
-        let fits = |peer: &&SeenPeer| {
+        let is_candidate = |peer: &&KnownPeer| {
             peer.record.services.contains(service) && !avoid.contains(&peer.record.address)
         };
-        let fitting: Vec<_> = state.peers.values().filter(fits).collect();
-        let fitting: Vec<_> = fitting.iter().map(|peer| peer.record.address).collect();
-        if fitting.is_empty() {
+        let candidates: Vec<_> = state.peers.values().filter(is_candidate).collect();
+        let candidates: Vec<_> = candidates.iter().map(|peer| peer.record.address).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let place = state.source.random_range(0..fitting.len());
-        fitting.get(place).copied()
+        let index = state.rng.random_range(0..candidates.len());
+        candidates.get(index).copied()
     }
 
-    /// Withdraws what this daemon told of itself.
+    /// Deletes the row of this daemon.
     pub(crate) async fn withdraw(&self) {
-        let Some((record, _)) = self.lock().told.take() else {
+        let Some((record, _)) = self.lock().published.take() else {
             return;
         };
-        let change = RowChange::delete(row_of(record.address), RowExpectation::Any);
-        let write = self.draw();
-        // Left there, the row only leads others to a closed door.
+        let change = RowChange::delete(peer_row(record.address), RowExpectation::Any);
+        let write = self.new_write_id();
+        // Best effort: if the row remains, other daemons only get refused connections.
         self.table.commit(write, vec![change]).await.ok();
     }
 
-    async fn tell(&self, record: PeerRecord, now: Duration) -> Result<(), TableError> {
-        let told = self.lock().told.clone();
-        if told.is_some_and(|(own, at)| own == record && now < at + BEAT_EVERY) {
+    /// Writes the row of this daemon if it changed or a heartbeat is due.
+    async fn publish(&self, record: PeerRecord, now: Duration) -> Result<(), TableError> {
+        let published = self.lock().published.clone();
+        if published.is_some_and(|(last, at)| last == record && now < at + HEARTBEAT_INTERVAL) {
             return Ok(());
         }
         let value = postcard::to_allocvec(&record).unwrap_or_default();
-        let change = RowChange::put(row_of(record.address), RowExpectation::Any, value);
-        let write = self.draw();
+        let change = RowChange::put(peer_row(record.address), RowExpectation::Any, value);
+        let write = self.new_write_id();
         self.table.commit(write, vec![change]).await?;
-        self.lock().told = Some((record, now));
+        self.lock().published = Some((record, now));
         Ok(())
     }
 
-    async fn look(&self, own: Option<SocketAddr>, now: Duration) -> Result<(), TableError> {
+    /// Reads the rows of the other daemons.
+    async fn scan_peers(
+        &self,
+        own_address: Option<SocketAddr>,
+        now: Duration,
+    ) -> Result<(), TableError> {
         let prefix = RowKey::from(PEER_PREFIX);
-        let rows = self.table.scan(&prefix, None, ROWS_AT_ONCE).await?;
+        let rows = self.table.scan(&prefix, None, MAX_PEER_ROWS).await?;
         let mut state = self.lock();
-        let mut earlier = std::mem::take(&mut state.peers);
+        let mut previous = std::mem::take(&mut state.peers);
         for row in rows {
-            let known = earlier.swap_remove(&row.key);
+            let known = previous.swap_remove(&row.key);
             let key = row.key.clone();
-            if let Some(peer) = see(row, known, now)
-                && Some(peer.record.address) != own
+            if let Some(peer) = updated_peer(row, known, now)
+                && Some(peer.record.address) != own_address
             {
                 state.peers.insert(key, peer);
             }
@@ -139,8 +156,8 @@
         Ok(())
     }
 
-    fn draw(&self) -> WriteId {
-        WriteId::new(&mut self.lock().source)
+    fn new_write_id(&self) -> WriteId {
+        WriteId::new(&mut self.lock().rng)
     }
 
     fn lock(&self) -> MutexGuard<'_, DirectoryState> {
@@ -148,39 +165,42 @@
     }
 }
 
-fn row_of(address: SocketAddr) -> RowKey {
+fn peer_row(address: SocketAddr) -> RowKey {
     RowKey::from(format!("{PEER_PREFIX}{address}"))
 }
 
-fn see(row: TableRow, known: Option<SeenPeer>, now: Duration) -> Option<SeenPeer> {
-    let since = known
+/// Returns the peer of a row, or `None` if the row is invalid or unchanged for too long.
+fn updated_peer(row: TableRow, known: Option<KnownPeer>, now: Duration) -> Option<KnownPeer> {
+    let unchanged_since = known
         .filter(|known| known.version == row.version)
-        .map_or(now, |known| known.since);
-    let peer = SeenPeer {
+        .map_or(now, |known| known.unchanged_since);
+    let peer = KnownPeer {
         record: postcard::from_bytes(&row.value).ok()?,
         version: row.version,
-        since,
+        unchanged_since,
     };
-    (now < since + MOST_SILENCE).then_some(peer)
+    (now < unchanged_since + PEER_ROW_TTL).then_some(peer)
 }
 
-/// Tells the other daemons for which services this one has slots, and looks for theirs while it has
-/// none of some service. Without the table what was last known is gone by.
-pub(crate) async fn keep_directory(shared: Arc<GatewayShared>) {
+/// Publishes for which services this daemon has slots, and reads the rows of the others while it
+/// has none of some service. Without the table, the last rows read are used.
+pub(crate) async fn run_peer_directory(shared: Arc<GatewayState>) {
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(PEER_LOOP_INTERVAL).await;
         let now = shared.clock.monotonic();
-        let own = shared.settings.peer_address;
-        let (able, unable): (Vec<_>, Vec<_>) =
-            shared.pools().into_iter().partition(|pool| pool.serves());
-        let services = able.iter().map(|pool| pool.service.clone()).collect();
-        if let Some(address) = own {
+        let own_address = shared.settings.peer_address;
+        let (serving, not_serving): (Vec<_>, Vec<_>) = shared
+            .pools()
+            .into_iter()
+            .partition(|pool| pool.can_serve());
+        let services = serving.iter().map(|pool| pool.service.clone()).collect();
+        if let Some(address) = own_address {
             let record = PeerRecord { address, services };
-            // Told again at the next turn.
-            shared.peers.tell(record, now).await.ok();
+            // Retried in the next iteration.
+            shared.peers.publish(record, now).await.ok();
         }
-        if !unable.is_empty() {
-            shared.peers.look(own, now).await.ok();
+        if !not_serving.is_empty() {
+            shared.peers.scan_peers(own_address, now).await.ok();
         }
     }
 }
--- a/crates/gateway/src/pending_exchange.rs
+++ b/crates/gateway/src/pending_exchange.rs
@@ -1,4 +1,5 @@
-//! An exchange whose answer has not come, and what becomes of it when nobody waits any more.
+//! [`PendingExchange`]: an exchange whose response has not arrived, and its completion when nothing
+//! waits for it any more.
 
 use std::{
     pin::Pin,
@@ -21,148 +22,156 @@
     endpoint_connection::EndpointConnection,
     endpoint_entry::SlotPhase,
     exchange::EndpointRequest,
-    exchange_end::{
-        AnswerVerdict,
-        ExchangeEnd, //
+    exchange_outcome::{
+        ExchangeOutcome, //
+        ResponseVerdict,
     },
     service_pool::ServicePool,
     slot_lease::SlotLease,
 };
 
-/// The head of an answer, or why there is none.
-pub(crate) type SendOutcome = Result<Response<Incoming>, TrySendError<EndpointRequest>>;
-/// What comes to a [`SendOutcome`].
-pub(crate) type SendFuture = Pin<Box<dyn Future<Output = SendOutcome> + Send>>;
+/// The head of a response, or the reason for which there is none.
+pub(crate) type SendResult = Result<Response<Incoming>, TrySendError<EndpointRequest>>;
+/// A future that resolves to a [`SendResult`].
+pub(crate) type SendFuture = Pin<Box<dyn Future<Output = SendResult> + Send>>;
 
-/// An exchange whose answer's head has not come. If it is dropped, because the caller left, the
-/// time is over or another attempt was faster, the endpoint may still be working on it: a task
-/// then waits for the answer on its behalf and gives the slot back no earlier.
+/// An exchange whose head of the response has not arrived. If it is dropped, because the caller
+/// disconnected, the deadline passed or another attempt was faster, the endpoint may still be
+/// working on it: a task then waits for the response, and releases the slot only after that.
 pub(crate) struct PendingExchange {
-    answer: Option<SendFuture>,
+    response_future: Option<SendFuture>,
     lease: Option<SlotLease>,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
-    suspected: bool,
+    silence_reported: bool,
 }
 
 impl PendingExchange {
     /// Creates the exchange of a request that is being sent.
     pub(crate) fn new(
-        answer: SendFuture,
+        response_future: SendFuture,
         lease: SlotLease,
         connection: EndpointConnection,
         sent_at: Duration,
     ) -> Self {
         Self {
-            answer: Some(answer),
+            response_future: Some(response_future),
             lease: Some(lease),
             connection: Some(connection),
             sent_at,
-            suspected: false,
+            silence_reported: false,
         }
     }
 
-    /// Waits for the answer's head; `None` if the time is over first.
+    /// Waits for the head of the response; returns `None` if the time `remaining` passes first.
     pub(crate) async fn wait(
         mut self,
-        left: Duration,
-    ) -> Option<(SendOutcome, SlotLease, EndpointConnection)> {
-        let answer = self.answer.as_mut()?;
-        let Ok(outcome) = timeout(left, answer).await else {
-            self.suspect();
-            // A request that timed out takes its connection with it.
+        remaining: Duration,
+    ) -> Option<(SendResult, SlotLease, EndpointConnection)> {
+        let response_future = self.response_future.as_mut()?;
+        let Ok(outcome) = timeout(remaining, response_future).await else {
+            self.report_silence();
+            // The connection of a request that timed out is not reused.
             self.connection = None;
             return None;
         };
-        self.answer = None;
+        self.response_future = None;
         Some((outcome, self.lease.take()?, self.connection.take()?))
     }
 
-    /// Makes connections that were quiet for as long as this one suspect, so that the next request
-    /// does not meet the same end.
-    fn suspect(&mut self) {
+    /// Marks connections that were idle for as long as this one as silent, so that the next request
+    /// does not time out on one of them.
+    fn report_silence(&mut self) {
         let Some(lease) = self.lease.as_ref() else {
             return;
         };
         let pool = lease.pool();
         let now = pool.clock.monotonic();
-        if now.saturating_sub(self.sent_at) >= pool.suspicion_time() {
-            pool.suspect(self.sent_at);
-            self.suspected = true;
+        if now.saturating_sub(self.sent_at) >= pool.silence_timeout() {
+            pool.mark_silent_connections(self.sent_at);
+            self.silence_reported = true;
         }
     }
 }
 
 impl Drop for PendingExchange {
     fn drop(&mut self) {
-        let (Some(answer), Some(lease)) = (self.answer.take(), self.lease.take()) else {
+        let (Some(response_future), Some(lease)) = (self.response_future.take(), self.lease.take())
+        else {
             return;
         };
         let Ok(handle) = Handle::try_current() else {
             return;
         };
-        lease.pool().lock().slot(lease.key()).phase = SlotPhase::Stray;
-        let suspicion = (!self.suspected).then_some(self.sent_at);
+        lease.pool().lock().slot(lease.key()).phase = SlotPhase::Abandoned;
+        let unreported_since = (!self.silence_reported).then_some(self.sent_at);
         let connection = self.connection.take();
-        handle.spawn(follow(answer, lease, connection, self.sent_at, suspicion));
+        handle.spawn(await_abandoned(
+            response_future,
+            lease,
+            connection,
+            self.sent_at,
+            unreported_since,
+        ));
     }
 }
 
-/// Waits for the answer of an exchange that was given up, so that its slot is known to be free.
-async fn follow(
-    mut answer: SendFuture,
+/// Waits for the response of an abandoned exchange, until its slot is known to be free.
+async fn await_abandoned(
+    mut response_future: SendFuture,
     lease: SlotLease,
     connection: Option<EndpointConnection>,
     sent_at: Duration,
-    suspicion: Option<Duration>,
+    unreported_since: Option<Duration>,
 ) {
     let pool = Arc::clone(lease.pool());
-    let longest = pool.settings.longest_request;
-    let early = match suspicion {
-        Some(sent_at) => follow_early(&pool, &mut answer, sent_at).await,
+    let longest_request = pool.settings.longest_request;
+    let early_result = match unreported_since {
+        Some(sent_at) => await_until_silent(&pool, &mut response_future, sent_at).await,
         None => None,
     };
-    let (head, connection) = match early {
+    let (head, connection) = match early_result {
         Some(head) => (Ok(head), connection),
-        None => (timeout(longest, answer).await, None),
+        None => (timeout(longest_request, response_future).await, None),
     };
     match head {
-        Err(_) => lease.end(ExchangeEnd::Over),
+        Err(_) => lease.release(ExchangeOutcome::TimedOut),
         Ok(Ok(response)) => {
             let latency = pool.clock.monotonic().saturating_sub(sent_at);
-            drain(response, lease, connection, latency).await;
+            drain_response(response, lease, connection, latency).await;
         }
-        Ok(Err(mut error)) => lease.end(match error.take_message() {
-            Some(_) => ExchangeEnd::Unused { connection: None },
-            None => ExchangeEnd::Unknown,
+        Ok(Err(mut error)) => lease.release(match error.take_message() {
+            Some(_) => ExchangeOutcome::NotSent { connection: None },
+            None => ExchangeOutcome::Unknown,
         }),
     }
 }
 
-/// Waits until the connection counts as silent, and then makes others like it suspect.
-async fn follow_early(
+/// Waits until the connection counts as silent, and then marks others that were idle for as long.
+/// Returns the response if it arrives before.
+async fn await_until_silent(
     pool: &ServicePool,
-    answer: &mut SendFuture,
+    response_future: &mut SendFuture,
     sent_at: Duration,
-) -> Option<SendOutcome> {
-    if let Ok(head) = timeout(pool.suspicion_time(), answer).await {
+) -> Option<SendResult> {
+    if let Ok(head) = timeout(pool.silence_timeout(), response_future).await {
         return Some(head);
     }
-    pool.suspect(sent_at);
+    pool.mark_silent_connections(sent_at);
     None
 }
 
-/// Reads the rest of an answer that nobody wants, and then frees its slot. A connection whose answer
-/// was read in whole can carry the next request.
-pub(crate) async fn drain(
+/// Reads and discards the rest of a response, and then releases its slot. A connection on which the
+/// complete response was read can be reused.
+pub(crate) async fn drain_response(
     response: Response<Incoming>,
     lease: SlotLease,
     connection: Option<EndpointConnection>,
     latency: Duration,
 ) {
-    let longest = lease.pool().settings.longest_request;
+    let longest_request = lease.pool().settings.longest_request;
     let mut body = response.into_body();
-    let whole = timeout(longest, async {
+    let read_to_end = timeout(longest_request, async {
         while let Some(frame) = body.frame().await {
             if frame.is_err() {
                 return false;
@@ -170,23 +179,24 @@
         }
         true
     });
-    let end = match whole.await {
-        Ok(true) => ExchangeEnd::Answered {
+    let outcome = match read_to_end.await {
+        Ok(true) => ExchangeOutcome::Answered {
             latency,
-            verdict: AnswerVerdict::Good,
-            connection: heard_now(connection, &lease),
+            verdict: ResponseVerdict::Good,
+            connection: mark_received(connection, &lease),
         },
-        Ok(false) => ExchangeEnd::Unknown,
-        Err(_) => ExchangeEnd::Over,
+        Ok(false) => ExchangeOutcome::Unknown,
+        Err(_) => ExchangeOutcome::TimedOut,
     };
-    lease.end(end);
+    lease.release(outcome);
 }
 
-fn heard_now(
+/// Sets the time of the last receipt to now, and drops a closed connection.
+fn mark_received(
     connection: Option<EndpointConnection>,
     lease: &SlotLease,
 ) -> Option<EndpointConnection> {
     let mut connection = connection.filter(EndpointConnection::is_open)?;
-    connection.last_heard = lease.pool().clock.monotonic();
+    connection.last_received_at = lease.pool().clock.monotonic();
     Some(connection)
 }
--- a/crates/gateway/src/pool_keeper.rs
+++ b/crates/gateway/src/pool_updater.rs
@@ -1,4 +1,4 @@
-//! Keeps the pools in step with the configuration, the VM list and the held shares.
+//! [`PoolUpdater`]: updates the pools by the configuration, the VM list and the held shares.
 
 use std::{
     net::SocketAddr,
@@ -28,7 +28,7 @@
 
 use crate::{
     endpoint_entry::EndpointEntry,
-    gateway_shared::GatewayShared,
+    gateway_state::GatewayState,
     pool_refresh::{
         HeldShares,
         refresh_pool, //
@@ -39,72 +39,74 @@
     slot_key::EndpointKey, //
 };
 
-/// How often every slot is looked at when no share changed: for slots whose time is over, endpoints
-/// that were left alone, and connections that were idle for long.
-const FULL_LOOK_EVERY: Duration = Duration::from_millis(250);
+/// How often all slots are refreshed if no share changed: for slots that become usable with time,
+/// backoffs that end, and connections that were idle for too long.
+const FULL_REFRESH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Why the pools are looked at.
+/// Why the pools are updated.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum KeeperMessage {
+pub(crate) enum PoolUpdaterMessage {
     /// The configuration changed.
     Configuration,
     /// The VM list changed.
     Vms,
-    /// Time went by.
+    /// The refresh interval has passed.
     Tick,
 }
 
-/// Keeps the pools in step with the configuration, the VM list and the held shares.
-pub(crate) struct PoolKeeper;
+/// An actor that updates the pools by the configuration, the VM list and the held shares.
+pub(crate) struct PoolUpdater;
 
-/// What the keeper works with.
+/// The state of the [`PoolUpdater`].
 #[derive(Clone)]
-pub(crate) struct KeeperState {
-    /// The pools.
-    pub(crate) shared: Arc<GatewayShared>,
+pub(crate) struct PoolUpdaterState {
+    /// The shared state with the pools.
+    pub(crate) shared: Arc<GatewayState>,
     /// The configuration in force.
     pub(crate) configuration: watch::Receiver<Arc<Configuration>>,
-    /// The latest reading of the VM list.
+    /// The latest snapshot of the VM list.
     pub(crate) vms: watch::Receiver<Arc<VmSnapshot>>,
-    /// The shares as of the last look at every slot.
-    pub(crate) seen: HeldShares,
-    /// When every slot was last looked at.
-    pub(crate) looked_at: Duration,
+    /// The held shares as of the last refresh of all slots.
+    pub(crate) last_held_shares: HeldShares,
+    /// When all slots were last refreshed, on the monotonic clock.
+    pub(crate) last_full_refresh: Duration,
 }
 
-impl Actor for PoolKeeper {
-    type Msg = KeeperMessage;
-    type State = KeeperState;
-    type Arguments = KeeperState;
+impl Actor for PoolUpdater {
+    type Msg = PoolUpdaterMessage;
+    type State = PoolUpdaterState;
+    type Arguments = PoolUpdaterState;
 
     async fn pre_start(
         &self,
-        myself: ActorRef<KeeperMessage>,
-        state: KeeperState,
-    ) -> Result<KeeperState, ActorProcessingErr> {
-        forward(
+        myself: ActorRef<PoolUpdaterMessage>,
+        state: PoolUpdaterState,
+    ) -> Result<PoolUpdaterState, ActorProcessingErr> {
+        forward_changes(
             state.configuration.clone(),
             myself.clone(),
-            KeeperMessage::Configuration,
+            PoolUpdaterMessage::Configuration,
         );
-        forward(state.vms.clone(), myself.clone(), KeeperMessage::Vms);
-        myself.send_interval(state.shared.settings.refresh_every, || KeeperMessage::Tick);
+        forward_changes(state.vms.clone(), myself.clone(), PoolUpdaterMessage::Vms);
+        myself.send_interval(state.shared.settings.refresh_interval, || {
+            PoolUpdaterMessage::Tick
+        });
         Ok(state)
     }
 
     async fn handle(
         &self,
-        _myself: ActorRef<KeeperMessage>,
-        message: KeeperMessage,
-        state: &mut KeeperState,
+        _myself: ActorRef<PoolUpdaterMessage>,
+        message: PoolUpdaterMessage,
+        state: &mut PoolUpdaterState,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            KeeperMessage::Configuration => {
+            PoolUpdaterMessage::Configuration => {
                 state.set_routes();
                 state.set_endpoints();
             }
-            KeeperMessage::Vms => state.set_endpoints(),
-            KeeperMessage::Tick => {
+            PoolUpdaterMessage::Vms => state.set_endpoints(),
+            PoolUpdaterMessage::Tick => {
                 state.refresh_if_due();
                 return Ok(());
             }
@@ -114,25 +116,26 @@
     }
 }
 
-/// Tells the keeper of each change; ends when the channel closes or the keeper is gone.
-fn forward<Value>(
+/// Sends a message to the updater for each change. Ends when the channel closes or the updater
+/// stops.
+fn forward_changes<Value>(
     mut changes: watch::Receiver<Value>,
-    keeper: ActorRef<KeeperMessage>,
-    message: KeeperMessage,
+    pool_updater: ActorRef<PoolUpdaterMessage>,
+    message: PoolUpdaterMessage,
 ) where
     Value: Send + Sync + 'static,
 {
     tokio::spawn(async move {
         while changes.changed().await.is_ok() {
-            if keeper.cast(message).is_err() {
+            if pool_updater.cast(message).is_err() {
                 return;
             }
         }
     });
 }
 
-impl KeeperState {
-    /// Puts the configuration's routes in force.
+impl PoolUpdaterState {
+    /// Applies the routes of the configuration.
     pub(crate) fn set_routes(&mut self) {
         let configuration = Arc::clone(&self.configuration.borrow_and_update());
         let table = RouteTable::new(&configuration);
@@ -142,31 +145,33 @@
         self.shared.set_routes(routes);
     }
 
-    /// Opens and closes endpoints by the VM list and the failure domains.
+    /// Opens and closes endpoints according to the VM list and the states of the failure domains.
     pub(crate) fn set_endpoints(&mut self) {
         let configuration = Arc::clone(&self.configuration.borrow());
         let snapshot = Arc::clone(&self.vms.borrow_and_update());
         let pools = self.shared.pools();
         for pool in &pools {
-            let foreign = addresses_in_use(&pools, pool);
-            let executors = snapshot.vms.iter().filter_map(|vm| executor_of(vm, pool));
-            let listed: IndexSet<_> = executors.map(|executor| executor.address).collect();
+            let addresses_in_other_pools = addresses_in_use(&pools, pool);
+            let executors = snapshot.vms.iter().filter_map(|vm| executor_for(vm, pool));
+            let listed_addresses: IndexSet<_> =
+                executors.map(|executor| executor.address).collect();
             let mut state = pool.lock();
             for entry in &mut state.endpoints {
                 entry.open = false;
             }
             for vm in &snapshot.vms {
-                let Some(executor) = executor_of(vm, pool) else {
+                let Some(executor) = executor_for(vm, pool) else {
                     continue;
                 };
-                if !foreign.contains(&executor.address) {
+                if !addresses_in_other_pools.contains(&executor.address) {
                     self.set_endpoint(&mut state, vm, executor, &configuration);
                 }
             }
-            state.retire_unlisted(|address| listed.contains(address));
+            state.retire_unlisted(|address| listed_addresses.contains(address));
         }
     }
 
+    /// Adds or updates the endpoint of a VM.
     fn set_endpoint(
         &self,
         state: &mut PoolState,
@@ -176,56 +181,62 @@
     ) {
         let settings = &self.shared.settings;
         let key = endpoint_key(state, executor, settings.slot_shares);
-        let near = vm.domain == settings.domain;
-        let distance = match near {
+        let in_own_domain = vm.domain == settings.domain;
+        let round_trip_time = match in_own_domain {
             true => Duration::ZERO,
-            false => settings.domain_distance,
+            false => settings.cross_domain_round_trip_time,
         };
         let entry = state.entry(key);
-        let domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
-        entry.open = vm.state == VmState::Live && domain_in;
-        entry.score = entry.score.with_round_trip_time(distance);
+        let is_domain_in = configuration.domain_state(&vm.domain) == DomainState::In;
+        entry.open = vm.state == VmState::Live && is_domain_in;
+        entry.score = entry.score.with_round_trip_time(round_trip_time);
         entry.set_connections(executor.connections);
     }
 
-    /// Looks at every slot if the held shares changed, or if it is time for the clock's sake. Looking
-    /// at all of them at each tick took 5.4% of a core at 8,900 endpoints.
+    /// Refreshes all slots if the held shares changed, a request found them outdated, or a full
+    /// refresh is due. Refreshing all of them at each tick took 5.4% of a core at 8,900 endpoints.
     fn refresh_if_due(&mut self) {
         let held = self.shared.held_shares();
-        let due = self.looked_at + FULL_LOOK_EVERY <= self.shared.clock.monotonic();
-        if due || held != self.seen || self.shared.outdated.swap(false, Ordering::Relaxed) {
+        let is_due =
+            self.last_full_refresh + FULL_REFRESH_INTERVAL <= self.shared.clock.monotonic();
+        if is_due
+            || held != self.last_held_shares
+            || self.shared.refresh_requested.swap(false, Ordering::Relaxed)
+        {
             self.refresh_with(held);
         }
     }
 
-    /// Looks at the held shares and the clock, frees slots whose time is over, and lets waiting
-    /// requests go on.
+    /// Refreshes all slots by the held shares and the clock, and assigns free slots to waiting
+    /// requests.
     pub(crate) fn refresh(&mut self) {
         let held = self.shared.held_shares();
         self.refresh_with(held);
     }
 
+    /// Refreshes all slots by these held shares.
     fn refresh_with(&mut self, held: HeldShares) {
         let now = self.shared.clock.monotonic();
         for pool in self.shared.pools() {
             refresh_pool(&pool, &held, now);
-            pool.hand_over();
+            pool.assign_free_slots();
         }
-        self.shared.idle.notify_waiters();
-        self.seen = held;
-        self.looked_at = now;
+        self.shared.slot_idle.notify_waiters();
+        self.last_held_shares = held;
+        self.last_full_refresh = now;
     }
 }
 
-/// Returns the endpoint of a service on a VM.
-fn executor_of<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
+/// Returns the endpoint of the service of a pool on a VM.
+fn executor_for<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
     vm.executor
         .as_ref()
         .filter(|executor| executor.service == pool.service)
 }
 
-/// Returns the addresses at which another service's requests are still in progress: a VM made anew
-/// may serve another service at an address of old, whose slots two pools must not count twice.
+/// Returns the addresses at which requests of other services are still in progress. A recreated VM
+/// may serve another service at an address that was used before, whose slots two pools must not
+/// count twice.
 fn addresses_in_use(pools: &[Arc<ServicePool>], own: &Arc<ServicePool>) -> IndexSet<SocketAddr> {
     let others = pools.iter().filter(|pool| !Arc::ptr_eq(pool, own));
     let mut addresses = IndexSet::new();
@@ -237,6 +248,7 @@
     addresses
 }
 
+/// Returns the key of an endpoint, which is resized or added as needed.
 fn endpoint_key(state: &mut PoolState, executor: &ExecutorRecord, shares: u16) -> EndpointKey {
     if let Some(key) = state.by_address.get(&executor.address).copied() {
         state.entry(key).resize(executor.slots, shares);
--- a/crates/gateway/src/request_trace.rs
+++ b/crates/gateway/src/request_trace.rs
@@ -1,4 +1,4 @@
-//! The spans of a request: one for each hop.
+//! The trace spans of a request, one for each hop.
 
 use http::{
     HeaderMap,
@@ -22,21 +22,23 @@
     },
 };
 
-const TRACER: &str = "jasminebend";
-const PARENT: HeaderName = HeaderName::from_static("traceparent");
+const TRACER_NAME: &str = "jasminebend";
+const TRACEPARENT: HeaderName = HeaderName::from_static("traceparent");
 
-/// The spans of a request: `gateway.request` from its arrival to its answer's head, and below it
-/// `gateway.queue` and one `gateway.attempt` for each time that it is sent.
+/// The trace spans of a request: `gateway.request` from its arrival to the head of its response,
+/// and as its children `gateway.queue` and one `gateway.attempt` for each time that the request is
+/// sent.
 pub(crate) struct RequestTrace {
     tracer: BoxedTracer,
     span: BoxedSpan,
 }
 
 impl RequestTrace {
-    /// Begins a request's trace, below the caller's if it sent one (W3C Trace Context).
-    pub(crate) fn begin(headers: &HeaderMap, class: &str) -> Self {
-        let tracer = global::tracer(TRACER);
-        let parent = match parent_of(headers) {
+    /// Starts the span of a request, as a child of the span of the caller if it sent one (W3C Trace
+    /// Context).
+    pub(crate) fn start(headers: &HeaderMap, class: &str) -> Self {
+        let tracer = global::tracer(TRACER_NAME);
+        let parent = match parent_context(headers) {
             Some(parent) => Context::new().with_remote_span_context(parent),
             None => Context::new(),
         };
@@ -48,14 +50,19 @@
         Self { tracer, span }
     }
 
-    /// Begins the span of the wait for a slot.
-    pub(crate) fn queue(&self) -> BoxedSpan {
-        self.child("gateway.queue", SpanKind::Internal)
+    /// Starts the span of the wait for a slot.
+    pub(crate) fn start_queue_span(&self) -> BoxedSpan {
+        self.child_span("gateway.queue", SpanKind::Internal)
     }
 
-    /// Begins the span of an attempt, and has the endpoint's own spans stand below it.
-    pub(crate) fn attempt(&self, endpoint: String, headers: &mut HeaderMap) -> BoxedSpan {
-        let mut span = self.child("gateway.attempt", SpanKind::Client);
+    /// Starts the span of an attempt, and sets `traceparent` so that the spans of the endpoint
+    /// become its children.
+    pub(crate) fn start_attempt_span(
+        &self,
+        endpoint: String,
+        headers: &mut HeaderMap,
+    ) -> BoxedSpan {
+        let mut span = self.child_span("gateway.attempt", SpanKind::Client);
         span.set_attribute(KeyValue::new("endpoint", endpoint));
         let context = span.span_context();
         if context.is_valid() {
@@ -66,13 +73,13 @@
                 context.trace_flags().to_u8()
             );
             if let Ok(value) = HeaderValue::try_from(text) {
-                headers.insert(PARENT, value);
+                headers.insert(TRACEPARENT, value);
             }
         }
         span
     }
 
-    /// Ends the request's span.
+    /// Ends the span of the request with the status of its response.
     pub(crate) fn end(mut self, status: u16) {
         let status = i64::from(status);
         self.span
@@ -80,9 +87,9 @@
         self.span.end();
     }
 
-    fn child(&self, name: &'static str, kind: SpanKind) -> BoxedSpan {
-        let own = self.span.span_context().clone();
-        let parent = Context::new().with_remote_span_context(own);
+    fn child_span(&self, name: &'static str, kind: SpanKind) -> BoxedSpan {
+        let own_context = self.span.span_context().clone();
+        let parent = Context::new().with_remote_span_context(own_context);
         self.tracer
             .span_builder(name)
             .with_kind(kind)
@@ -90,9 +97,9 @@
     }
 }
 
-/// Reads `traceparent`; one that is malformed counts as none.
-fn parent_of(headers: &HeaderMap) -> Option<SpanContext> {
-    let text = headers.get(PARENT)?.to_str().ok()?;
+/// Parses `traceparent`; a malformed one is ignored.
+fn parent_context(headers: &HeaderMap) -> Option<SpanContext> {
+    let text = headers.get(TRACEPARENT)?.to_str().ok()?;
     let mut parts = text.split('-');
     let (version, trace, span, flags) =
         (parts.next()?, parts.next()?, parts.next()?, parts.next()?);
--- a/crates/gateway/src/slot_lease.rs
+++ b/crates/gateway/src/slot_lease.rs
@@ -1,4 +1,4 @@
-//! A slot that a request holds.
+//! [`SlotLease`]: a slot that a request occupies.
 
 use std::{
     net::SocketAddr,
@@ -13,26 +13,28 @@
 
 use crate::{
     endpoint_connection::EndpointConnection,
-    exchange_end::ExchangeEnd,
+    exchange_outcome::ExchangeOutcome,
     service_pool::ServicePool,
     slot_key::SlotKey, //
 };
 
-/// A slot that a request holds. Dropping it gives the slot back: free if nothing was sent, and as
-/// of unknown fate otherwise, so that no way out of the code can free a slot too early.
+/// A slot that a request occupies. Dropping it releases the slot: as free if nothing was sent, and
+/// otherwise as one of unknown outcome, so that no code path can free a slot too early.
 pub(crate) struct SlotLease {
-    /// The endpoint's address.
+    /// The address of the endpoint.
     pub(crate) address: SocketAddr,
-    /// The share that the slot belongs to, and the epoch under which it was picked.
+    /// The share of the slot, and the epoch under which the slot was picked.
     pub(crate) grant: (ResourceId, OwnerEpoch),
-    /// The slot's connection, if one was open.
+    /// The connection of the slot, if one was open.
     pub(crate) connection: Option<EndpointConnection>,
-    /// Whether something may have been sent.
+    /// Whether a part of the request may have been sent.
     pub(crate) sent: bool,
     pool: Arc<ServicePool>,
     key: SlotKey,
-    taken_at: Duration,
-    held: bool,
+    /// When the slot was taken, on the monotonic clock.
+    acquired_at: Duration,
+    /// Whether the slot is not yet released.
+    is_held: bool,
 }
 
 impl SlotLease {
@@ -49,52 +51,53 @@
             grant,
             connection,
             sent: false,
-            taken_at: pool.clock.monotonic(),
+            acquired_at: pool.clock.monotonic(),
             pool,
             key,
-            held: true,
+            is_held: true,
         }
     }
 
-    /// Returns the pool that the slot is of.
+    /// Returns the pool of the slot.
     pub(crate) fn pool(&self) -> &Arc<ServicePool> {
         &self.pool
     }
 
-    /// Returns the slot's key.
+    /// Returns the key of the slot.
     pub(crate) fn key(&self) -> SlotKey {
         self.key
     }
 
-    /// Gives the slot back.
-    pub(crate) fn end(mut self, end: ExchangeEnd) {
-        self.held = false;
-        self.settle(end);
+    /// Releases the slot with the outcome of its exchange.
+    pub(crate) fn release(mut self, outcome: ExchangeOutcome) {
+        self.is_held = false;
+        self.settle(outcome);
     }
 
-    fn settle(&self, end: ExchangeEnd) {
-        let held = self.pool.clock.monotonic().saturating_sub(self.taken_at);
-        self.pool.settle(self.key, end, held);
+    fn settle(&self, outcome: ExchangeOutcome) {
+        let is_held = self.pool.clock.monotonic().saturating_sub(self.acquired_at);
+        self.pool.release_slot(self.key, outcome, is_held);
     }
 
-    /// Forgets the lease; whoever calls this gives the slot back by other means.
-    pub(crate) fn forget(mut self) -> Option<EndpointConnection> {
-        self.held = false;
+    /// Returns the connection and drops the lease without releasing the slot; the caller must
+    /// return the slot to the pool.
+    pub(crate) fn into_connection(mut self) -> Option<EndpointConnection> {
+        self.is_held = false;
         self.connection.take()
     }
 }
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        if !self.held {
+        if !self.is_held {
             return;
         }
-        let end = match self.sent {
-            true => ExchangeEnd::Unknown,
-            false => ExchangeEnd::Unused {
+        let outcome = match self.sent {
+            true => ExchangeOutcome::Unknown,
+            false => ExchangeOutcome::NotSent {
                 connection: self.connection.take(),
             },
         };
-        self.settle(end);
+        self.settle(outcome);
     }
 }
--- /dev/null
+++ b/crates/gateway/tests/requests/resource_limits.rs
@@ -0,0 +1,167 @@
+//! Memory and slots are limited, whatever callers do.
+
+use std::time::Duration;
+
+use tokio::io::{
+    AsyncReadExt,
+    AsyncWriteExt, //
+};
+
+use crate::support::{
+    EndpointAction,
+    GatewayBuilder,
+    ScriptedEndpoint,
+    open_and_send,
+    send_raw,
+    send_request,
+    wait_until_answered, //
+};
+
+const TIMEOUT: Duration = Duration::from_millis(200);
+
+// Callers open ever more connections. Those beyond the limit are refused at once.
+#[tokio::test]
+async fn callers_beyond_the_limit_are_rejected() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let builder = GatewayBuilder::new().with_endpoint(&endpoint, 4);
+    let gateway = builder
+        .with_settings(|settings| settings.with_caller_and_queue_limits(3, 10))
+        .start()
+        .await;
+    let mut held_streams = Vec::new();
+    for _ in 0..3 {
+        held_streams
+            .push(open_and_send(gateway.address, "GET /a HTTP/1.1\r\nhost: shop\r\n\r\n").await);
+    }
+    for stream in &mut held_streams {
+        stream.read_exact(&mut [0; 8]).await.unwrap();
+    }
+    let refused = send_raw(gateway.address, "").await;
+    assert_eq!((refused.status, refused.executed()), (503, Some("no")));
+    drop(held_streams);
+    wait_until_answered(async || gateway.get("/b").await).await;
+}
+
+// A caller sends its head byte by byte, or never completes its body. Neither occupies a slot.
+#[tokio::test]
+async fn slow_callers_hold_no_slot_and_are_disconnected() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
+    let gateway = builder
+        .with_settings(|settings| {
+            settings
+                .with_caller_timeouts(Duration::from_secs(3600), TIMEOUT)
+                .with_body_stall_timeout(TIMEOUT)
+        })
+        .start()
+        .await;
+    let slow_head = open_and_send(gateway.address, "POST /a HTTP/1.1\r\nho").await;
+    let head = "POST /a HTTP/1.1\r\nhost: shop\r\ncontent-length: 9\r\n\r\nab";
+    let slow_body = open_and_send(gateway.address, head).await;
+    assert_eq!(gateway.post("b").await.status, 200);
+    for mut stream in [slow_head, slow_body] {
+        let mut got = String::new();
+        stream.read_to_string(&mut got).await.ok();
+        assert!(got.is_empty() || got.starts_with("HTTP/1.1 408"), "{got}");
+    }
+    assert_eq!(endpoint.request_count(), 1);
+}
+
+// Many callers begin a body and do not complete it. Their bodies are buffered in memory: beyond the
+// limit further requests are refused before memory is used for them.
+#[tokio::test]
+async fn the_bodies_buffered_in_memory_are_limited() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
+    let gateway = builder
+        .with_settings(|settings| settings.with_max_buffered_bytes(1000))
+        .start()
+        .await;
+    let head = "POST /a HTTP/1.1\r\nhost: shop\r\ncontent-length: 900\r\n\r\nab";
+    let held_streams = open_and_send(gateway.address, head).await;
+    let body = "x".repeat(900);
+    let refused = loop {
+        let reply = send_request(gateway.address, "POST /b", "", &body).await;
+        if reply.status != 200 {
+            break reply;
+        }
+    };
+    assert_eq!(
+        (refused.status, refused.reason()),
+        (503, Some("memory_full"))
+    );
+    assert_eq!(gateway.get("/c").await.status, 200);
+    drop(held_streams);
+    wait_until_answered(async || send_request(gateway.address, "POST /b", "", &body).await).await;
+}
+
+// A caller reads nothing of a large response. It is disconnected, and the response is not buffered
+// in memory meanwhile: the endpoint is slowed down by backpressure.
+#[tokio::test]
+async fn a_caller_that_reads_nothing_is_disconnected() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let large = "x".repeat(64 << 20);
+    let text = format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{large}",
+        large.len()
+    );
+    endpoint.push_action(EndpointAction::Raw(text.leak()));
+    let builder = GatewayBuilder::new().with_endpoint(&endpoint, 1);
+    let gateway = builder
+        .with_settings(|settings| settings.with_body_stall_timeout(TIMEOUT))
+        .start()
+        .await;
+    let mut caller = open_and_send(gateway.address, "GET /a HTTP/1.1\r\nhost: shop\r\n\r\n").await;
+    tokio::time::sleep(4 * TIMEOUT).await;
+    let mut got = Vec::new();
+    caller.read_to_end(&mut got).await.ok();
+    assert!(got.len() < large.len() / 2, "{} bytes", got.len());
+}
+
+// Bodies and heads are larger than allowed, with or without a declared length.
+#[tokio::test]
+async fn oversized_heads_and_bodies_are_rejected() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let builder = GatewayBuilder::new().with_endpoint(&endpoint, 8);
+    let gateway = builder
+        .with_settings(|settings| settings.with_size_limits(8 * 1024, 1000, 100))
+        .start()
+        .await;
+    let reply = send_request(gateway.address, "POST /a", "", &"x".repeat(1001)).await;
+    assert_eq!((reply.status, reply.executed()), (413, Some("no")));
+    let chunked = format!(
+        "POST /a HTTP/1.1\r\nhost: shop\r\ntransfer-encoding: chunked\r\n\r\n7d0\r\n{}\r\n0\r\n\r\n",
+        "x".repeat(2000)
+    );
+    let reply = send_raw(gateway.address, &chunked).await;
+    assert_eq!((reply.status, reply.executed()), (413, Some("unknown")));
+    let header = format!("x: {}\r\n", "y".repeat(20 * 1024));
+    let reply = send_request(gateway.address, "GET /a", &header, "").await;
+    assert_eq!((reply.status, reply.executed()), (431, Some("no")));
+    assert_eq!(reply.reason(), Some("head_too_large"));
+    let whole = send_request(gateway.address, "POST /a", "", &"x".repeat(1000)).await;
+    assert_eq!(whole.status, 200);
+}
+
+// A caller that sends `Expect: 100-continue` is asked to continue only if its body is accepted.
+#[tokio::test]
+async fn continue_is_sent_only_if_the_body_is_accepted() {
+    let endpoint = ScriptedEndpoint::start().await;
+    let gateway = GatewayBuilder::new()
+        .with_endpoint(&endpoint, 8)
+        .start()
+        .await;
+    let head =
+        "host: shop\r\nexpect: 100-continue\r\ncontent-length: 2\r\nconnection: close\r\n\r\n";
+    let mut caller = open_and_send(gateway.address, &format!("POST /a HTTP/1.1\r\n{head}")).await;
+    let mut interim_response = [0; 12];
+    caller.read_exact(&mut interim_response).await.unwrap();
+    assert_eq!(&interim_response, b"HTTP/1.1 100");
+    caller.write_all(b"ok").await.unwrap();
+    let mut got = String::new();
+    caller.read_to_string(&mut got).await.unwrap();
+    assert!(got.contains("HTTP/1.1 200"), "{got}");
+    let refused = send_raw(gateway.address, &format!("POST /../a HTTP/1.1\r\n{head}")).await;
+    assert_eq!(refused.status, 400);
+    assert!(!endpoint.log().request_heads[0].contains("expect"));
+}
