--- a/crates/planner/benches/shard/quick_workers.rs
+++ b/crates/planner/benches/shard/in_memory_workers.rs
@@ -1,4 +1,4 @@
-//! Workers that cost next to nothing, so that what is measured is the planner.
+//! In-memory workers that use little processor time, so that the benchmark measures the planner.
 
 use std::{
     net::SocketAddr,
@@ -33,28 +33,31 @@
 };
 
 #[derive(Default)]
-struct QuickWorker {
+/// A worker's runs, each with the time at which it ends.
+struct InMemoryWorker {
     runs: IndexMap<TaskAttempt, (Duration, WorkerTask)>,
 }
 
-/// What was counted.
+/// Counts of the calls to all workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct QuickCounts {
+pub(crate) struct WorkerCallCounts {
     pub(crate) starts: u64,
     pub(crate) reports: u64,
     pub(crate) report_bytes: u64,
+    /// Time of the first start since the last reset.
     pub(crate) first_start: Option<Duration>,
 }
 
-/// Workers that run each task for a fixed time and report the use of as many as they may.
-pub(crate) struct QuickWorkers {
+/// Workers that run each task for a fixed time and report the usage of as many runs as the limit
+/// allows.
+pub(crate) struct InMemoryWorkers {
     clock: Arc<dyn ClockSource>,
     run_time: Duration,
-    workers: Mutex<IndexMap<SocketAddr, QuickWorker>>,
-    counts: Mutex<QuickCounts>,
+    workers: Mutex<IndexMap<SocketAddr, InMemoryWorker>>,
+    counts: Mutex<WorkerCallCounts>,
 }
 
-impl QuickWorkers {
+impl InMemoryWorkers {
     pub(crate) fn new(clock: Arc<dyn ClockSource>, run_time: Duration) -> Self {
         Self {
             clock,
@@ -64,7 +67,7 @@
         }
     }
 
-    pub(crate) fn counts(&self) -> QuickCounts {
+    pub(crate) fn counts(&self) -> WorkerCallCounts {
         *self.counts.lock().unwrap()
     }
 
@@ -84,11 +87,13 @@
         let mut workers = self.workers.lock().unwrap();
         let worker = workers.entry(worker).or_default();
         let runs = worker.runs.values();
-        runs.map(|(ends, task)| told(*ends, task, now)).collect()
+        runs.map(|(ends, task)| report_at(*ends, task, now))
+            .collect()
     }
 }
 
-fn told(ends: Duration, task: &WorkerTask, now: Duration) -> WorkerTask {
+/// Returns a run as reported at `now`: finished once its end has passed.
+fn report_at(ends: Duration, task: &WorkerTask, now: Duration) -> WorkerTask {
     let mut task = task.clone();
     if ends <= now {
         let result = "done".to_owned();
@@ -98,7 +103,7 @@
 }
 
 #[async_trait]
-impl WorkerPort for QuickWorkers {
+impl WorkerPort for InMemoryWorkers {
     async fn adopt(
         &self,
         worker: SocketAddr,
@@ -130,7 +135,7 @@
             running: u32::try_from(running.len()).unwrap(),
             ended: ended
                 .iter()
-                .map(|(ends, task)| told(*ends, task, now))
+                .map(|(ends, task)| report_at(*ends, task, now))
                 .collect(),
             usage: running
                 .iter()
--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -1,12 +1,12 @@
-//! A whole shard at growing size, on a paused clock: processor time for each second of planning,
-//! commits and rows, bytes of reports, memory, and the time from a planner's death to the first start
-//! by its successor.
+//! Measures a whole shard with 50 to 2,600 workers on a paused clock: processor time per second of
+//! planning, commits and rows, report bytes, memory, and the time from a planner's end to the
+//! first start by its successor.
 //!
 //! `cargo bench -p jasminebend-planner --bench shard`
 
-#![expect(clippy::unwrap_used, reason = "a bench that cannot run tells so")]
+#![expect(clippy::unwrap_used, reason = "a benchmark that cannot run panics")]
 
-mod quick_workers;
+mod in_memory_workers;
 
 use std::{
     fs,
@@ -52,12 +52,13 @@
     time::sleep, //
 };
 
-use crate::quick_workers::QuickWorkers;
+use crate::in_memory_workers::InMemoryWorkers;
 
-/// Tasks of 80 s, of which each worker holds 23: 61,000 run on 2,600 workers, and 770 start each
-/// second.
-const RUN_TIME: Duration = Duration::from_secs(80);
-const MEASURED: Duration = Duration::from_secs(60);
+/// Run time of a task. Each worker holds 23 tasks, so 2,600 workers run 61,000 tasks and start 770
+/// per second.
+const TASK_RUN_TIME: Duration = Duration::from_secs(80);
+/// Length of the measured period.
+const MEASUREMENT_TIME: Duration = Duration::from_secs(60);
 
 fn main() {
     spdlog::default_logger().set_level_filter(LevelFilter::Off);
@@ -73,10 +74,11 @@
     }
 }
 
+/// The dependencies of the planners under measurement, which the stand-ins provide.
 struct ShardBench {
     clock: Arc<dyn ClockSource>,
     table: TableStandIn,
-    workers: Arc<QuickWorkers>,
+    workers: Arc<InMemoryWorkers>,
     configuration: watch::Sender<Arc<Configuration>>,
     vms: watch::Sender<Arc<VmSnapshot>>,
 }
@@ -86,11 +88,11 @@
         let clock: Arc<dyn ClockSource> = Arc::new(SystemClock::new());
         let vms = VmSnapshot {
             revision: 1,
-            vms: (0..workers).map(record).collect(),
+            vms: (0..workers).map(vm_record).collect(),
         };
         Self {
             table: TableStandIn::new(),
-            workers: Arc::new(QuickWorkers::new(Arc::clone(&clock), RUN_TIME)),
+            workers: Arc::new(InMemoryWorkers::new(Arc::clone(&clock), TASK_RUN_TIME)),
             clock,
             configuration: watch::channel(Arc::new(configuration())).0,
             vms: watch::channel(Arc::new(vms)).0,
@@ -100,7 +102,7 @@
     async fn planner(&self, epoch: u64, objects: &ObjectStandIn) -> PlannerHandle {
         let shard = ResourceId::Shard(0);
         let ownership = FixedOwnership::new().with_held(shard, OwnerEpoch(epoch));
-        let edges = PlannerEdges {
+        let dependencies = PlannerEdges {
             ownership: Arc::new(ownership),
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -110,34 +112,35 @@
             clock: Arc::clone(&self.clock),
             seed: epoch,
         };
-        PlannerHandle::start(PlannerSettings::new(1), edges).await
+        PlannerHandle::start(PlannerSettings::new(1), dependencies).await
     }
 }
 
+/// Runs a shard with this many workers, replaces its planner, and prints the figures.
 async fn measure(workers: usize) {
     let bench = ShardBench::new(workers);
     let objects = ObjectStandIn::new();
     let before = resident_mb();
     let planner = bench.planner(1, &objects).await;
-    submit(&planner, workers).await;
-    // Let it fill and spread out, so that tasks end at all times.
-    sleep(RUN_TIME * 2).await;
+    submit_jobs(&planner, workers).await;
+    // Wait until all workers are full and tasks end at evenly spread times.
+    sleep(TASK_RUN_TIME * 2).await;
     let (counts, table) = (bench.workers.counts(), bench.table.faults().counts());
     let began = Instant::now();
-    sleep(MEASURED).await;
-    let busy = began.elapsed().as_secs_f64() / MEASURED.as_secs_f64();
+    sleep(MEASUREMENT_TIME).await;
+    let busy = began.elapsed().as_secs_f64() / MEASUREMENT_TIME.as_secs_f64();
     let (counts_after, table_after) = (bench.workers.counts(), bench.table.faults().counts());
-    let seconds = MEASURED.as_secs_f64();
+    let seconds = MEASUREMENT_TIME.as_secs_f64();
     let rate = |before: u64, after: u64| (after - before) as f64 / seconds;
     let running = bench.workers.running();
     let resident = resident_mb() - before;
     drop(planner);
-    let died = bench.clock.monotonic();
+    let crashed_at = bench.clock.monotonic();
     bench.workers.reset_first_start();
     let began = Instant::now();
     let successor = bench.planner(2, &objects).await;
-    // Every worker is full but for what this one takes.
-    let mut spec = spec(0);
+    // Every worker has just enough free capacity for this task.
+    let mut spec = job_spec(0);
     spec.size = ResourceAmount::new(100, 100);
     successor.submit(spec).await.unwrap();
     sleep(Duration::from_secs(30)).await;
@@ -150,33 +153,33 @@
         rate(table.rows, table_after.rows),
         rate(table.bytes, table_after.bytes) / 1024.0,
         rate(counts.report_bytes, counts_after.report_bytes) / workers as f64,
-        first.map(|time| time - died),
+        first.map(|time| time - crashed_at),
         began.elapsed().as_secs_f64() * 1000.0,
     );
 }
 
-/// Submits the tasks that run, those that start while it is measured, and a queue of 17,000 jobs at
-/// full size.
-async fn submit(planner: &PlannerHandle, workers: usize) {
+/// Submits enough jobs for the running tasks, those that start during the measurement, and a queue;
+/// at 2,600 workers that is 17,000 jobs.
+async fn submit_jobs(planner: &PlannerHandle, workers: usize) {
     let jobs = workers * 17_000 / 2_600;
     for index in 0..jobs {
-        planner.submit(spec(index)).await.unwrap();
+        planner.submit(job_spec(index)).await.unwrap();
     }
 }
 
-fn spec(index: usize) -> JobSpec {
+fn job_spec(index: usize) -> JobSpec {
     JobSpec {
         team: "team".into(),
         class: format!("class-{}", index % 20).as_str().into(),
         tasks: 16,
         size: ResourceAmount::new(2_700, 8_000),
         payload: "run".to_owned(),
-        run_time: Some(RUN_TIME),
+        run_time: Some(TASK_RUN_TIME),
         key: None,
     }
 }
 
-fn record(place: usize) -> VmRecord {
+fn vm_record(place: usize) -> VmRecord {
     let address = std::net::Ipv4Addr::from(0x0a00_0000 + u32::try_from(place).unwrap());
     VmRecord {
         name: format!("worker-{place}").as_str().into(),
@@ -207,7 +210,7 @@
     }
 }
 
-/// Returns the resident memory of this process, stand-ins included.
+/// Returns the resident memory of this process in MB, stand-ins included.
 fn resident_mb() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse().ok());
--- a/crates/planner/src/commit_effect.rs
+++ b/crates/planner/src/commit_effect.rs
@@ -1,4 +1,4 @@
-//! What may be done once an entry is committed.
+//! Actions that wait for a journal entry to be committed.
 
 use jasminebend_placement::{
     JobId,
@@ -7,17 +7,17 @@
 };
 use jasminebend_ports::TaskAttempt;
 
-/// What may be done once an entry is committed, and not before.
+/// The action that becomes permitted once a journal entry is committed, and not before.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum CommitEffect {
-    /// Nothing.
-    Nothing,
-    /// The run may be started.
+    /// Nothing waits for this entry.
+    NoEffect,
+    /// The task's current run may be started.
     Start(TaskId),
-    /// The worker may forget the run's end.
+    /// The worker may be informed that the run's completion is stored, so that it can forget the run.
     Acknowledge(WorkerKey, TaskAttempt),
-    /// The job's inbox row is gone.
+    /// The job's inbox row is deleted.
     Accepted(JobId),
-    /// The job's running tasks may be stopped.
-    StopAll(JobId),
+    /// The running tasks of a cancelled job may be stopped.
+    StopJob(JobId),
 }
--- a/crates/planner/src/flight_count.rs
+++ b/crates/planner/src/in_flight_calls.rs
@@ -1,44 +1,46 @@
-//! The calls of a shard that are in progress.
+//! Counts the calls of a shard that are in progress.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// Counts the calls of a shard that are in progress, for whoever must wait until there are none.
+/// Counts the calls of a shard that are in progress, and lets others wait until there are none.
 #[derive(Clone, Debug)]
-pub(crate) struct FlightCount {
+pub(crate) struct InFlightCalls {
     count: Arc<watch::Sender<usize>>,
 }
 
-impl FlightCount {
+impl InFlightCalls {
     pub(crate) fn new() -> Self {
         Self {
             count: Arc::new(watch::Sender::new(0)),
         }
     }
 
-    /// Counts a call until the guard is dropped, even if its task is aborted.
-    pub(crate) fn begin(&self) -> FlightGuard {
+    /// Counts one call as in progress until the returned guard is dropped, also when the call's
+    /// task is aborted.
+    pub(crate) fn track(&self) -> InFlightCall {
         self.count.send_modify(|count| *count += 1);
-        FlightGuard {
+        InFlightCall {
             count: Arc::clone(&self.count),
         }
     }
 
+    /// Waits until no call is in progress.
     pub(crate) async fn wait_idle(&self) {
         let mut count = self.count.subscribe();
-        // The sender lives as long as `self`, so that this ends only once the count is zero.
+        // `self` keeps the sender alive, so this returns only once the count is zero.
         let _ = count.wait_for(|count| *count == 0).await;
     }
 }
 
-/// One call in progress.
+/// Counts one call as in progress while it exists.
 #[derive(Debug)]
-pub(crate) struct FlightGuard {
+pub(crate) struct InFlightCall {
     count: Arc<watch::Sender<usize>>,
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightCall {
     fn drop(&mut self) {
         self.count.send_modify(|count| *count -= 1);
     }
--- a/crates/planner/src/inbox_entry.rs
+++ b/crates/planner/src/inbox_entry.rs
@@ -1,4 +1,4 @@
-//! A submission on its way to its home shard.
+//! A submitted job that its home shard has not accepted yet, as stored in the shard's inbox.
 
 use jasminebend_base::ClassKind;
 use jasminebend_placement::{
@@ -10,12 +10,12 @@
     Serialize, //
 };
 
-/// A submission on its way to its home shard.
+/// A submitted job that its home shard has not accepted yet, as stored in the shard's inbox.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct InboxEntry {
     pub(crate) job: JobId,
     pub(crate) spec: JobSpec,
     pub(crate) kind: ClassKind,
-    /// In milliseconds of the time of day since 1970.
+    /// When the job was submitted, in milliseconds since the Unix epoch.
     pub(crate) submitted_ms: u64,
 }
--- a/crates/planner/src/job_desk.rs
+++ b/crates/planner/src/job_api.rs
@@ -1,4 +1,4 @@
-//! How any daemon takes submissions and questions.
+//! Job submission, cancellation and queries through the table, on any daemon.
 
 use std::{
     sync::{
@@ -45,44 +45,52 @@
         fingerprint_of, //
     },
     record_codec,
-    row_names,
+    row_keys,
     submit_check,
     trace_span, //
 };
 
-const TRIES: u32 = 4;
-const RETRY_AFTER: Duration = Duration::from_millis(250);
-const ROWS_PER_SCAN: usize = 500;
-const MOST_LISTED: usize = 5000;
+/// How often a commit is sent before its result is reported as unknown or failed.
+const MAX_COMMIT_ATTEMPTS: u32 = 4;
+/// Delay between two attempts of a commit.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Limits the rows that one scan of the table returns.
+const MAX_ROWS_PER_SCAN: usize = 500;
+/// A listing of jobs stops scanning once it has this many.
+const MAX_LISTED_JOBS: usize = 5000;
 
-/// How any daemon takes submissions and questions: through the table, whoever owns the home shard.
-pub(crate) struct JobDesk {
+/// Accepts submissions and answers queries through the table, independent of which daemon owns the
+/// job's home shard.
+pub(crate) struct JobApi {
     settings: PlannerSettings,
-    edges: Arc<PlannerEdges>,
+    dependencies: Arc<PlannerEdges>,
     random: Mutex<StdRng>,
 }
 
-impl JobDesk {
-    pub(crate) fn new(settings: PlannerSettings, edges: Arc<PlannerEdges>) -> Self {
-        let random = Mutex::new(StdRng::seed_from_u64(edges.seed));
+impl JobApi {
+    pub(crate) fn new(settings: PlannerSettings, dependencies: Arc<PlannerEdges>) -> Self {
+        let random = Mutex::new(StdRng::seed_from_u64(dependencies.seed));
         Self {
             settings,
-            edges,
+            dependencies,
             random,
         }
     }
 
-    pub(crate) fn draw(&self) -> u64 {
+    /// Returns a random 64-bit identifier.
+    pub(crate) fn random_id(&self) -> u64 {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         random.next_u64()
     }
 
+    /// Checks a submission and commits its job row and inbox row.
     pub(crate) async fn submit(&self, spec: JobSpec) -> Result<JobId, SubmitError> {
-        let _span = trace_span::begin("planner.submit");
-        let configuration = self.edges.configuration.borrow().clone();
-        let vms = self.edges.vms.borrow().clone();
-        let kind = submit_check::check(&spec, &configuration, &vms, self.settings.shards)?;
-        let job = self.identity(&spec);
+        let _span = trace_span::start_span("planner.submit");
+        let configuration = self.dependencies.configuration.borrow().clone();
+        let vms = self.dependencies.vms.borrow().clone();
+        let kind =
+            submit_check::check_submission(&spec, &configuration, &vms, self.settings.shards)?;
+        let job = self.job_id_for(&spec);
         let shard = submit_check::home_shard(job, spec.size, &vms, self.settings.shards);
         let row = JobRow {
             shard,
@@ -99,37 +107,38 @@
         };
         let job_row = record_codec::encode(&row).map_err(|_| SubmitError::Encoding)?;
         let inbox_row = record_codec::encode(&entry).map_err(|_| SubmitError::Encoding)?;
-        // The job row is never deleted while a submission may be repeated: its absence is what makes
-        // a copy of this commit that arrives late change nothing.
+        // The job row is not deleted while the submission may still be retried: the expectation
+        // that it is absent makes a late copy of this commit fail.
         let changes = vec![
-            RowChange::put(row_names::job(job), RowExpectation::Absent, job_row),
+            RowChange::put(row_keys::job_row(job), RowExpectation::Absent, job_row),
             RowChange::put(
-                row_names::inbox_entry(shard, job),
+                row_keys::inbox_entry(shard, job),
                 RowExpectation::Any,
                 inbox_row,
             ),
         ];
-        self.insert(job, &row, changes).await
+        self.commit_submission(job, &row, changes).await
     }
 
-    /// Commits a submission; the same commit is sent again until its fate is known.
-    async fn insert(
+    /// Commits a submission; sends the same commit again until its result is known or the attempts
+    /// are used up.
+    async fn commit_submission(
         &self,
         job: JobId,
         row: &JobRow,
         changes: Vec<RowChange>,
     ) -> Result<JobId, SubmitError> {
-        let write = WriteId(self.draw());
+        let write = WriteId(self.random_id());
         let mut unknown = false;
-        for _ in 0..TRIES {
-            match self.edges.table.commit(write, changes.clone()).await {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            match self.dependencies.table.commit(write, changes.clone()).await {
                 Ok(CommitOutcome::Committed(_)) => return Ok(job),
                 Ok(CommitOutcome::Conflict { found, .. }) => {
-                    return settle(job, row, write, found.as_ref());
+                    return resolve_conflict(job, row, write, found.as_ref());
                 }
                 Err(error) => unknown |= !error.surely_not_run(),
             }
-            sleep(RETRY_AFTER).await;
+            sleep(RETRY_DELAY).await;
         }
         match unknown {
             true => Err(SubmitError::Unknown { job }),
@@ -137,9 +146,11 @@
         }
     }
 
-    fn identity(&self, spec: &JobSpec) -> JobId {
+    /// Returns the identifier of a job: a hash of team and idempotency key if the submission has a
+    /// key, else a random number.
+    fn job_id_for(&self, spec: &JobSpec) -> JobId {
         let Some(key) = &spec.key else {
-            return JobId(self.draw());
+            return JobId(self.random_id());
         };
         let mut hasher = blake3::Hasher::new();
         hasher.update(spec.team.as_str().as_bytes());
@@ -150,33 +161,39 @@
         JobId(u64::from_be_bytes(bytes))
     }
 
-    pub(crate) async fn row(&self, job: JobId) -> Result<JobRow, JobError> {
-        let found = self.edges.table.read(&row_names::job(job)).await?;
+    /// Reads a job's row, with its results from the object store if they are stored there.
+    pub(crate) async fn read_job(&self, job: JobId) -> Result<JobRow, JobError> {
+        let found = self
+            .dependencies
+            .table
+            .read(&row_keys::job_row(job))
+            .await?;
         let found = found.ok_or(JobError::UnknownJob { job })?;
         let mut row: JobRow = record_codec::decode(&found.value)?;
         if let Some(key) = &row.results {
             let body = self
-                .edges
+                .dependencies
                 .objects
                 .get(&ObjectKey::from(key.as_str()))
                 .await?;
-            let body = body.ok_or(JobError::Record(RecordError::Torn))?;
+            let body = body.ok_or(JobError::Record(RecordError::Corrupt))?;
             row.status.results = record_codec::decode(&body)?;
         }
         Ok(row)
     }
 
-    pub(crate) async fn rows(&self) -> Result<Vec<JobRow>, JobError> {
-        let prefix = row_names::JOBS.into();
+    /// Reads the rows of all jobs; stops after the scan that reaches [`MAX_LISTED_JOBS`].
+    pub(crate) async fn read_jobs(&self) -> Result<Vec<JobRow>, JobError> {
+        let prefix = row_keys::JOBS_PREFIX.into();
         let mut rows = Vec::new();
         let mut after = None;
-        while rows.len() < MOST_LISTED {
+        while rows.len() < MAX_LISTED_JOBS {
             let found = self
-                .edges
+                .dependencies
                 .table
-                .scan(&prefix, after.as_ref(), ROWS_PER_SCAN)
+                .scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN)
                 .await?;
-            let full = found.len() == ROWS_PER_SCAN;
+            let full = found.len() == MAX_ROWS_PER_SCAN;
             for row in found {
                 rows.push(record_codec::decode(&row.value)?);
                 after = Some(row.key);
@@ -189,26 +206,31 @@
     }
 
     /// Writes the cancellations of one shard as one row.
-    pub(crate) async fn put_cancels(&self, shard: u16, jobs: &[JobId]) -> Result<(), JobError> {
-        let write = WriteId(self.draw());
-        let key = row_names::cancel_entry(shard, write);
+    pub(crate) async fn write_cancellations(
+        &self,
+        shard: u16,
+        jobs: &[JobId],
+    ) -> Result<(), JobError> {
+        let write = WriteId(self.random_id());
+        let key = row_keys::cancellation_batch(shard, write);
         let value = record_codec::encode(jobs)?;
-        // Sent twice, it cancels twice, which changes nothing.
+        // A commit that takes effect twice cancels the jobs twice, which changes nothing.
         let changes = vec![RowChange::put(key, RowExpectation::Any, value)];
         let mut last = TableError::Unreachable;
-        for _ in 0..TRIES {
-            match self.edges.table.commit(write, changes.clone()).await {
+        for _ in 0..MAX_COMMIT_ATTEMPTS {
+            match self.dependencies.table.commit(write, changes.clone()).await {
                 Ok(_) => return Ok(()),
                 Err(error) => last = error,
             }
-            sleep(RETRY_AFTER).await;
+            sleep(RETRY_DELAY).await;
         }
         Err(JobError::Table(last))
     }
 
+    /// Returns the wall-clock time in milliseconds since the Unix epoch.
     fn wall_ms(&self) -> u64 {
         let since = self
-            .edges
+            .dependencies
             .clock
             .wall()
             .duration_since(SystemTime::UNIX_EPOCH);
@@ -218,7 +240,9 @@
     }
 }
 
-fn settle(
+/// Decides whether a conflicting job row is the result of an earlier copy of this submission, an
+/// equal submission with the same key, or a different job.
+fn resolve_conflict(
     job: JobId,
     row: &JobRow,
     write: WriteId,
@@ -230,7 +254,7 @@
     if found.write == write {
         return Ok(job);
     }
-    // The owner may have changed the row since; the fingerprint stays.
+    // The owner of the home shard may have changed the row since; the fingerprint never changes.
     let known: JobRow =
         record_codec::decode(&found.value).map_err(|_| SubmitError::Unknown { job })?;
     match known.fingerprint == row.fingerprint {
--- a/crates/planner/src/job_error.rs
+++ b/crates/planner/src/job_error.rs
@@ -1,4 +1,4 @@
-//! Why a job's status, or its cancellation, cannot be had.
+//! The reason why a job cannot be read or cancelled.
 
 use derive_more::{
     Display,
@@ -13,26 +13,26 @@
 
 use crate::RecordError;
 
-/// Why a job's status, or its cancellation, cannot be had.
+/// The reason why a job cannot be read or cancelled.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, From, PartialEq)]
 pub enum JobError {
-    /// There is no such job.
+    /// No job has this identifier.
     #[display("there is no job {job}")]
     #[from(skip)]
     UnknownJob {
-        /// The job.
+        /// The identifier that was asked for.
         job: JobId,
     },
-    /// The table service gave no answer.
+    /// The table service failed or did not answer.
     #[display("the job's state cannot be read or changed now: {_0}; ask again")]
     Table(TableError),
-    /// The object store gave no answer.
+    /// The object store failed or did not answer.
     #[display("the job's results cannot be read now: {_0}; ask again")]
     Object(ObjectError),
-    /// The record cannot be read.
+    /// The job's stored record cannot be decoded.
     #[display("the job's record cannot be read: {_0}")]
     Record(RecordError),
-    /// The planner stops.
+    /// The planner is shutting down.
     #[display("this daemon is stopping; ask another")]
     Stopping,
 }
--- a/crates/planner/src/job_phase.rs
+++ b/crates/planner/src/job_phase.rs
@@ -1,4 +1,4 @@
-//! Where a job stands.
+//! The phase of a job, as reported to callers.
 
 use derive_more::Display;
 use jasminebend_placement::{
@@ -10,32 +10,32 @@
     Serialize, //
 };
 
-/// Where a job stands.
+/// The phase of a job, as reported to callers.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobPhase {
-    /// Some of its tasks wait.
+    /// At least one task waits to be started.
     #[display("waiting: {reason}")]
     Waiting {
-        /// Why.
+        /// The reason why the first waiting task is not placed.
         reason: WaitReason,
     },
-    /// All that is left of it runs.
+    /// All unfinished tasks run.
     #[display("running")]
     Running,
-    /// It is held.
+    /// The job is held: its waiting tasks are not started.
     #[display("held: {reason}")]
     Held {
-        /// Why.
+        /// The reason why the job is held.
         reason: HoldReason,
     },
-    /// It was given up, and some of its tasks still have to stop.
+    /// The job was cancelled, and some of its tasks still have to stop.
     #[display("cancelling")]
     Cancelling,
-    /// It was given up, and nothing of it runs.
+    /// The job was cancelled, and none of its tasks runs.
     #[display("cancelled")]
     Cancelled,
-    /// All its tasks finished.
+    /// All tasks finished.
     #[display("finished")]
     Finished,
 }
--- a/crates/planner/src/job_row.rs
+++ b/crates/planner/src/job_row.rs
@@ -1,4 +1,4 @@
-//! The row that says what became of a job.
+//! The table row that stores a job's status.
 
 use jasminebend_placement::JobSpec;
 use serde::{
@@ -8,21 +8,24 @@
 
 use crate::JobStatus;
 
-/// The row that says what became of a job. Its submitter makes it; from then on only the owner of
-/// its home shard writes it, in the commits of the journal.
+/// The table row that stores a job's status. The daemon that accepts the submission creates it;
+/// from then on only the owner of the job's home shard writes it, in the commits of the journal.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct JobRow {
+    /// The job's home shard.
     pub(crate) shard: u16,
-    /// That of the submission, which tells a repeated one from another with the same key.
+    /// Hash of the submission; distinguishes a repeated submission from a different job with the
+    /// same key.
     pub(crate) fingerprint: [u8; 32],
+    /// The status as of the last write of this row.
     pub(crate) status: JobStatus,
-    /// When it ended, in milliseconds of the time of day since 1970.
+    /// When the job ended, in milliseconds since the Unix epoch; `None` while it has not.
     pub(crate) ended_ms: Option<u64>,
-    /// The key of the object that holds the results, if they are too large for the row.
+    /// Key of the object that stores the results, if they are too large for the row.
     pub(crate) results: Option<String>,
 }
 
-/// Returns the fingerprint of a submission.
+/// Returns the hash of a submission's encoded form.
 pub(crate) fn fingerprint_of(spec: &JobSpec) -> [u8; 32] {
     let bytes = postcard::to_stdvec(spec).unwrap_or_default();
     *blake3::hash(&bytes).as_bytes()
--- a/crates/planner/src/job_status.rs
+++ b/crates/planner/src/job_status.rs
@@ -1,4 +1,4 @@
-//! What is known of a job.
+//! The status of a job, as reported to callers.
 
 use jasminebend_base::{
     ClassName,
@@ -18,35 +18,36 @@
 
 use crate::JobPhase;
 
-/// What is known of a job.
+/// The status of a job, as reported to callers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Identifier of the job.
     pub job: JobId,
-    /// Its team.
+    /// Team that submitted the job.
     pub team: TeamName,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassName,
-    /// Where it stands.
+    /// Current phase.
     pub phase: JobPhase,
-    /// The number of its tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// Those that wait.
+    /// Number of tasks that wait.
     pub queued: u32,
-    /// Those that run, or are about to.
+    /// Number of tasks that run or are about to be started.
     pub running: u32,
-    /// Those that finished.
+    /// Number of tasks that finished.
     pub finished: u32,
-    /// How often one of them was evicted.
+    /// Number of evictions, over all tasks.
     pub evictions: u32,
-    /// How often one of them ran again from the beginning or a checkpoint, for whatever cause.
+    /// Number of runs beyond the first of each task, from the beginning or from a checkpoint, for
+    /// any reason.
     pub reruns: u32,
-    /// How long those runs had run whose work was lost, in seconds: the cost of evictions without a
-    /// checkpoint, of lost workers and of failures.
+    /// Total run time, in seconds, of runs whose work was lost: by evictions without a checkpoint,
+    /// lost workers and failures.
     pub lost_seconds: u64,
-    /// Its phase in words, with what would change it.
+    /// The phase as text, with what would change it.
     pub explanation: String,
-    /// The results of its tasks in their order, once the job has ended.
+    /// Results of the tasks in their order; empty until the job has ended.
     pub results: Vec<Option<String>>,
 }
 
@@ -70,15 +71,16 @@
             explanation: String::new(),
             results: Vec::new(),
         }
-        .explained()
+        .with_explanation()
     }
 
-    fn explained(mut self) -> Self {
+    /// Sets the explanation to the phase's text.
+    fn with_explanation(mut self) -> Self {
         self.explanation = self.phase.to_string();
         self
     }
 
-    /// Creates the status of a job from its record.
+    /// Creates the status of a job from its record in the ledger.
     pub(crate) fn new(job: JobId, record: &JobRecord, reason: WaitReason) -> Self {
         let queued = record.count_tasks(|state| *state == TaskState::Queued);
         let running = record.count_tasks(|state| matches!(state, TaskState::Placed { .. }));
@@ -95,16 +97,16 @@
         if record.is_complete() {
             status.results = results_of(record);
         }
-        status.explained()
+        status.with_explanation()
     }
 
-    /// Counts runs that were committed ahead as the waiting tasks that they are.
-    pub(crate) fn wait_ahead(&mut self, ahead: u32, reason: WaitReason) {
-        if ahead == 0 {
+    /// Counts pre-committed runs as waiting instead of running.
+    pub(crate) fn count_precommitted_as_waiting(&mut self, precommitted: u32, reason: WaitReason) {
+        if precommitted == 0 {
             return;
         }
-        self.queued += ahead;
-        self.running = self.running.saturating_sub(ahead);
+        self.queued += precommitted;
+        self.running = self.running.saturating_sub(precommitted);
         if self.phase == JobPhase::Running {
             self.phase = JobPhase::Waiting { reason };
             self.explanation = self.phase.to_string();
--- a/crates/planner/src/journal_error.rs
+++ b/crates/planner/src/journal_error.rs
@@ -1,4 +1,4 @@
-//! Why a shard's journal cannot be used.
+//! Errors of a shard's journal.
 
 use derive_more::{
     Display,
@@ -14,29 +14,29 @@
 
 use crate::RecordError;
 
-/// Why a shard's journal cannot be used. The shard then starts nothing.
+/// The reason why a shard's journal cannot be used. The shard's owner then starts nothing.
 #[derive(Clone, Copy, Debug, Display, Error, From, PartialEq)]
 pub enum JournalError {
-    /// The table service gave no answer; tried again.
+    /// The table service failed or did not answer; the operation is retried.
     #[display("the journal cannot be read: {_0}")]
     Table(TableError),
-    /// The object store gave no answer; tried again.
+    /// The object store failed or did not answer; the operation is retried.
     #[display("the journal's snapshot cannot be read: {_0}")]
     Object(ObjectError),
-    /// A record cannot be read.
+    /// A record of the journal cannot be decoded.
     #[display("the journal holds a record that cannot be read: {_0}")]
     Record(RecordError),
-    /// A transition does not follow.
-    #[display("the journal does not follow: {_0}")]
+    /// A logged transition cannot be applied to the ledger's state.
+    #[display("a journal entry cannot be applied: {_0}")]
     Ledger(LedgerError),
-    /// The head names a snapshot or a row that is not there.
-    #[display("the journal lacks row or snapshot {sequence:016x}")]
+    /// A snapshot or row that the journal should contain does not exist.
+    #[display("row or snapshot {sequence:016x} of the journal is missing")]
     #[from(skip)]
     Missing {
-        /// The sequence number.
+        /// Sequence number of the missing log row or snapshot; 0 stands for the head row.
         sequence: u64,
     },
-    /// A newer owner wrote to it.
+    /// A newer owner wrote to the journal.
     #[display("epoch {newer} took the shard over")]
     #[from(skip)]
     Deposed {
@@ -46,8 +46,8 @@
 }
 
 impl JournalError {
-    /// Tells whether trying again may help without anyone's doing.
-    pub fn passes(self) -> bool {
+    /// Returns whether a retry may succeed without an operator's intervention.
+    pub fn is_transient(self) -> bool {
         matches!(self, Self::Table(_) | Self::Object(_))
     }
 }
--- a/crates/planner/src/journal_head.rs
+++ b/crates/planner/src/journal_head.rs
@@ -6,16 +6,16 @@
     Serialize, //
 };
 
-/// The head row of a shard's journal. Every commit changes it by compare-and-set, so that a deposed
-/// owner's late commit meets a version that it does not expect.
+/// The head row of a shard's journal. Every commit replaces it by compare-and-set, so that a late
+/// commit of a former owner finds an unexpected version and fails.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub(crate) struct JournalHead {
-    /// The epoch of the owner that wrote it.
+    /// Epoch of the owner that wrote this row.
     pub(crate) epoch: OwnerEpoch,
-    /// The key of the snapshot that the log continues, if any.
+    /// Object key of the snapshot that the log continues; `None` before the first snapshot.
     pub(crate) snapshot: Option<String>,
-    /// The sequence number of the first log row after the snapshot.
+    /// Sequence number of the first log row after the snapshot.
     pub(crate) first: u64,
-    /// That of the next log row.
+    /// Sequence number of the next log row to be written.
     pub(crate) next: u64,
 }
--- a/crates/planner/src/journal_store.rs
+++ b/crates/planner/src/journal_store.rs
@@ -1,4 +1,4 @@
-//! Reading a shard's journal, and fencing off its former owner.
+//! Reads a shard's journal and fences off its former owner.
 
 use std::sync::Arc;
 
@@ -25,41 +25,43 @@
     JournalError,
     journal_head::JournalHead,
     record_codec,
-    row_names, //
+    row_keys, //
 };
 
-const ROWS_PER_SCAN: usize = 200;
+/// Limits the log rows that one scan of the table returns.
+const MAX_ROWS_PER_SCAN: usize = 200;
 
-/// A journal that was read by its owner.
+/// A shard's journal as read by a new owner.
 #[derive(Debug)]
 pub(crate) struct OpenJournal {
     pub(crate) head: JournalHead,
+    /// Version of the head row, which the next commit expects.
     pub(crate) version: RowVersion,
     pub(crate) ledger: JobLedger,
     pub(crate) learned: LearnedState,
 }
 
-/// A snapshot as it is stored: the ledger, and what was learned, encoded by itself, since it may be
-/// dropped where it cannot be read.
+/// The stored form of a snapshot: the ledger, and the learned model as separately encoded bytes,
+/// because an unreadable model may be dropped while an unreadable ledger may not.
 pub(crate) type StoredSnapshot = (JobLedger, Vec<u8>);
 
-/// By which a missing head is reported: log rows count from one.
+/// Sequence number under which a missing head row is reported; log rows count from one.
 const HEAD_SEQUENCE: u64 = 0;
 
 /// Reads a shard's journal for a new owner.
 ///
-/// The owner's epoch goes into the head row first: a commit of the former owner that is still on its
-/// way then fails, so that nothing is added behind the reader's back.
-pub(crate) async fn open(
+/// Writes the owner's epoch into the head row first. A commit of the former owner that is still in
+/// transit then fails, so that nothing is appended while the journal is read.
+pub(crate) async fn open_journal(
     table: &Arc<dyn TableService>,
     objects: &Arc<dyn ObjectStore>,
     shard: u16,
     epoch: OwnerEpoch,
     write: WriteId,
 ) -> Result<OpenJournal, JournalError> {
-    let found = table.read(&row_names::head(shard)).await?;
+    let found = table.read(&row_keys::journal_head(shard)).await?;
     if found.is_none() {
-        check_unused(table, shard).await?;
+        reject_log_without_head(table, shard).await?;
     }
     let mut head = decode_head(found.as_ref())?;
     if head.epoch > epoch {
@@ -70,7 +72,7 @@
         RowExpectation::Version(row.version)
     });
     let value = record_codec::encode(&head)?;
-    let change = RowChange::put(row_names::head(shard), expected, value);
+    let change = RowChange::put(row_keys::journal_head(shard), expected, value);
     let version = match table.commit(write, vec![change]).await? {
         CommitOutcome::Committed(version) => version,
         CommitOutcome::Conflict { .. } => return Err(JournalError::Table(TableError::Unknown)),
@@ -85,12 +87,15 @@
     })
 }
 
-/// A shard whose head was lost looks like a new one, and its owner would stop and forget what runs.
-/// A shard that was used shows by its log; between this look and the owner's first commit nobody can
-/// begin one unnoticed, since that commit expects the head to be absent.
-async fn check_unused(table: &Arc<dyn TableService>, shard: u16) -> Result<(), JournalError> {
+/// Rejects a journal that has log rows but no head row. Without a head row a shard looks unused,
+/// and its owner would stop all running tasks and forget them. The owner's first commit expects the
+/// head row to be absent, so no other owner can create one unnoticed after this check.
+async fn reject_log_without_head(
+    table: &Arc<dyn TableService>,
+    shard: u16,
+) -> Result<(), JournalError> {
     match table
-        .scan(&row_names::log(shard), None, 1)
+        .scan(&row_keys::log_prefix(shard), None, 1)
         .await?
         .is_empty()
     {
@@ -108,6 +113,7 @@
     }
 }
 
+/// Reads the snapshot that the head row names; returns an empty one if it names none.
 async fn read_snapshot(
     objects: &Arc<dyn ObjectStore>,
     head: &JournalHead,
@@ -121,25 +127,28 @@
     Ok(record_codec::decode(&body)?)
 }
 
+/// Applies the log rows after the snapshot to the ledger.
 async fn replay(
     table: &Arc<dyn TableService>,
     shard: u16,
     head: &JournalHead,
     ledger: &mut JobLedger,
 ) -> Result<(), JournalError> {
-    let prefix = row_names::log(shard);
+    let prefix = row_keys::log_prefix(shard);
     let mut after = head
         .first
         .checked_sub(1)
-        .map(|sequence| row_names::log_row(shard, sequence));
+        .map(|sequence| row_keys::log_row(shard, sequence));
     let mut sequence = head.first;
     while sequence < head.next {
-        let rows = table.scan(&prefix, after.as_ref(), ROWS_PER_SCAN).await?;
+        let rows = table
+            .scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN)
+            .await?;
         if rows.is_empty() {
             return Err(JournalError::Missing { sequence });
         }
         for row in rows {
-            if row.key != row_names::log_row(shard, sequence) {
+            if row.key != row_keys::log_row(shard, sequence) {
                 return Err(JournalError::Missing { sequence });
             }
             apply_row(ledger, &row.value)?;
--- a/crates/planner/src/journal_writer.rs
+++ b/crates/planner/src/journal_writer.rs
@@ -1,4 +1,4 @@
-//! The commits of a shard's journal.
+//! Builds the commits of a shard's journal.
 
 use std::collections::VecDeque;
 
@@ -17,52 +17,67 @@
     commit_effect::CommitEffect,
     journal_head::JournalHead,
     record_codec,
-    row_names, //
+    row_keys, //
 };
 
-/// The most entries of one commit, and the most other rows that go with them.
-const MOST_ENTRIES: usize = 512;
-const MOST_ROWS: usize = 64;
-/// The most old log rows that one commit deletes.
-const MOST_DELETED: u64 = 64;
-/// The most old log rows that a former owner is taken to have left.
-const MOST_LEFT: u64 = 512;
+/// Limits the journal entries in one commit.
+const MAX_ENTRIES_PER_COMMIT: usize = 512;
+/// Limits the other rows that are written with one commit.
+const MAX_EXTRA_ROWS_PER_COMMIT: usize = 64;
+/// Limits the obsolete log rows that one commit deletes.
+const MAX_LOG_DELETIONS_PER_COMMIT: u64 = 64;
+/// Upper bound of the obsolete log rows that a former owner can have left before the snapshot.
+const MAX_OBSOLETE_LOG_ROWS: u64 = 512;
 
-/// An entry that is not committed yet.
+/// A journal entry that is not committed yet.
 #[derive(Debug)]
 pub(crate) struct PendingEntry {
     pub(crate) transition: JobTransition,
+    /// The action that the commit of this entry permits.
     pub(crate) effect: CommitEffect,
+    /// Rows that must be written in the same commit.
     pub(crate) rows: Vec<RowChange>,
 }
 
-/// A commit on its way. It is sent again unchanged until its fate is known: its head row names one
-/// version, so that only one of the copies can ever take effect.
+/// A commit that was sent and is not confirmed. It is sent again unchanged until its result is
+/// known: it expects one version of the head row, so at most one copy takes effect.
 #[derive(Debug)]
 pub(crate) struct CommitBatch {
     pub(crate) write: WriteId,
     pub(crate) changes: Vec<RowChange>,
     head: JournalHead,
     entries: Vec<PendingEntry>,
-    others: Vec<RowChange>,
-    deleted_to: u64,
+    /// Rows that do not belong to an entry.
+    extra_rows: Vec<RowChange>,
+    deleted_until: u64,
 }
 
-/// The commits of a shard's journal: one at a time, each with all that waits, up to a limit.
+/// Builds the commits of a shard's journal: one at a time, each with all pending entries up to a
+/// limit.
 #[derive(Debug)]
 pub(crate) struct JournalWriter {
     shard: u16,
     head: JournalHead,
+    /// Version of the head row, which the next commit expects.
     version: RowVersion,
-    deleted_to: u64,
+    /// Sequence number of the first log row that is not deleted.
+    deleted_until: u64,
+    /// Entries that wait for a commit, oldest first.
     pending: VecDeque<PendingEntry>,
-    snapshot: Option<(ObjectKey, usize)>,
-    replaced: Option<String>,
-    put_off: u64,
+    /// A stored snapshot that the next commit names, with the number of pending entries that it
+    /// contains.
+    stored_snapshot: Option<(ObjectKey, usize)>,
+    /// Key of the snapshot that the named one replaces.
+    replaced_snapshot: Option<String>,
+    /// Log rows that do not count towards the next snapshot because an attempt failed.
+    rows_when_postponed: u64,
+    /// Rows that wait for a commit and do not belong to an entry.
     rows: Vec<RowChange>,
-    most_entries: usize,
-    most_rows: usize,
-    most_deleted: u64,
+    /// Current limits of a commit; halved when the table service rejects a commit as too large.
+    max_entries: usize,
+    max_extra_rows: usize,
+    max_log_deletions: u64,
+    /// The commit that was sent and is not confirmed.
     pub(crate) in_flight: Option<CommitBatch>,
 }
 
@@ -70,17 +85,17 @@
     pub(crate) fn new(shard: u16, head: JournalHead, version: RowVersion) -> Self {
         Self {
             shard,
-            deleted_to: head.first.saturating_sub(MOST_LEFT),
+            deleted_until: head.first.saturating_sub(MAX_OBSOLETE_LOG_ROWS),
             head,
             version,
             pending: VecDeque::new(),
-            snapshot: None,
-            replaced: None,
-            put_off: 0,
+            stored_snapshot: None,
+            replaced_snapshot: None,
+            rows_when_postponed: 0,
             rows: Vec::new(),
-            most_entries: MOST_ENTRIES,
-            most_rows: MOST_ROWS,
-            most_deleted: MOST_DELETED,
+            max_entries: MAX_ENTRIES_PER_COMMIT,
+            max_extra_rows: MAX_EXTRA_ROWS_PER_COMMIT,
+            max_log_deletions: MAX_LOG_DELETIONS_PER_COMMIT,
             in_flight: None,
         }
     }
@@ -89,30 +104,32 @@
         self.pending.push_back(entry);
     }
 
-    /// Adds a row that goes with the next commit.
+    /// Adds a row that is written with the next commit that has space for it.
     pub(crate) fn push_row(&mut self, row: RowChange) {
         self.rows.push(row);
     }
 
-    /// Adds a row that goes with the entry pushed last.
-    pub(crate) fn add_row(&mut self, row: RowChange) {
-        // What waits to be told of the same row is older.
+    /// Adds a row that is written in the same commit as the entry pushed last.
+    pub(crate) fn attach_row(&mut self, row: RowChange) {
+        // A pending change of the same row is older than this one.
         self.rows.retain(|other| other.key != row.key);
         if let Some(entry) = self.pending.back_mut() {
             entry.rows.push(row);
         }
     }
 
-    pub(crate) fn waiting(&self) -> usize {
+    /// Returns the number of entries that wait for a commit.
+    pub(crate) fn pending_entries(&self) -> usize {
         self.pending.len()
     }
 
-    /// Returns the number of log rows since the last snapshot, zero while a new one waits to be named.
+    /// Returns the number of log rows since the last snapshot; zero while a new snapshot waits to
+    /// be named in the head row.
     pub(crate) fn rows_since_snapshot(&self) -> u64 {
-        if self.snapshot.is_some() {
+        if self.stored_snapshot.is_some() {
             return 0;
         }
-        (self.head.next - self.head.first).saturating_sub(self.put_off)
+        (self.head.next - self.head.first).saturating_sub(self.rows_when_postponed)
     }
 
     /// Returns the sequence number of the next log row.
@@ -120,48 +137,57 @@
         self.head.next
     }
 
-    /// Has the next commit name a snapshot in place of logging the first `entries`, which it holds;
-    /// the caller makes no commit between taking the snapshot and this.
+    /// Makes the next commit name a snapshot instead of logging the first `entries` pending
+    /// entries, which the snapshot contains. The caller makes no commit between taking the snapshot
+    /// and this call.
     pub(crate) fn set_snapshot(&mut self, key: ObjectKey, entries: usize, old: Option<String>) {
-        self.snapshot = Some((key, entries));
-        self.replaced = old;
-        self.put_off = 0;
+        self.stored_snapshot = Some((key, entries));
+        self.replaced_snapshot = old;
+        self.rows_when_postponed = 0;
     }
 
-    /// Waits for as many rows again before the next snapshot.
-    pub(crate) fn put_snapshot_off(&mut self) {
-        self.put_off = self.head.next - self.head.first;
+    /// Postpones the next snapshot until as many log rows as now have been added.
+    pub(crate) fn postpone_snapshot(&mut self) {
+        self.rows_when_postponed = self.head.next - self.head.first;
     }
 
-    /// Halves the batches after the table service found one too large; tells whether that can help.
-    pub(crate) fn shrink(&mut self) -> bool {
+    /// Halves the batch limits after the table service rejected a commit as too large; returns
+    /// whether a smaller commit is possible.
+    pub(crate) fn halve_limits(&mut self) -> bool {
         let Some(batch) = self.in_flight.take() else {
             return false;
         };
-        let deleted = batch.deleted_to - self.deleted_to;
+        let deleted = batch.deleted_until - self.deleted_until;
         let named = batch.head.first > self.head.first;
-        let helps = batch.entries.len() > 1 || batch.others.len() > 1 || deleted > 1 || named;
-        self.most_deleted = (deleted / 2).max(1);
+        let can_shrink =
+            batch.entries.len() > 1 || batch.extra_rows.len() > 1 || deleted > 1 || named;
+        self.max_log_deletions = (deleted / 2).max(1);
         if named {
-            // The entries that went with the snapshot are logged instead, and the head goes on naming
-            // the former one, which must stay.
-            self.replaced = None;
-            self.put_snapshot_off();
+            // The entries that the snapshot contains are logged instead. The head row keeps naming
+            // the former snapshot, which must not be deleted.
+            self.replaced_snapshot = None;
+            self.postpone_snapshot();
         }
-        self.most_entries = (batch.entries.len() / 2).max(1);
-        self.most_rows = (batch.others.len() / 2).max(1);
-        // Deletions are made later; what was to be told may be old by then.
-        let deletions = batch.others.into_iter().filter(|row| row.value.is_none());
+        self.max_entries = (batch.entries.len() / 2).max(1);
+        self.max_extra_rows = (batch.extra_rows.len() / 2).max(1);
+        // Deletions are retried in a later commit; other rows are dropped since they may be
+        // outdated by then.
+        let deletions = batch
+            .extra_rows
+            .into_iter()
+            .filter(|row| row.value.is_none());
         self.rows.splice(..0, deletions);
         for entry in batch.entries.into_iter().rev() {
             self.pending.push_front(entry);
         }
-        helps
+        can_shrink
     }
 
-    /// Makes the next commit; `None` while one is on its way or nothing waits.
+    /// Builds the next commit. Returns `None` while another one is unconfirmed or nothing is
+    /// pending.
     pub(crate) fn next_batch(&mut self, write: WriteId) -> Result<Option<()>, RecordError> {
-        let nothing = self.pending.is_empty() && self.snapshot.is_none() && self.rows.is_empty();
+        let nothing =
+            self.pending.is_empty() && self.stored_snapshot.is_none() && self.rows.is_empty();
         if self.in_flight.is_some() || nothing {
             return Ok(None);
         }
@@ -169,58 +195,62 @@
         let mut head = self.head.clone();
         let mut changes = Vec::new();
         self.add_log_row(&entries, &mut head, &mut changes)?;
-        if let Some((key, _)) = self.snapshot.take() {
+        if let Some((key, _)) = self.stored_snapshot.take() {
             head.snapshot = Some(key.as_str().to_owned());
             head.first = head.next;
         }
-        let deleted_to = self.add_deletions(&head, &mut changes);
+        let deleted_until = self.add_deletions(&head, &mut changes);
         let value = record_codec::encode(&head)?;
         let expected = RowExpectation::Version(self.version);
-        // The head comes first, so that a conflict is always told of it.
+        // The head row comes first, so that a conflict always reports it.
         changes.insert(
             0,
-            RowChange::put(row_names::head(self.shard), expected, value),
+            RowChange::put(row_keys::journal_head(self.shard), expected, value),
         );
-        let count = self.rows.len().min(self.most_rows);
-        let others: Vec<RowChange> = self.rows.drain(..count).collect();
-        changes.extend(others.iter().cloned());
+        let count = self.rows.len().min(self.max_extra_rows);
+        let extra_rows: Vec<RowChange> = self.rows.drain(..count).collect();
+        changes.extend(extra_rows.iter().cloned());
         for entry in &entries {
             changes.extend(entry.rows.iter().cloned());
         }
-        let changes = last_of_each_row(changes);
+        let changes = keep_last_change_per_row(changes);
         self.in_flight = Some(CommitBatch {
             write,
             changes,
             head,
             entries,
-            others,
-            deleted_to,
+            extra_rows,
+            deleted_until,
         });
         Ok(Some(()))
     }
 
-    /// Takes in that the commit took effect; returns its entries, and the key of the snapshot that
-    /// it replaced.
-    pub(crate) fn committed(&mut self, version: RowVersion) -> (Vec<PendingEntry>, Option<String>) {
+    /// Completes the commit in flight; returns its entries, and the key of the snapshot that it
+    /// replaced.
+    pub(crate) fn complete_commit(
+        &mut self,
+        version: RowVersion,
+    ) -> (Vec<PendingEntry>, Option<String>) {
         let Some(batch) = self.in_flight.take() else {
             return (Vec::new(), None);
         };
         self.head = batch.head;
         self.version = version;
-        self.deleted_to = batch.deleted_to;
-        (batch.entries, self.replaced.take())
+        self.deleted_until = batch.deleted_until;
+        (batch.entries, self.replaced_snapshot.take())
     }
 
-    /// The entries that a snapshot holds must go with the commit that names it.
+    /// Takes the entries of the next commit. Those that a snapshot contains must go with the commit
+    /// that names it.
     fn take_entries(&mut self) -> Vec<PendingEntry> {
-        if let Some((_, held)) = &self.snapshot {
+        if let Some((_, held)) = &self.stored_snapshot {
             return self.pending.drain(..*held).collect();
         }
         let mut rows = 0;
         let mut count = 0;
-        for entry in self.pending.iter().take(self.most_entries) {
+        for entry in self.pending.iter().take(self.max_entries) {
             rows += entry.rows.len();
-            if rows > MOST_ROWS && count > 0 {
+            if rows > MAX_EXTRA_ROWS_PER_COMMIT && count > 0 {
                 break;
             }
             count += 1;
@@ -234,30 +264,31 @@
         head: &mut JournalHead,
         changes: &mut Vec<RowChange>,
     ) -> Result<(), RecordError> {
-        if entries.is_empty() || self.snapshot.is_some() {
+        if entries.is_empty() || self.stored_snapshot.is_some() {
             return Ok(());
         }
         let transitions: Vec<&JobTransition> =
             entries.iter().map(|entry| &entry.transition).collect();
         let value = record_codec::encode(&transitions)?;
-        let key = row_names::log_row(self.shard, head.next);
+        let key = row_keys::log_row(self.shard, head.next);
         changes.push(RowChange::put(key, RowExpectation::Absent, value));
         head.next += 1;
         Ok(())
     }
 
+    /// Adds deletions of obsolete log rows; returns the first sequence number that is not deleted.
     fn add_deletions(&self, head: &JournalHead, changes: &mut Vec<RowChange>) -> u64 {
-        let to = head.first.min(self.deleted_to + self.most_deleted);
-        for sequence in self.deleted_to..to {
-            let key = row_names::log_row(self.shard, sequence);
+        let to = head.first.min(self.deleted_until + self.max_log_deletions);
+        for sequence in self.deleted_until..to {
+            let key = row_keys::log_row(self.shard, sequence);
             changes.push(RowChange::delete(key, RowExpectation::Any));
         }
         to
     }
 }
 
-/// Keeps the last change of each row: a transaction names a row once.
-fn last_of_each_row(changes: Vec<RowChange>) -> Vec<RowChange> {
+/// Keeps only the last change of each row, because a transaction may name a row once.
+fn keep_last_change_per_row(changes: Vec<RowChange>) -> Vec<RowChange> {
     let mut last = IndexMap::with_capacity(changes.len());
     for change in changes {
         last.insert(change.key.clone(), change);
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,13 +1,13 @@
-//! The planner: jobs in, tasks on workers under leases. Each shard that the daemon holds has an
-//! actor that commits what it decides to the shard's journal before it does it.
+//! The planner accepts jobs and places their tasks on workers under leases. Each shard that the
+//! daemon owns has an actor, which commits every decision to the shard's journal before it acts on
+//! it.
 
-mod call_error;
-mod cancel_courier;
+mod cancellation_batcher;
+mod colocation_history;
 mod commit_effect;
-mod company_log;
-mod flight_count;
+mod in_flight_calls;
 mod inbox_entry;
-mod job_desk;
+mod job_api;
 mod job_error;
 mod job_phase;
 mod job_row;
@@ -22,23 +22,23 @@
 mod planner_settings;
 mod record_codec;
 mod record_error;
-mod row_names;
+mod row_keys;
 mod run_phase;
 mod shard_actor;
-mod shard_ahead;
 mod shard_calls;
+mod shard_completions;
 mod shard_domains;
-mod shard_ends;
 mod shard_health;
 mod shard_inbox;
+mod shard_job_rows;
 mod shard_journal;
 mod shard_lease_calls;
 mod shard_message;
 mod shard_permit;
 mod shard_phase;
 mod shard_plan;
+mod shard_precommit;
 mod shard_reconcile;
-mod shard_rows;
 mod shard_runs;
 mod shard_snapshot;
 mod shard_state;
@@ -47,12 +47,13 @@
 mod shard_usage;
 mod shard_vms;
 mod shard_workers;
-mod stop_wish;
+mod stop_request;
 mod submit_check;
 mod submit_error;
-mod task_names;
+mod task_attempts;
 mod task_run;
 mod trace_span;
+mod worker_call_error;
 mod worker_link;
 
 pub use self::{
--- a/crates/planner/src/link_phase.rs
+++ b/crates/planner/src/link_phase.rs
@@ -1,12 +1,12 @@
-//! Whether a worker follows this owner.
+//! The state of the connection between a shard's owner and a worker.
 
-/// Whether a worker follows this owner.
+/// The state of the connection between a shard's owner and a worker.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LinkPhase {
-    /// It was not heard under this owner's epoch, or must be asked anew what runs there.
+    /// The worker has not yet accepted this owner's epoch, or must report its tasks again.
     New,
-    /// It follows this owner.
+    /// The worker accepted this owner's epoch and answers.
     Adopted,
-    /// It followed this owner and gave no answer lately.
+    /// The worker accepted this owner's epoch and did not answer recently.
     Silent,
 }
--- a/crates/planner/src/planner_edges.rs
+++ b/crates/planner/src/planner_edges.rs
@@ -1,4 +1,4 @@
-//! What a planner reaches outside itself.
+//! The services and inputs that a planner depends on.
 
 use std::sync::Arc;
 
@@ -15,23 +15,24 @@
 };
 use tokio::sync::watch;
 
-/// What a planner reaches outside itself.
+/// The services and inputs that a planner depends on.
 #[derive(Clone)]
 pub struct PlannerEdges {
-    /// What this daemon holds.
+    /// The shards and other resources that this daemon owns.
     pub ownership: Arc<dyn OwnershipView>,
-    /// The newest configuration.
+    /// The newest cluster configuration.
     pub configuration: watch::Receiver<Arc<Configuration>>,
-    /// The newest VM list.
+    /// The newest list of VMs.
     pub vms: watch::Receiver<Arc<VmSnapshot>>,
-    /// The table service.
+    /// The transactional table that stores jobs and journals.
     pub table: Arc<dyn TableService>,
-    /// The object store.
+    /// The store of snapshots and large results.
     pub objects: Arc<dyn ObjectStore>,
-    /// The workers.
+    /// Sends calls to workers.
     pub workers: Arc<dyn WorkerPort>,
-    /// The clock.
+    /// The monotonic and wall clock.
     pub clock: Arc<dyn ClockSource>,
-    /// The seed of the identities that are drawn; differs between daemons and their restarts.
+    /// Seed of the random identifiers; must differ between daemons and between restarts of a
+    /// daemon.
     pub seed: u64,
 }
--- a/crates/planner/src/planner_handle.rs
+++ b/crates/planner/src/planner_handle.rs
@@ -1,4 +1,4 @@
-//! The planner of a daemon.
+//! The entry point of a daemon's planner.
 
 use std::sync::Arc;
 
@@ -29,52 +29,55 @@
     PlannerEdges,
     PlannerSettings,
     SubmitError,
-    cancel_courier::{
+    cancellation_batcher::{
         self,
-        CancelOrder, //
+        CancellationRequest, //
     },
-    job_desk::JobDesk,
+    job_api::JobApi,
     job_phase::JobPhase,
     shard_message::ShardMessage,
     shard_supervisor::ShardSupervisor, //
 };
 
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+/// How long a query waits for the answer of a shard's actor.
+const ACTOR_REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The planner of a daemon. It plans the shards that the daemon holds, and takes submissions for
-/// all; once the last clone is dropped, it ends.
+/// A handle of a daemon's planner, which plans the shards that the daemon owns and accepts
+/// submissions for all shards. The planner stops when the last clone is dropped.
 #[derive(Clone)]
 pub struct PlannerHandle {
     supervisor: Arc<ShardSupervisor>,
-    desk: Arc<JobDesk>,
-    cancels: mpsc::Sender<CancelOrder>,
-    _open: Arc<watch::Sender<()>>,
+    job_api: Arc<JobApi>,
+    cancellations: mpsc::Sender<CancellationRequest>,
+    /// Stops the supervisor when the last clone is dropped.
+    _shutdown_guard: Arc<watch::Sender<()>>,
 }
 
 impl PlannerHandle {
-    /// Starts a planner.
-    pub async fn start(settings: PlannerSettings, edges: PlannerEdges) -> Self {
-        let edges = Arc::new(edges);
-        let supervisor = Arc::new(ShardSupervisor::new(settings, Arc::clone(&edges)));
-        let desk = Arc::new(JobDesk::new(settings, edges));
-        let cancels = cancel_courier::start(Arc::clone(&desk));
+    /// Starts a planner, with its shard supervisor and cancellation batches.
+    pub async fn start(settings: PlannerSettings, dependencies: PlannerEdges) -> Self {
+        let dependencies = Arc::new(dependencies);
+        let supervisor = Arc::new(ShardSupervisor::new(settings, Arc::clone(&dependencies)));
+        let job_api = Arc::new(JobApi::new(settings, dependencies));
+        let cancellations = cancellation_batcher::start(Arc::clone(&job_api));
         let (open, closed) = watch::channel(());
         tokio::spawn(Arc::clone(&supervisor).run(closed));
         Self {
             supervisor,
-            desk,
-            cancels,
-            _open: Arc::new(open),
+            job_api,
+            cancellations,
+            _shutdown_guard: Arc::new(open),
         }
     }
 
-    /// Accepts a job, or refuses it truthfully.
+    /// Submits a job. `Ok` means that it is stored, and an error other than
+    /// [`SubmitError::Unknown`] means that it is not.
     ///
     /// # Errors
     ///
-    /// Any [`SubmitError`]; only [`SubmitError::Unknown`] leaves open whether it was accepted.
+    /// Any [`SubmitError`]; only [`SubmitError::Unknown`] leaves open whether the job was accepted.
     pub async fn submit(&self, spec: JobSpec) -> Result<JobId, SubmitError> {
-        let result = self.desk.submit(spec).await;
+        let result = self.job_api.submit(spec).await;
         let label = match &result {
             Ok(_) => "accepted",
             Err(SubmitError::Unknown { .. }) => "unknown",
@@ -84,16 +87,16 @@
         result
     }
 
-    /// Returns what is known of a job. Its results are told only once they are committed.
+    /// Returns the status of a job. Results are included only once they are committed.
     ///
     /// # Errors
     ///
     /// Any [`JobError`].
     pub async fn job(&self, job: JobId) -> Result<JobStatus, JobError> {
-        let row = match self.desk.row(job).await {
+        let row = match self.job_api.read_job(job).await {
             Ok(row) => row,
             Err(JobError::Table(error)) => {
-                let known = self.status_of_any(job).await;
+                let known = self.find_live_status(job).await;
                 return known.ok_or(JobError::Table(error));
             }
             Err(error) => return Err(error),
@@ -108,40 +111,44 @@
         Ok(live.unwrap_or(row.status))
     }
 
-    /// Gives a job up. Once this returns, none of its tasks is started any more when its owner has
-    /// read the cancellation, and those that run are stopped.
+    /// Cancels a job. When this returns, the cancellation is stored; once the owner of the job's
+    /// home shard has read it, no task of the job is started any more and running ones are stopped.
     ///
     /// # Errors
     ///
     /// Any [`JobError`].
     pub async fn cancel(&self, job: JobId) -> Result<(), JobError> {
-        let row = self.desk.row(job).await?;
+        let row = self.job_api.read_job(job).await?;
         if has_ended(&row.status) {
             return Ok(());
         }
-        let (done, answer) = oneshot::channel();
-        let order = CancelOrder {
+        let (reply, answer) = oneshot::channel();
+        let request = CancellationRequest {
             shard: row.shard,
             job,
-            done,
+            reply,
         };
-        self.cancels
-            .send(order)
+        self.cancellations
+            .send(request)
             .await
             .map_err(|_| JobError::Stopping)?;
         answer.await.map_err(|_| JobError::Stopping)?
     }
 
-    /// Returns what is known of the jobs, those of the held shards with their newest state.
+    /// Returns the status of all jobs, with the newest state for those of the shards that this
+    /// daemon owns.
     ///
     /// # Errors
     ///
     /// Any [`JobError`].
     pub async fn jobs(&self) -> Result<Vec<JobStatus>, JobError> {
-        let rows = self.desk.rows().await?;
+        let rows = self.job_api.read_jobs().await?;
         let mut live = IndexMap::new();
         for actor in self.supervisor.actors() {
-            let asked = actor.call(|reply| ShardMessage::Statuses { reply }, Some(ANSWER_TIME));
+            let asked = actor.call(
+                |reply| ShardMessage::Statuses { reply },
+                Some(ACTOR_REPLY_TIMEOUT),
+            );
             if let Ok(CallResult::Success(statuses)) = asked.await {
                 live.extend(statuses.into_iter().map(|status| (status.job, status)));
             }
@@ -153,7 +160,9 @@
         Ok(newest.collect())
     }
 
-    async fn status_of_any(&self, job: JobId) -> Option<JobStatus> {
+    /// Asks the actors of all owned shards for an unfinished job, for when the table cannot say
+    /// which is its home shard.
+    async fn find_live_status(&self, job: JobId) -> Option<JobStatus> {
         for actor in self.supervisor.actors() {
             if let Some(status) = live_status(&actor, job).await {
                 return Some(status);
@@ -176,11 +185,12 @@
     matches!(status.phase, JobPhase::Finished | JobPhase::Cancelled)
 }
 
-/// Asks a shard's actor. What its journal has not committed yet is not told as done.
+/// Asks a shard's actor for the status of an unfinished job. Returns `None` for an ended job,
+/// because its journal may not have committed the end yet.
 async fn live_status(actor: &ActorRef<ShardMessage>, job: JobId) -> Option<JobStatus> {
     let asked = actor.call(
         |reply| ShardMessage::Status { job, reply },
-        Some(ANSWER_TIME),
+        Some(ACTOR_REPLY_TIMEOUT),
     );
     match asked.await {
         Ok(CallResult::Success(status)) => status.filter(|status| !has_ended(status)),
--- a/crates/planner/src/record_error.rs
+++ b/crates/planner/src/record_error.rs
@@ -1,23 +1,23 @@
-//! Why a stored record cannot be read.
+//! The reason why a stored record cannot be read or encoded.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a stored record cannot be read.
+/// The reason why a stored record cannot be read or encoded.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum RecordError {
-    /// It was written by a release that this one does not know.
+    /// The record has a format version that this release does not know.
     #[display("the record has the unknown version {found}; run the release that wrote it")]
     Version {
-        /// The version found.
+        /// Version found in the record.
         found: u8,
     },
-    /// It is cut short or altered.
+    /// The record is truncated or altered.
     #[display("the record is cut short or altered")]
-    Torn,
-    /// It could not be encoded.
+    Corrupt,
+    /// The record could not be encoded.
     #[display("the record cannot be encoded")]
     Encoding,
 }
--- a/crates/planner/src/run_phase.rs
+++ b/crates/planner/src/run_phase.rs
@@ -1,33 +1,33 @@
-//! Where a run stands.
+//! The phases of a run of a task.
 
 use std::time::Duration;
 
-/// Where a run stands, as the shard's owner knows.
+/// The phase of a run as the shard's owner knows it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunPhase {
-    /// A former owner may have started it; its worker was not heard yet.
-    Unheard,
-    /// Its journal entry is not committed.
+    /// A former owner may have started the run; its worker has not been asked yet.
+    Unverified,
+    /// The journal entry of its placement is not committed.
     Committing,
-    /// It is committed and waits for room on its worker.
-    Ahead,
-    /// It may be started.
-    ToStart,
-    /// A start is on its way.
+    /// Its placement is committed, and it waits for free capacity on its worker.
+    Precommitted,
+    /// The run may be started.
+    ReadyToStart,
+    /// A start was sent and is not answered.
     Starting,
-    /// A start's answer was lost: it may run. The same start is sent again.
+    /// The answer to a start was lost, so the run may have started. The same start is sent again.
     Unconfirmed {
-        /// When to send it.
+        /// Time of the next attempt, on the monotonic clock.
         retry: Duration,
     },
-    /// It runs.
+    /// The worker runs it.
     Running,
-    /// An order to checkpoint or stop it is on its way.
+    /// A checkpoint or stop was sent and is not answered.
     Stopping,
-    /// It was told to stop, or its worker does not know it; a report asked for after this time tells
-    /// how it ended.
-    Settling {
-        /// The time.
+    /// The run was stopped, or its worker does not know it. A report that was requested after this
+    /// time contains its outcome.
+    AwaitingOutcome {
+        /// Time from which a report is recent enough, on the monotonic clock.
         since: Duration,
     },
 }
--- a/crates/planner/src/shard_actor.rs
+++ b/crates/planner/src/shard_actor.rs
@@ -1,4 +1,4 @@
-//! The actor of a shard.
+//! The actor that plans one shard.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::{
     PlannerEdges,
     PlannerSettings,
-    flight_count::FlightCount,
+    in_flight_calls::InFlightCalls,
     shard_calls::ShardCalls,
     shard_message::ShardMessage,
     shard_permit::ShardPermit,
@@ -19,34 +19,41 @@
     shard_state::ShardState, //
 };
 
-/// The actor of a shard: the only one that changes the shard's state. It never waits; its calls run
-/// beside it and answer with messages.
+/// The actor that plans one shard; only it changes the shard's state. It never waits: its calls run
+/// as separate tasks and send their results back as messages.
 pub(crate) struct ShardActor;
 
-/// What a shard's actor starts with.
-pub(crate) struct ShardStart {
+/// The arguments with which a shard's actor is started.
+pub(crate) struct ShardArguments {
     pub(crate) settings: PlannerSettings,
-    pub(crate) edges: Arc<PlannerEdges>,
+    pub(crate) dependencies: Arc<PlannerEdges>,
+    /// Checks whether this daemon may still act as the shard's owner.
     pub(crate) permit: ShardPermit,
-    pub(crate) flights: FlightCount,
-    /// Whether no other actor of this process ever acted under this epoch.
+    /// Counts the actor's calls in progress; shared with later actors of the shard.
+    pub(crate) in_flight_calls: InFlightCalls,
+    /// Whether this is the first actor in this process with the shard's current epoch.
     pub(crate) first_of_epoch: bool,
 }
 
 impl Actor for ShardActor {
     type Msg = ShardMessage;
     type State = ShardState;
-    type Arguments = ShardStart;
+    type Arguments = ShardArguments;
 
     async fn pre_start(
         &self,
         myself: ActorRef<ShardMessage>,
-        start: ShardStart,
+        start: ShardArguments,
     ) -> Result<ShardState, ActorProcessingErr> {
-        let edges = Arc::clone(&start.edges);
-        let calls = ShardCalls::new(start.permit, start.edges, myself, start.flights);
+        let dependencies = Arc::clone(&start.dependencies);
+        let calls = ShardCalls::new(
+            start.permit,
+            start.dependencies,
+            myself,
+            start.in_flight_calls,
+        );
         let first = start.first_of_epoch;
-        Ok(ShardState::new(start.settings, edges, calls, first))
+        Ok(ShardState::new(start.settings, dependencies, calls, first))
     }
 
     async fn handle(
@@ -55,34 +62,35 @@
         message: ShardMessage,
         state: &mut ShardState,
     ) -> Result<(), ActorProcessingErr> {
-        state.take(message);
+        state.handle_message(message);
         Ok(())
     }
 }
 
 impl ShardState {
-    fn take(&mut self, message: ShardMessage) {
+    /// Handles a message; a shard that another owner took over only answers queries.
+    fn handle_message(&mut self, message: ShardMessage) {
         if self.phase == ShardPhase::Deposed {
-            return self.answer_only(message);
+            return self.answer_query(message);
         }
         match message {
             ShardMessage::Tick => self.tick(),
             ShardMessage::Opened(opened) => self.on_opened(*opened),
             ShardMessage::Committed(result) => self.on_committed(result),
-            ShardMessage::SnapshotKept {
+            ShardMessage::SnapshotStored {
                 key,
                 entries,
                 result,
-            } => self.on_snapshot(key, entries, result),
-            ShardMessage::ResultsKept { job, body, result } => {
-                self.on_results_kept(job, body, result);
+            } => self.on_snapshot_stored(key, entries, result),
+            ShardMessage::ResultsStored { job, body, result } => {
+                self.on_results_stored(job, body, result);
             }
-            ShardMessage::Scanned {
+            ShardMessage::InboxScanned {
                 started,
                 submissions,
-                cancels,
-            } => self.on_scanned(started, submissions, cancels),
-            ShardMessage::Swept(rows) => self.on_swept(rows),
+                cancellations,
+            } => self.on_inbox_scanned(started, submissions, cancellations),
+            ShardMessage::JobRowsScanned(rows) => self.on_job_rows_scanned(rows),
             ShardMessage::Adopted {
                 worker,
                 sent,
@@ -109,21 +117,22 @@
                 attempt,
                 result,
             } => self.on_stopped(task, attempt, result),
-            ShardMessage::StrayStopped {
+            ShardMessage::OrphanStopped {
                 worker,
                 run,
                 result,
-            } => self.on_stray_stopped(worker, run, result.is_ok()),
-            ShardMessage::Noted => {}
+            } => self.on_orphan_stopped(worker, run, result.is_ok()),
+            ShardMessage::CallCompleted => {}
             ShardMessage::Status { .. } | ShardMessage::Statuses { .. } => {
-                self.answer_only(message);
+                self.answer_query(message);
             }
         }
     }
 
-    fn answer_only(&mut self, message: ShardMessage) {
+    /// Answers a status query and ignores every other message.
+    fn answer_query(&mut self, message: ShardMessage) {
         match message {
-            // Whoever asked may have stopped waiting.
+            // The caller may have stopped waiting.
             ShardMessage::Status { job, reply } => {
                 let _ = reply.send(self.status(job));
             }
--- a/crates/planner/src/shard_calls.rs
+++ b/crates/planner/src/shard_calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a shard's actor makes.
+//! Calls of a shard's actor to the table, the object store and workers.
 
 use std::{
     future::Future,
@@ -31,41 +31,41 @@
 
 use crate::{
     PlannerEdges,
-    call_error::CallError,
-    flight_count::FlightCount,
+    in_flight_calls::InFlightCalls,
     journal_store,
-    row_names,
+    row_keys,
     shard_message::ShardMessage,
     shard_permit::ShardPermit,
-    task_names::attempt_of,
-    trace_span, //
+    task_attempts::attempt_of,
+    trace_span,
+    worker_call_error::WorkerCallError, //
 };
 
-/// The most submissions and the most cancellation rows that are read at once.
-pub(crate) const ROWS_PER_SCAN: usize = 200;
+/// Limits the rows of one scan: submissions, cancellations or job rows.
+pub(crate) const MAX_ROWS_PER_SCAN: usize = 200;
 
-/// The calls that a shard's actor makes. Each runs by itself and answers with a message, so that a
-/// slow worker or table never keeps the actor; all end with the actor.
+/// Calls of a shard's actor. Each runs as its own task and sends its result to the actor as a
+/// message, so that a slow worker or table never blocks the actor. All end with the actor.
 pub(crate) struct ShardCalls {
     pub(crate) permit: ShardPermit,
-    pub(crate) edges: Arc<PlannerEdges>,
+    pub(crate) dependencies: Arc<PlannerEdges>,
     actor: ActorRef<ShardMessage>,
-    flights: FlightCount,
+    in_flight_calls: InFlightCalls,
     tasks: JoinSet<()>,
 }
 
 impl ShardCalls {
     pub(crate) fn new(
         permit: ShardPermit,
-        edges: Arc<PlannerEdges>,
+        dependencies: Arc<PlannerEdges>,
         actor: ActorRef<ShardMessage>,
-        flights: FlightCount,
+        in_flight_calls: InFlightCalls,
     ) -> Self {
         Self {
             permit,
-            edges,
+            dependencies,
             actor,
-            flights,
+            in_flight_calls,
             tasks: JoinSet::new(),
         }
     }
@@ -74,44 +74,54 @@
         self.permit.epoch
     }
 
-    pub(crate) fn run<Call>(&mut self, call: Call)
+    /// Starts a call as a task and sends its result to the actor.
+    pub(crate) fn spawn<Call>(&mut self, call: Call)
     where
         Call: Future<Output = ShardMessage> + Send + 'static,
     {
         while self.tasks.try_join_next().is_some() {}
-        let guard = self.flights.begin();
+        let guard = self.in_flight_calls.track();
         let actor = self.actor.clone();
         self.tasks.spawn(async move {
             let message = call.await;
             drop(guard);
-            // The actor is gone only once the shard is; nobody waits for the answer then.
+            // If the actor has ended, nothing waits for the result.
             let _ = actor.cast(message);
         });
     }
 
-    pub(crate) fn open(&mut self, write: WriteId) {
-        let edges = Arc::clone(&self.edges);
+    /// Reads the shard's journal.
+    pub(crate) fn read_journal(&mut self, write: WriteId) {
+        let dependencies = Arc::clone(&self.dependencies);
         let (shard, epoch) = (self.permit.shard, self.epoch());
-        self.run(async move {
-            let opened =
-                journal_store::open(&edges.table, &edges.objects, shard, epoch, write).await;
+        self.spawn(async move {
+            let opened = journal_store::open_journal(
+                &dependencies.table,
+                &dependencies.objects,
+                shard,
+                epoch,
+                write,
+            )
+            .await;
             ShardMessage::Opened(Box::new(opened))
         });
     }
 
+    /// Commits changes to the table.
     pub(crate) fn commit(&mut self, write: WriteId, changes: Vec<RowChange>) {
-        let edges = Arc::clone(&self.edges);
-        self.run(async move {
-            let _span = trace_span::begin("planner.commit");
-            ShardMessage::Committed(edges.table.commit(write, changes).await)
+        let dependencies = Arc::clone(&self.dependencies);
+        self.spawn(async move {
+            let _span = trace_span::start_span("planner.commit");
+            ShardMessage::Committed(dependencies.table.commit(write, changes).await)
         });
     }
 
-    pub(crate) fn keep_snapshot(&mut self, key: ObjectKey, entries: usize, body: Bytes) {
-        let edges = Arc::clone(&self.edges);
-        self.run(async move {
-            let result = edges.objects.put(&key, body).await;
-            ShardMessage::SnapshotKept {
+    /// Writes a snapshot to the object store.
+    pub(crate) fn store_snapshot(&mut self, key: ObjectKey, entries: usize, body: Bytes) {
+        let dependencies = Arc::clone(&self.dependencies);
+        self.spawn(async move {
+            let result = dependencies.objects.put(&key, body).await;
+            ShardMessage::SnapshotStored {
                 key,
                 entries,
                 result,
@@ -119,59 +129,71 @@
         });
     }
 
-    pub(crate) fn keep_results(
+    /// Writes a job's results to the object store after a delay.
+    pub(crate) fn store_results(
         &mut self,
         job: JobId,
         key: ObjectKey,
         body: Bytes,
         delay: Duration,
     ) {
-        let edges = Arc::clone(&self.edges);
-        self.run(async move {
+        let dependencies = Arc::clone(&self.dependencies);
+        self.spawn(async move {
             tokio::time::sleep(delay).await;
-            let result = edges.objects.put(&key, body.clone()).await;
-            ShardMessage::ResultsKept { job, body, result }
+            let result = dependencies.objects.put(&key, body.clone()).await;
+            ShardMessage::ResultsStored { job, body, result }
         });
     }
 
-    pub(crate) fn drop_object(&mut self, key: ObjectKey) {
-        let edges = Arc::clone(&self.edges);
-        self.run(async move {
-            // What stays behind costs room and nothing else.
-            let _ = edges.objects.delete(&key).await;
-            ShardMessage::Noted
+    /// Deletes an object.
+    pub(crate) fn delete_object(&mut self, key: ObjectKey) {
+        let dependencies = Arc::clone(&self.dependencies);
+        self.spawn(async move {
+            // An object that is not deleted only costs storage.
+            let _ = dependencies.objects.delete(&key).await;
+            ShardMessage::CallCompleted
         });
     }
 
-    pub(crate) fn sweep(&mut self, after: Option<RowKey>) {
-        let edges = Arc::clone(&self.edges);
-        self.run(async move {
-            let prefix = RowKey::from(row_names::JOBS);
-            let rows = edges.table.scan(&prefix, after.as_ref(), ROWS_PER_SCAN);
-            ShardMessage::Swept(rows.await)
+    /// Reads the next job rows after a key.
+    pub(crate) fn scan_job_rows(&mut self, after: Option<RowKey>) {
+        let dependencies = Arc::clone(&self.dependencies);
+        self.spawn(async move {
+            let prefix = RowKey::from(row_keys::JOBS_PREFIX);
+            let rows = dependencies
+                .table
+                .scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN);
+            ShardMessage::JobRowsScanned(rows.await)
         });
     }
 
-    pub(crate) fn scan(&mut self, started: Duration) {
-        let edges = Arc::clone(&self.edges);
+    /// Reads the shard's inbox and cancellations.
+    pub(crate) fn scan_inbox(&mut self, started: Duration) {
+        let dependencies = Arc::clone(&self.dependencies);
         let shard = self.permit.shard;
-        self.run(async move {
-            let inbox = row_names::inbox(shard);
-            let cancels = row_names::cancels(shard);
-            // Cancellations are read first: a job is submitted before it is cancelled, so that the
-            // second look shows every job that the first one names, or it was taken in before.
-            let cancels = edges.table.scan(&cancels, None, ROWS_PER_SCAN).await;
-            let submissions = edges.table.scan(&inbox, None, ROWS_PER_SCAN).await;
-            ShardMessage::Scanned {
+        self.spawn(async move {
+            let inbox = row_keys::inbox_prefix(shard);
+            let cancellations = row_keys::cancellations_prefix(shard);
+            // Cancellations are read first. A job is submitted before it is cancelled, so every job
+            // that the first scan names is in the second one unless it was accepted before.
+            let cancellations = dependencies
+                .table
+                .scan(&cancellations, None, MAX_ROWS_PER_SCAN)
+                .await;
+            let submissions = dependencies
+                .table
+                .scan(&inbox, None, MAX_ROWS_PER_SCAN)
+                .await;
+            ShardMessage::InboxScanned {
                 started,
                 submissions,
-                cancels,
+                cancellations,
             }
         });
     }
 
-    /// Starts a run, unless its failure domain was taken out in the meantime: the newest
-    /// configuration is looked at here, after every wait.
+    /// Starts a run unless its failure domain has been taken out. The newest configuration is
+    /// checked here, immediately before the call is sent.
     pub(crate) fn start(
         &mut self,
         task: TaskId,
@@ -179,18 +201,22 @@
         domain: DomainName,
         order: TaskOrder,
     ) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
-            let _span = trace_span::begin("planner.start");
+        self.spawn(async move {
+            let _span = trace_span::start_span("planner.start");
             let attempt = order.attempt.attempt;
-            let is_in = edges.configuration.borrow().domain_state(&domain) == DomainState::In;
-            let result = match is_in && permit.granted() {
+            let is_in =
+                dependencies.configuration.borrow().domain_state(&domain) == DomainState::In;
+            let result = match is_in && permit.is_granted() {
                 true => {
-                    let started = edges.workers.start(address, permit.epoch, order).await;
-                    started.map_err(CallError::from)
+                    let started = dependencies
+                        .workers
+                        .start(address, permit.epoch, order)
+                        .await;
+                    started.map_err(WorkerCallError::from)
                 }
-                false => Err(CallError::Withheld),
+                false => Err(WorkerCallError::NotSent),
             };
             ShardMessage::Started {
                 task,
@@ -200,17 +226,21 @@
         });
     }
 
+    /// Orders a worker to checkpoint and end a run.
     pub(crate) fn checkpoint(&mut self, task: TaskId, attempt: u32, address: SocketAddr) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
+        self.spawn(async move {
             let run = attempt_of(task, attempt);
-            let result = match permit.granted() {
+            let result = match permit.is_granted() {
                 true => {
-                    let kept = edges.workers.checkpoint(address, permit.epoch, run).await;
-                    kept.map_err(CallError::from)
+                    let kept = dependencies
+                        .workers
+                        .checkpoint(address, permit.epoch, run)
+                        .await;
+                    kept.map_err(WorkerCallError::from)
                 }
-                false => Err(CallError::Withheld),
+                false => Err(WorkerCallError::NotSent),
             };
             ShardMessage::Checkpointed {
                 task,
@@ -220,12 +250,13 @@
         });
     }
 
+    /// Orders a worker to stop a run.
     pub(crate) fn stop(&mut self, task: TaskId, attempt: u32, address: SocketAddr) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
+        self.spawn(async move {
             let run = attempt_of(task, attempt);
-            let result = stop_run(&edges, &permit, address, run).await;
+            let result = stop_run(&dependencies, &permit, address, run).await;
             ShardMessage::Stopped {
                 task,
                 attempt,
@@ -234,12 +265,13 @@
         });
     }
 
-    pub(crate) fn stop_stray(&mut self, worker: WorkerKey, run: TaskAttempt, address: SocketAddr) {
-        let edges = Arc::clone(&self.edges);
+    /// Orders a worker to stop a run that the journal does not place there.
+    pub(crate) fn stop_orphan(&mut self, worker: WorkerKey, run: TaskAttempt, address: SocketAddr) {
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
-            let result = stop_run(&edges, &permit, address, run).await;
-            ShardMessage::StrayStopped {
+        self.spawn(async move {
+            let result = stop_run(&dependencies, &permit, address, run).await;
+            ShardMessage::OrphanStopped {
                 worker,
                 run,
                 result,
@@ -247,35 +279,41 @@
         });
     }
 
+    /// Sets the speed of a run, in thousandths of full speed.
     pub(crate) fn throttle(&mut self, address: SocketAddr, run: TaskAttempt, speed: u32) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
-            if permit.granted() {
-                // The ladder judges by what is measured next, whether this arrived or not.
-                let _ = edges
+        self.spawn(async move {
+            if permit.is_granted() {
+                // The overload controller decides by the next measurements, whether this call
+                // arrived or not.
+                let _ = dependencies
                     .workers
                     .throttle(address, permit.epoch, run, speed)
                     .await;
             }
-            ShardMessage::Noted
+            ShardMessage::CallCompleted
         });
     }
 }
 
 async fn stop_run(
-    edges: &PlannerEdges,
+    dependencies: &PlannerEdges,
     permit: &ShardPermit,
     address: SocketAddr,
     run: TaskAttempt,
-) -> Result<(), CallError> {
-    withhold_unless(permit.granted())?;
-    Ok(edges.workers.stop(address, permit.epoch, run).await?)
+) -> Result<(), WorkerCallError> {
+    require_permit(permit.is_granted())?;
+    Ok(dependencies
+        .workers
+        .stop(address, permit.epoch, run)
+        .await?)
 }
 
-pub(crate) fn withhold_unless(granted: bool) -> Result<(), CallError> {
+/// Returns an error unless the permit was granted.
+pub(crate) fn require_permit(granted: bool) -> Result<(), WorkerCallError> {
     match granted {
         true => Ok(()),
-        false => Err(CallError::Withheld),
+        false => Err(WorkerCallError::NotSent),
     }
 }
--- a/crates/planner/src/shard_ends.rs
+++ b/crates/planner/src/shard_completions.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of a run.
+//! Completion of runs, and the queue entries and job states that follow from it.
 
 use std::time::Duration;
 
@@ -25,19 +25,19 @@
     commit_effect::CommitEffect,
     run_phase::RunPhase,
     shard_state::ShardState,
-    stop_wish::StopWish,
-    submit_check::quota_part,
-    task_names::attempt_of,
+    stop_request::StopRequest,
+    submit_check::quota_per_shard,
+    task_attempts::attempt_of,
     task_run::TaskRun, //
 };
 
-/// The workers on which a task fails before its job is held.
-const FAILED_ON_MOST: usize = 3;
-/// The time that a run is expected to take while nothing is declared or learned.
-const RUN_TIME: Duration = Duration::from_secs(60);
+/// A task that fails on this many workers gets its job held.
+const MAX_FAILED_WORKERS: usize = 3;
+/// Expected run time of a task if none is declared or learned.
+const DEFAULT_RUN_TIME: Duration = Duration::from_secs(60);
 
 impl ShardState {
-    /// Makes the runs and the queue of a ledger that was just read.
+    /// Creates the runs and the queue entries of a ledger that was just read.
     pub(crate) fn resume_jobs(&mut self) {
         let jobs: Vec<JobId> = self.ledger.jobs().map(|(job, _)| job).collect();
         for job in jobs {
@@ -45,6 +45,7 @@
         }
     }
 
+    /// Creates the runs and queue entries of one job.
     fn resume_job(&mut self, job: JobId) {
         let Some(record) = self.ledger.job(job) else {
             return;
@@ -65,13 +66,13 @@
             match state {
                 TaskState::Queued => self.enqueue(task),
                 TaskState::Placed { worker, reserved } => {
-                    let key = self.worker_of(&worker);
+                    let key = self.worker_named(&worker);
                     let mut run = TaskRun::new(attempt, key, class, kind, reserved);
-                    run.phase = RunPhase::Unheard;
+                    run.phase = RunPhase::Unverified;
                     run.maybe_started = true;
-                    self.add_run(task, run);
+                    self.track_run(task, run);
                     if cancelled {
-                        self.wish(task, StopWish::Stop);
+                        self.request_stop(task, StopRequest::Stop);
                     }
                 }
                 TaskState::Finished { .. } | TaskState::Cancelled => {}
@@ -79,22 +80,22 @@
         }
     }
 
-    /// Follows a run and sets its room aside.
-    pub(crate) fn add_run(&mut self, task: TaskId, run: TaskRun) {
+    /// Tracks a run and reserves its capacity.
+    pub(crate) fn track_run(&mut self, task: TaskId, run: TaskRun) {
         let key = run.worker;
-        self.pool.reserve(run.worker, run.class, run.counted);
+        self.pool.reserve(run.worker, run.class, run.reservation);
         if run.kind == ClassKind::Batch
             && let Some(job) = self.ledger.job(task.job)
         {
             let team = job.spec.team.clone();
-            *self.team_used.entry(team).or_default() += run.counted;
+            *self.team_usage.entry(team).or_default() += run.reservation;
         }
         self.links[&run.worker].runs.insert(task);
         self.runs.insert(task, run);
-        self.note_company(key);
+        self.record_colocation(key);
     }
 
-    /// Puts a task into the queue, unless its job is held.
+    /// Queues a task, unless its job is held or cancelled.
     pub(crate) fn enqueue(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else {
             return;
@@ -107,6 +108,8 @@
         self.plan_due = true;
     }
 
+    /// Returns the latest time at which a task of a job can start and still meet its class's
+    /// target.
     fn latest_start(&self, job: &JobRecord) -> LatestStart {
         let waited = Duration::from_millis(self.wall_ms().saturating_sub(job.submitted_ms));
         let configuration = self.configuration.borrow();
@@ -115,16 +118,16 @@
             .map(|class| class.target)
         {
             Some(ClassTarget::FinishWithin(target)) => target,
-            // Callers wait for a service: each of its tasks is late from the start.
+            // Callers wait for a service, so its tasks are already late when they are submitted.
             Some(ClassTarget::AnswerWithin(_)) | None => Duration::ZERO,
         };
         let key = self.learned.classes.get(&job.spec.team, &job.spec.class);
         let learned = key.and_then(|key| self.learned.usage.run_time(key));
-        let run_time = learned.or(job.spec.run_time).unwrap_or(RUN_TIME);
+        let run_time = learned.or(job.spec.run_time).unwrap_or(DEFAULT_RUN_TIME);
         LatestStart::new(self.now(), waited, target, run_time)
     }
 
-    /// Ends a run in memory and in the journal, and gives its room back.
+    /// Ends a run in memory and in the journal, and releases its capacity.
     pub(crate) fn end_run(&mut self, task: TaskId, end: RunOutcome) {
         let Some(run) = self.runs.get(&task) else {
             return;
@@ -133,65 +136,68 @@
         let name = attempt_of(task, attempt);
         let effect = match run.maybe_started {
             true => CommitEffect::Acknowledge(worker, name),
-            false => CommitEffect::Nothing,
+            false => CommitEffect::NoEffect,
         };
         if run.maybe_started {
-            self.ending.insert(name);
+            self.uncommitted_ends.insert(name);
         }
-        let Some(run) = self.remove_run(task) else {
+        let Some(run) = self.untrack_run(task) else {
             return;
         };
-        metrics::counter!("jasminebend_planner_run_ends_total", "end" => end_label(&end))
+        metrics::counter!("jasminebend_planner_run_ends_total", "end" => outcome_label(&end))
             .increment(1);
         let failed = matches!(end, RunOutcome::Failed { .. });
         if matches!(end, RunOutcome::Finished { .. }) {
-            self.note_success(worker, &run);
+            self.record_success(worker, &run);
         }
         let transition = JobTransition::Ended {
             task,
             attempt,
             end,
-            ran_ms: self.ran_ms(&run),
+            ran_ms: self.run_duration_ms(&run),
         };
         if !self.record(transition, effect) {
             return;
         }
         if failed {
-            self.note_failure(task, worker);
+            self.record_failure(task, worker);
         }
         self.continue_task(task, &run);
     }
 
-    fn ran_ms(&self, run: &TaskRun) -> u64 {
-        if run.since.is_zero() {
+    /// Returns how long a run has been running, in milliseconds; zero if it was never seen running.
+    fn run_duration_ms(&self, run: &TaskRun) -> u64 {
+        if run.running_since.is_zero() {
             return 0;
         }
-        let ran = self.now().saturating_sub(run.since);
+        let ran = self.now().saturating_sub(run.running_since);
         u64::try_from(ran.as_millis()).unwrap_or(u64::MAX)
     }
 
+    /// Queues a task again, or completes its move, after a run of it ended.
     fn continue_task(&mut self, task: TaskId, run: &TaskRun) {
         let state = self.ledger.task(task).map(|record| &record.state);
         let queued = state == Some(&TaskState::Queued);
-        match run.moving_to {
+        match run.move_target {
             Some(target) => self.finish_move(task, run, target, queued),
             None if queued => self.enqueue(task),
             None => {}
         }
     }
 
-    /// Gives a run up whose worker lost it, or that its worker has surely stopped.
-    pub(crate) fn lose_run(&mut self, task: TaskId) {
+    /// Ends a run as lost because its worker does not have it any more or is certain to have
+    /// stopped it.
+    pub(crate) fn end_run_as_lost(&mut self, task: TaskId) {
         let Some(run) = self.runs.get(&task) else {
             return;
         };
         let name = attempt_of(task, run.attempt);
         match run.phase {
-            RunPhase::Starting | RunPhase::Committing | RunPhase::Ahead => return,
-            RunPhase::ToStart if !run.maybe_started => return,
-            RunPhase::Running | RunPhase::Settling { .. } | RunPhase::Unheard => {}
-            // A start of it may still be on its way: its worker must refuse it before it is adopted
-            // anew.
+            RunPhase::Starting | RunPhase::Committing | RunPhase::Precommitted => return,
+            RunPhase::ReadyToStart if !run.maybe_started => return,
+            RunPhase::Running | RunPhase::AwaitingOutcome { .. } | RunPhase::Unverified => {}
+            // A start of the run may still be in transit; the worker must reject it before it is
+            // adopted again.
             _ => self.links[&run.worker].late_starts.push(name),
         }
         let cancelled = self.ledger.job(task.job).is_some_and(|job| job.cancelled);
@@ -202,50 +208,53 @@
         self.end_run(task, end);
     }
 
-    fn remove_run(&mut self, task: TaskId) -> Option<TaskRun> {
+    /// Removes a run and releases its capacity and quota.
+    fn untrack_run(&mut self, task: TaskId) -> Option<TaskRun> {
         let run = self.runs.swap_remove(&task)?;
-        if run.holds_room {
-            self.pool.release(run.worker, run.class, run.counted);
+        if run.holds_capacity {
+            self.pool.release(run.worker, run.class, run.reservation);
         }
-        self.links[&run.worker].ahead.shift_remove(&task);
+        self.links[&run.worker].precommitted.shift_remove(&task);
         self.links[&run.worker].runs.swap_remove(&task);
-        self.note_company(run.worker);
+        self.record_colocation(run.worker);
         if run.kind == ClassKind::Batch
             && let Some(job) = self.ledger.job(task.job)
-            && let Some(used) = self.team_used.get_mut(&job.spec.team)
+            && let Some(used) = self.team_usage.get_mut(&job.spec.team)
         {
-            *used = used.saturating_sub(run.counted);
+            *used = used.saturating_sub(run.reservation);
         }
         Some(run)
     }
 
-    fn note_success(&mut self, worker: WorkerKey, run: &TaskRun) {
-        let took = self.now().saturating_sub(run.since);
-        if !run.since.is_zero() {
+    /// Learns the run time of a successful run, and resets the failures of its worker.
+    fn record_success(&mut self, worker: WorkerKey, run: &TaskRun) {
+        let took = self.now().saturating_sub(run.running_since);
+        if !run.running_since.is_zero() {
             self.learned.usage.observe_run(run.class, took);
         }
-        self.note_worker_success(worker);
+        self.record_worker_success(worker);
     }
 
-    /// Holds a job one of whose tasks fails wherever it runs. The first failure counts against the
-    /// worker; from the second worker on the job is to blame, unless those workers are set aside.
-    fn note_failure(&mut self, task: TaskId, worker: WorkerKey) {
+    /// Records the failure of a task, and holds its job if the task fails on too many workers. The
+    /// first failure counts against the worker. From the second worker on the job is considered
+    /// faulty, unless those workers are quarantined.
+    fn record_failure(&mut self, task: TaskId, worker: WorkerKey) {
         let Some(record) = self.ledger.task(task) else {
             return;
         };
         let failed_on = record.failed_on.clone();
         let code = record.last_failure_code;
         match failed_on.len() {
-            0 | 1 => self.note_worker_failure(worker, task.job),
-            _ => self.forgive_workers(task.job),
+            0 | 1 => self.record_worker_failure(worker, task.job),
+            _ => self.clear_job_failures(task.job),
         }
         let blameless = |name: &&VmName| {
             let link = self.pool.key_of(name).and_then(|key| self.links.get(&key));
-            link.is_none_or(|link| link.set_aside.is_none())
+            link.is_none_or(|link| link.quarantined_until.is_none())
         };
         let distinct = failed_on.iter().filter(blameless).count();
         let listed = self.links.values().filter(|link| link.listed).count();
-        if distinct < FAILED_ON_MOST.min(listed) {
+        if distinct < MAX_FAILED_WORKERS.min(listed) {
             return;
         }
         let reason = HoldReason::FailedOnSeveralWorkers {
@@ -256,9 +265,11 @@
         warn!("[planner] Job {} is held: {}.", task.job, reason);
         let job = task.job;
         self.queue.remove(job);
-        self.record(JobTransition::Held { job, reason }, CommitEffect::Nothing);
+        self.record(JobTransition::Held { job, reason }, CommitEffect::NoEffect);
     }
 
+    /// Returns whether a task of this size fits into the shard's part of the team's quota; services
+    /// are not limited.
     pub(crate) fn quota_allows(&self, job: &JobRecord, size: ResourceAmount) -> bool {
         if job.kind == ClassKind::Service {
             return true;
@@ -267,13 +278,14 @@
         let Some(quota) = configuration.team(&job.spec.team) else {
             return true;
         };
-        let used = self.team_used.get(&job.spec.team).copied();
-        let part = quota_part(quota.limit, self.settings.shards);
+        let used = self.team_usage.get(&job.spec.team).copied();
+        let part = quota_per_shard(quota.limit, self.settings.shards);
         size.fits_in(part.saturating_sub(used.unwrap_or_default()))
     }
 }
 
-fn end_label(end: &RunOutcome) -> &'static str {
+/// Returns the metric label of an outcome.
+fn outcome_label(end: &RunOutcome) -> &'static str {
     match end {
         RunOutcome::Finished { .. } => "finished",
         RunOutcome::Failed { .. } => "failed",
--- a/crates/planner/src/shard_domains.rs
+++ b/crates/planner/src/shard_domains.rs
@@ -1,4 +1,4 @@
-//! What follows when failure domains and VMs leave.
+//! Moves tasks away from failure domains and VMs that are taken out of use.
 
 use std::time::Duration;
 
@@ -17,15 +17,15 @@
 use crate::{
     run_phase::RunPhase,
     shard_state::ShardState,
-    stop_wish::StopWish,
+    stop_request::StopRequest,
     task_run::TaskRun, //
 };
 
-/// How often services that found no other place are looked at again.
-const MOVE_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which services without another worker are tried again.
+const MOVE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl ShardState {
-    /// Follows the configuration.
+    /// Applies a changed configuration, and moves tasks out of closed failure domains.
     pub(crate) fn refresh_configuration(&mut self, now: Duration) {
         if self.configuration.has_changed().unwrap_or(false) {
             let configuration = self.configuration.borrow_and_update().clone();
@@ -45,62 +45,64 @@
             self.next_move = now;
         }
         if now >= self.next_move {
-            self.next_move = now + MOVE_EVERY;
-            self.leave_domains();
+            self.next_move = now + MOVE_INTERVAL;
+            self.drain_closed_domains();
         }
     }
 
-    fn leave_domains(&mut self) {
+    /// Moves tasks away from every worker in a closed failure domain.
+    fn drain_closed_domains(&mut self) {
         let links = self.links.iter();
         let leaving = links
             .filter(|(_, link)| !link.runs.is_empty() && !self.pool.is_domain_open(&link.domain));
         let keys: Vec<WorkerKey> = leaving.map(|(key, _)| *key).collect();
         for key in keys {
-            self.leave_worker(key);
+            self.drain_worker(key);
         }
     }
 
-    /// Has everything leave a worker: batch work by checkpoint, services one by one as other places
-    /// are found for them.
-    pub(crate) fn leave_worker(&mut self, key: WorkerKey) {
+    /// Moves all tasks away from a worker: batch tasks by checkpoint, services one at a time as
+    /// other workers are found for them.
+    pub(crate) fn drain_worker(&mut self, key: WorkerKey) {
         let runs: Vec<TaskId> = self.links[&key].runs.iter().copied().collect();
         for task in runs {
             match self.runs[&task].kind {
-                ClassKind::Batch => self.wish(task, StopWish::Leave),
+                ClassKind::Batch => self.request_stop(task, StopRequest::CheckpointOrStop),
                 ClassKind::Service => self.move_service(task),
             }
         }
     }
 
-    /// Keeps a place for a service elsewhere, and only then has it leave.
+    /// Reserves capacity for a service on another worker, and only then stops it.
     fn move_service(&mut self, task: TaskId) {
         let run = &self.runs[&task];
-        if run.moving_to.is_some() {
+        if run.move_target.is_some() {
             return;
         }
         if run.phase != RunPhase::Running {
-            // It was not begun, or may not have been: nobody is served by it yet.
-            self.wish(task, StopWish::Leave);
+            // The service has not started, or may not have: it serves no requests yet.
+            self.request_stop(task, StopRequest::CheckpointOrStop);
             return;
         }
-        let (class, size) = (run.class, run.counted);
-        let Some(target) = self.place_elsewhere(task, class) else {
+        let (class, size) = (run.class, run.reservation);
+        let Some(target) = self.find_other_worker(task, class) else {
             return;
         };
         self.pool.reserve(target, class, size);
         if let Some(run) = self.runs.get_mut(&task) {
-            run.moving_to = Some(target);
+            run.move_target = Some(target);
         }
-        self.wish(task, StopWish::Leave);
+        self.request_stop(task, StopRequest::CheckpointOrStop);
     }
 
-    fn place_elsewhere(&self, task: TaskId, class: ClassKey) -> Option<WorkerKey> {
+    /// Chooses another worker for a service.
+    fn find_other_worker(&self, task: TaskId, class: ClassKey) -> Option<WorkerKey> {
         let run = self.runs.get(&task)?;
         let record = self.ledger.task(task)?;
         let demand = TaskDemand {
             class,
             kind: ClassKind::Service,
-            size: run.counted,
+            size: run.reservation,
             failed_on: &record.failed_on,
             job_tasks_by_domain: &[],
             urgent: true,
@@ -111,7 +113,8 @@
             .ok()
     }
 
-    /// Starts a service at the place that was kept for it.
+    /// Starts a service on the worker where capacity was reserved for it, or queues it if that
+    /// worker is not open any more.
     pub(crate) fn finish_move(
         &mut self,
         task: TaskId,
@@ -119,7 +122,7 @@
         target: WorkerKey,
         queued: bool,
     ) {
-        self.pool.release(target, run.class, run.counted);
+        self.pool.release(target, run.class, run.reservation);
         if !queued {
             return;
         }
@@ -127,7 +130,7 @@
         let still_open = worker.condition == jasminebend_placement::WorkerCondition::Open
             && self.pool.is_domain_open(&worker.domain);
         match still_open {
-            true => self.place(task, target, run.class, run.counted),
+            true => self.place(task, target, run.class, run.reservation),
             false => self.enqueue(task),
         }
     }
--- a/crates/planner/src/shard_health.rs
+++ b/crates/planner/src/shard_health.rs
@@ -1,4 +1,4 @@
-//! Workers on which everything fails.
+//! Quarantines workers on which every task fails.
 
 use std::time::Duration;
 
@@ -19,37 +19,44 @@
     shard_state::ShardState, //
 };
 
-/// The distinct jobs that fail on a worker, with none finishing, before it is set aside.
-const FAILED_JOBS_MOST: usize = 3;
-/// How long it is set aside before it is probed, doubled with each probe that fails.
-const SET_ASIDE: Duration = Duration::from_secs(60);
-const SET_ASIDE_MOST: Duration = Duration::from_secs(1800);
+/// A worker is quarantined after this many distinct jobs failed on it while no task finished.
+const MAX_FAILED_JOBS: usize = 3;
+/// Length of the first quarantine; it doubles with each failed probe.
+const MIN_QUARANTINE: Duration = Duration::from_secs(60);
+/// Upper limit of a quarantine's length.
+const MAX_QUARANTINE: Duration = Duration::from_secs(1800);
 
 impl ShardState {
-    pub(crate) fn note_worker_success(&mut self, key: WorkerKey) {
+    /// Clears the failures of a worker and ends its quarantine.
+    pub(crate) fn record_worker_success(&mut self, key: WorkerKey) {
         let link = &mut self.links[&key];
         link.failed_jobs.clear();
         link.probing = false;
-        if link.set_aside.take().is_some() {
-            link.set_aside_for = Duration::ZERO;
-            info!("[planner] Worker {} is used again.", link.address);
+        if link.quarantined_until.take().is_some() {
+            link.quarantine_duration = Duration::ZERO;
+            info!(
+                "[planner] Worker {} is no longer quarantined.",
+                link.address
+            );
             self.refresh_condition(key);
         }
     }
 
-    pub(crate) fn note_worker_failure(&mut self, key: WorkerKey, job: JobId) {
+    /// Records a failure on a worker, and quarantines it after too many or after a failed probe.
+    pub(crate) fn record_worker_failure(&mut self, key: WorkerKey, job: JobId) {
         let now = self.now();
         let link = &mut self.links[&key];
         link.failed_jobs.insert(job);
         let probed = std::mem::take(&mut link.probing);
-        let known = link.set_aside.is_some() || link.failed_jobs.len() < FAILED_JOBS_MOST;
+        let known = link.quarantined_until.is_some() || link.failed_jobs.len() < MAX_FAILED_JOBS;
         if !probed && known {
             return;
         }
-        link.set_aside_for = (link.set_aside_for * 2).clamp(SET_ASIDE, SET_ASIDE_MOST);
-        link.set_aside = Some(now + link.set_aside_for);
+        link.quarantine_duration =
+            (link.quarantine_duration * 2).clamp(MIN_QUARANTINE, MAX_QUARANTINE);
+        link.quarantined_until = Some(now + link.quarantine_duration);
         warn!(
-            "[planner] Worker {} is set aside: {} jobs failed on it.",
+            "[planner] Worker {} is quarantined: {} jobs failed on it.",
             link.address,
             link.failed_jobs.len()
         );
@@ -57,14 +64,16 @@
         self.refresh_condition(key);
     }
 
-    /// Clears the workers of a job that fails elsewhere too: it tells nothing of them.
-    pub(crate) fn forgive_workers(&mut self, job: JobId) {
+    /// Removes the failures of a job that fails on other workers too; they say nothing about the
+    /// workers.
+    pub(crate) fn clear_job_failures(&mut self, job: JobId) {
         let mut cleared = Vec::new();
         for (key, link) in &mut self.links {
             link.probing = false;
             let known = link.failed_jobs.swap_remove(&job);
-            if known && link.set_aside.is_some() && link.failed_jobs.len() < FAILED_JOBS_MOST {
-                link.set_aside = None;
+            if known && link.quarantined_until.is_some() && link.failed_jobs.len() < MAX_FAILED_JOBS
+            {
+                link.quarantined_until = None;
                 cleared.push(*key);
             }
         }
@@ -73,11 +82,11 @@
         }
     }
 
-    /// Gives each worker whose time has come one batch task to prove itself with.
+    /// Places one batch task as a probe on each worker whose quarantine is over.
     pub(crate) fn probe_workers(&mut self, now: Duration) {
         let links = self.links.iter();
         let due = links.filter(|(_, link)| {
-            link.set_aside.is_some_and(|time| time <= now)
+            link.quarantined_until.is_some_and(|time| time <= now)
                 && !link.probing
                 && link.phase == LinkPhase::Adopted
                 && link.listed
@@ -90,8 +99,9 @@
         }
     }
 
+    /// Places a probe task on a quarantined worker.
     fn probe_worker(&mut self, key: WorkerKey) {
-        let Some((job, task)) = self.probe_for(key) else {
+        let Some((job, task)) = self.find_probe_task(key) else {
             return;
         };
         let Some(record) = self.ledger.job(job) else {
@@ -107,12 +117,12 @@
         self.place(task, key, class, size);
     }
 
-    /// Finds a batch task that fits and did not fail there.
-    fn probe_for(&self, key: WorkerKey) -> Option<(JobId, TaskId)> {
+    /// Finds a queued batch task that fits on a worker and has not failed there.
+    fn find_probe_task(&self, key: WorkerKey) -> Option<(JobId, TaskId)> {
         let worker = self.pool.worker(key);
-        let mut at: Option<(LatestStart, JobId)> = None;
-        while let Some((start, job)) = self.queue.next_after(at) {
-            at = Some((start, job));
+        let mut last: Option<(LatestStart, JobId)> = None;
+        while let Some((start, job)) = self.queue.next_after(last) {
+            last = Some((start, job));
             let task = self.queue.peek(job)?;
             let record = self.ledger.job(job)?;
             let failed_on = &self.ledger.task(task)?.failed_on;
--- a/crates/planner/src/shard_inbox.rs
+++ b/crates/planner/src/shard_inbox.rs
@@ -1,4 +1,4 @@
-//! How a shard's owner takes in submissions and cancellations.
+//! Accepts submissions and cancellations from the shard's inbox.
 
 use std::time::Duration;
 
@@ -21,24 +21,29 @@
     inbox_entry::InboxEntry,
     journal_writer::JournalWriter,
     record_codec,
-    shard_calls::ROWS_PER_SCAN,
+    shard_calls::MAX_ROWS_PER_SCAN,
     shard_state::ShardState, //
 };
 
 impl ShardState {
-    pub(crate) fn scan(&mut self, now: Duration) {
+    /// Starts a scan of the inbox if one is due.
+    pub(crate) fn scan_inbox(&mut self, now: Duration) {
         if self.scanning || now < self.next_scan {
             return;
         }
-        self.tell_gauges();
+        self.record_gauges();
         self.scanning = true;
-        self.next_scan = now + self.settings.scan_every;
-        self.calls.scan(now);
+        self.next_scan = now + self.settings.scan_interval;
+        self.calls.scan_inbox(now);
     }
 
-    fn tell_gauges(&self) {
+    /// Sets the shard's gauges.
+    fn record_gauges(&self) {
         let shard = self.calls.permit.shard.to_string();
-        let waiting = self.writer.as_ref().map_or(0, JournalWriter::waiting);
+        let waiting = self
+            .writer
+            .as_ref()
+            .map_or(0, JournalWriter::pending_entries);
         let open = self.pool.workers();
         let open = open.filter(|(_, worker)| worker.condition == WorkerCondition::Open);
         let gauges = [
@@ -53,30 +58,32 @@
         }
     }
 
-    pub(crate) fn on_scanned(
+    /// Accepts the submissions and cancellations of a finished scan.
+    pub(crate) fn on_inbox_scanned(
         &mut self,
         started: Duration,
         submissions: Result<Vec<TableRow>, TableError>,
-        cancels: Result<Vec<TableRow>, TableError>,
+        cancellations: Result<Vec<TableRow>, TableError>,
     ) {
         self.scanning = false;
-        let (Ok(submissions), Ok(cancels)) = (submissions, cancels) else {
-            self.unread = true;
+        let (Ok(submissions), Ok(cancellations)) = (submissions, cancellations) else {
+            self.inbox_scan_failed = true;
             return;
         };
-        self.unread = false;
+        self.inbox_scan_failed = false;
         for row in &submissions {
-            self.take_in(row);
+            self.accept_submission(row);
         }
-        let all_seen = submissions.len() < ROWS_PER_SCAN;
-        for row in &cancels {
-            self.take_cancels(row, all_seen);
+        let all_submissions_read = submissions.len() < MAX_ROWS_PER_SCAN;
+        for row in &cancellations {
+            self.accept_cancellations(row, all_submissions_read);
         }
-        if !all_seen {
+        if !all_submissions_read {
             self.next_scan = self.now();
         }
-        // A row that an earlier scan saw may be gone by now, and its job ended: a scan that began
-        // after the commit cannot show it again.
+        // An inbox row that a scan returns may have been deleted meanwhile, and its job ended. A
+        // scan that began after that commit cannot return the row again, so the job can be
+        // forgotten.
         self.accepted
             .retain(|_, committed| committed.is_none_or(|time| time >= started));
         let now = self.now();
@@ -84,11 +91,12 @@
         self.commit(now);
     }
 
-    fn take_in(&mut self, row: &TableRow) {
+    /// Accepts a submission, unless it is already accepted.
+    fn accept_submission(&mut self, row: &TableRow) {
         let entry: InboxEntry = match record_codec::decode(&row.value) {
             Ok(entry) => entry,
             Err(error) => {
-                return self.leave_alone(row, error);
+                return self.skip_unreadable_row(row, error);
             }
         };
         let job = entry.job;
@@ -110,19 +118,19 @@
         }
     }
 
-    /// Takes cancellations in. While some submissions were not read yet, a job that is not known may be
-    /// among them; its cancellation is kept for the next look, or the job would run for good.
-    fn take_cancels(&mut self, row: &TableRow, all_seen: bool) {
+    /// Accepts cancellations. While some submissions are still unread, an unknown job may be among
+    /// them; its cancellation is then kept for the next scan, or the job would never be cancelled.
+    fn accept_cancellations(&mut self, row: &TableRow, all_submissions_read: bool) {
         let jobs: Vec<JobId> = match record_codec::decode(&row.value) {
             Ok(jobs) => jobs,
             Err(error) => {
-                return self.leave_alone(row, error);
+                return self.skip_unreadable_row(row, error);
             }
         };
         for job in jobs {
             self.cancel(job);
         }
-        if !all_seen {
+        if !all_submissions_read {
             return;
         }
         if let Some(writer) = &mut self.writer {
@@ -131,22 +139,25 @@
         }
     }
 
-    /// Leaves a row that cannot be read for a release that can, and tells so once.
-    fn leave_alone(&mut self, row: &TableRow, error: RecordError) {
-        if self.left_alone.insert(row.key.clone()) {
-            warn!("[planner] Row {} is left alone: {}.", row.key, error);
+    /// Keeps an unreadable row for a release that can read it, and logs it once.
+    fn skip_unreadable_row(&mut self, row: &TableRow, error: RecordError) {
+        if self.unreadable_rows.insert(row.key.clone()) {
+            warn!(
+                "[planner] Row {} cannot be read and is skipped: {}.",
+                row.key, error
+            );
             metrics::counter!("jasminebend_planner_unreadable_rows_total").increment(1);
         }
     }
 
-    /// Gives a job up; a second time, or after its end, changes nothing.
+    /// Cancels a job; has no effect on an unknown or already cancelled one.
     fn cancel(&mut self, job: JobId) {
         if self.ledger.job(job).is_none_or(|record| record.cancelled) {
             return;
         }
         self.queue.remove(job);
-        self.reasons.swap_remove(&job);
+        self.wait_reasons.swap_remove(&job);
         let transition = JobTransition::Cancelled { job };
-        self.record(transition, CommitEffect::StopAll(job));
+        self.record(transition, CommitEffect::StopJob(job));
     }
 }
--- a/crates/planner/src/shard_lease_calls.rs
+++ b/crates/planner/src/shard_lease_calls.rs
@@ -1,4 +1,4 @@
-//! The calls by which a shard's actor holds its workers.
+//! Calls that adopt workers and renew their leases.
 
 use std::{
     net::SocketAddr,
@@ -14,16 +14,17 @@
 };
 
 use crate::{
-    call_error::CallError,
     shard_calls::{
         ShardCalls,
-        withhold_unless, //
+        require_permit, //
     },
-    shard_message::ShardMessage, //
+    shard_message::ShardMessage,
+    worker_call_error::WorkerCallError, //
 };
 
 impl ShardCalls {
-    /// Adopts a worker, after having it refuse the starts that may still be on their way.
+    /// Adopts a worker, after stopping the runs whose starts may still be in transit, so that the
+    /// worker rejects those starts.
     pub(crate) fn adopt(
         &mut self,
         worker: WorkerKey,
@@ -31,21 +32,24 @@
         late_starts: Vec<TaskAttempt>,
         adoption: EpochAdoption,
     ) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
-            let sent = edges.clock.monotonic();
+        self.spawn(async move {
+            let sent = dependencies.clock.monotonic();
             let result = async {
                 for run in late_starts {
-                    withhold_unless(permit.granted())?;
-                    let stopped = edges.workers.stop(address, adoption.epoch, run).await;
+                    require_permit(permit.is_granted())?;
+                    let stopped = dependencies
+                        .workers
+                        .stop(address, adoption.epoch, run)
+                        .await;
                     if let Err(error @ (WorkerError::Unreachable | WorkerError::Unknown)) = stopped
                     {
-                        return Err(CallError::from(error));
+                        return Err(WorkerCallError::from(error));
                     }
                 }
-                withhold_unless(permit.granted())?;
-                Ok(edges.workers.adopt(address, adoption).await?)
+                require_permit(permit.is_granted())?;
+                Ok(dependencies.workers.adopt(address, adoption).await?)
             };
             let result = result.await;
             ShardMessage::Adopted {
@@ -56,20 +60,21 @@
         });
     }
 
+    /// Renews a worker's lease and requests its report.
     pub(crate) fn renew(&mut self, worker: WorkerKey, address: SocketAddr, renewal: LeaseRenewal) {
-        let edges = Arc::clone(&self.edges);
+        let dependencies = Arc::clone(&self.dependencies);
         let permit = self.permit.clone();
-        self.run(async move {
-            let sent = edges.clock.monotonic();
+        self.spawn(async move {
+            let sent = dependencies.clock.monotonic();
             let acknowledged = renewal.acknowledged.clone();
-            let result = match permit.granted() {
-                true => edges.workers.renew(address, renewal).await,
+            let result = match permit.is_granted() {
+                true => dependencies.workers.renew(address, renewal).await,
                 false => {
                     return ShardMessage::Renewed {
                         worker,
                         sent,
                         acknowledged,
-                        result: Err(CallError::Withheld),
+                        result: Err(WorkerCallError::NotSent),
                     };
                 }
             };
@@ -77,7 +82,7 @@
                 worker,
                 sent,
                 acknowledged,
-                result: result.map_err(CallError::from),
+                result: result.map_err(WorkerCallError::from),
             }
         });
     }
--- a/crates/planner/src/shard_message.rs
+++ b/crates/planner/src/shard_message.rs
@@ -1,4 +1,4 @@
-//! What a shard's actor is told.
+//! Messages to a shard's actor.
 
 use std::time::Duration;
 
@@ -24,83 +24,84 @@
 use crate::{
     JobStatus,
     JournalError,
-    call_error::CallError,
-    journal_store::OpenJournal, //
+    journal_store::OpenJournal,
+    worker_call_error::WorkerCallError, //
 };
 
-/// What a shard's actor is told: the time, the answers to its calls, and questions.
+/// Messages to a shard's actor: ticks, results of its calls, and queries.
 #[derive(Debug)]
 pub(crate) enum ShardMessage {
-    /// Look at what is due.
+    /// Do the work that is due.
     Tick,
-    /// The journal was read.
+    /// The journal was read, or could not be read.
     Opened(Box<Result<OpenJournal, JournalError>>),
-    /// A commit was answered.
+    /// The table answered a commit, or did not.
     Committed(Result<CommitOutcome, TableError>),
-    /// A snapshot that holds the first `entries` waiting entries was written.
-    SnapshotKept {
+    /// A snapshot that contains the first `entries` pending entries was written, or could not be.
+    SnapshotStored {
         key: ObjectKey,
         entries: usize,
         result: Result<(), ObjectError>,
     },
-    /// A job's results were written to the object store.
-    ResultsKept {
+    /// A job's results were written to the object store, or could not be.
+    ResultsStored {
         job: JobId,
         body: Bytes,
         result: Result<(), ObjectError>,
     },
-    /// The inbox was read.
-    Scanned {
+    /// Submissions and cancellations were read; `started` is when the scan began.
+    InboxScanned {
         started: Duration,
         submissions: Result<Vec<TableRow>, TableError>,
-        cancels: Result<Vec<TableRow>, TableError>,
+        cancellations: Result<Vec<TableRow>, TableError>,
     },
-    /// Some rows of jobs were read.
-    Swept(Result<Vec<TableRow>, TableError>),
-    /// A worker answered an adoption.
+    /// A page of job rows was read.
+    JobRowsScanned(Result<Vec<TableRow>, TableError>),
+    /// An adoption was answered or failed; `sent` is when it was sent.
     Adopted {
         worker: WorkerKey,
         sent: Duration,
-        result: Result<WorkerInventory, CallError>,
+        result: Result<WorkerInventory, WorkerCallError>,
     },
-    /// A worker answered a renewal.
+    /// A lease renewal was answered or failed; `sent` is when it was sent, and `acknowledged` the
+    /// completions that it confirmed.
     Renewed {
         worker: WorkerKey,
         sent: Duration,
         acknowledged: Vec<TaskAttempt>,
-        result: Result<WorkerReport, CallError>,
+        result: Result<WorkerReport, WorkerCallError>,
     },
-    /// A worker answered a start.
+    /// A start was answered or failed.
     Started {
         task: TaskId,
         attempt: u32,
-        result: Result<(), CallError>,
+        result: Result<(), WorkerCallError>,
     },
-    /// A worker answered a checkpoint.
+    /// A checkpoint was answered or failed.
     Checkpointed {
         task: TaskId,
         attempt: u32,
-        result: Result<CheckpointId, CallError>,
+        result: Result<CheckpointId, WorkerCallError>,
     },
-    /// A worker answered a stop.
+    /// A stop was answered or failed.
     Stopped {
         task: TaskId,
         attempt: u32,
-        result: Result<(), CallError>,
+        result: Result<(), WorkerCallError>,
     },
-    /// A worker answered the stop of a run that belongs nowhere.
-    StrayStopped {
+    /// The stop of an orphaned run was answered or failed.
+    OrphanStopped {
         worker: WorkerKey,
         run: TaskAttempt,
-        result: Result<(), CallError>,
+        result: Result<(), WorkerCallError>,
     },
-    /// A call whose answer changes nothing was answered.
-    Noted,
-    /// What is known of a job?
+    /// A call whose result has no effect ended.
+    CallCompleted,
+    /// Query for the status of one job; answered with `None` if the shard does not have it.
     Status {
         job: JobId,
         reply: RpcReplyPort<Option<JobStatus>>,
     },
-    /// What is known of all jobs?
+    /// Query for the status of all jobs of the shard.
     Statuses { reply: RpcReplyPort<Vec<JobStatus>> },
 }
--- a/crates/planner/src/shard_permit.rs
+++ b/crates/planner/src/shard_permit.rs
@@ -1,4 +1,4 @@
-//! Whether a shard's owner may act.
+//! The permission of a shard's owner to act.
 
 use std::{
     sync::Arc,
@@ -11,7 +11,7 @@
 };
 use jasminebend_ports::OwnershipView;
 
-/// Whether a shard's owner may act; asked immediately before each act.
+/// The permission of a shard's owner to act, checked immediately before each action.
 #[derive(Clone)]
 pub(crate) struct ShardPermit {
     pub(crate) ownership: Arc<dyn OwnershipView>,
@@ -20,11 +20,12 @@
 }
 
 impl ShardPermit {
-    pub(crate) fn granted(&self) -> bool {
+    /// Returns whether this daemon may act as owner under this epoch now.
+    pub(crate) fn is_granted(&self) -> bool {
         self.ownership.may_act(ResourceId::Shard(self.shard)) == Some(self.epoch)
     }
 
-    /// Returns how long the shard must still stay idle.
+    /// Returns how long the shard must still stay idle after a takeover.
     pub(crate) fn idle_for(&self) -> Duration {
         self.ownership.idle_for(ResourceId::Shard(self.shard))
     }
--- a/crates/planner/src/shard_phase.rs
+++ b/crates/planner/src/shard_phase.rs
@@ -1,18 +1,18 @@
-//! Whether a shard is planned.
+//! The phase of a shard's actor.
 
 use crate::JournalError;
 
-/// Whether a shard is planned.
+/// The phase of a shard's actor.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ShardPhase {
-    /// Its journal must be read.
+    /// The journal must be read.
     Closed,
-    /// Its journal is being read.
+    /// The journal is being read.
     Opening,
-    /// It is planned.
+    /// The journal was read and the shard is planned.
     Open,
-    /// Its journal cannot be used; it stays idle until operators have mended it.
+    /// The journal cannot be used. The shard stays idle until an operator has repaired it.
     Faulted(JournalError),
-    /// Another owner took it over.
+    /// Another owner took the shard over.
     Deposed,
 }
--- a/crates/planner/src/shard_plan.rs
+++ b/crates/planner/src/shard_plan.rs
@@ -1,4 +1,4 @@
-//! Which task starts where, next.
+//! Places waiting tasks on workers.
 
 use std::time::Duration;
 
@@ -27,43 +27,49 @@
     task_run::TaskRun, //
 };
 
-/// The most decisions of one pass, so that a pass stays far shorter than a tick.
-const MOST_DECISIONS: usize = 1000;
-/// The entries that may wait for a commit before decisions pause.
-const MOST_WAITING: usize = 4096;
-/// How often the queue is looked at though nothing changed: what is learned and the failure domains
-/// that fill change by time alone.
-const PLAN_EVERY: Duration = Duration::from_secs(1);
-/// The time before its latest start from which a task is urgent.
-const URGENT_MS: i64 = 7_000;
+/// Limits the placements of one pass, so that a pass takes far less time than a tick.
+const MAX_PLACEMENTS_PER_PASS: usize = 1000;
+/// Placement pauses while more journal entries than this wait for a commit.
+const MAX_PENDING_ENTRIES: usize = 4096;
+/// Interval at which the queue is examined even if nothing changed, because the learned model and
+/// the admission limits of failure domains change with time.
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// A task is urgent if its latest start is less than this many milliseconds away.
+const URGENT_LAXITY_MS: i64 = 7_000;
 
-/// The sizes that fitted nowhere in this pass; larger ones need no look.
+/// The sizes that fitted on no worker in this pass; larger ones are rejected without a search.
 #[derive(Debug, Default)]
-struct PassMemo {
-    /// Whether no worker has answered yet.
-    unheard: bool,
-    unfit: Vec<(ClassKey, bool, ResourceAmount, WaitReason)>,
+struct UnplaceableSizes {
+    /// Whether no worker has answered this owner yet.
+    no_worker_answered: bool,
+    /// Class, urgency and size of rejected tasks, with the reason.
+    rejected: Vec<(ClassKey, bool, ResourceAmount, WaitReason)>,
 }
 
-impl PassMemo {
+impl UnplaceableSizes {
+    /// Returns the reason if a task of this class, urgency and size cannot be placed in this pass.
+    /// Lack of free capacity applies to all classes, other reasons to the same class and urgency.
     fn find(&self, class: ClassKey, urgent: bool, size: ResourceAmount) -> Option<WaitReason> {
         let covers = |entry: &&(ClassKey, bool, ResourceAmount, WaitReason)| {
             let same = entry.0 == class && entry.1 == urgent;
             let by_size = entry.3 == WaitReason::NoFreeCapacity || same;
             by_size && entry.2.fits_in(size)
         };
-        self.unfit.iter().find(covers).map(|entry| entry.3)
+        self.rejected.iter().find(covers).map(|entry| entry.3)
     }
 }
 
 impl ShardState {
-    /// Places what can be placed, the job with the least laxity first.
+    /// Places waiting tasks, those of the job with the least laxity first.
     pub(crate) fn plan(&mut self, now: Duration) {
         let changed = self.plan_due || self.pool.release_count() != self.planned_releases;
-        let waiting = self.writer.as_ref().map_or(0, |writer| writer.waiting());
-        self.start_ahead(now);
-        // Without the table no run can be committed, and room set aside for one would be idle.
-        if self.table_silent.is_some() || waiting > MOST_WAITING {
+        let waiting = self
+            .writer
+            .as_ref()
+            .map_or(0, |writer| writer.pending_entries());
+        self.start_precommitted(now);
+        // Without the table no run can be committed, and capacity reserved for one would stay idle.
+        if self.table_failing_since.is_some() || waiting > MAX_PENDING_ENTRIES {
             return;
         }
         if !changed && now < self.next_plan {
@@ -71,61 +77,62 @@
         }
         self.plan_due = false;
         self.planned_releases = self.pool.release_count();
-        self.next_plan = now + PLAN_EVERY;
+        self.next_plan = now + PLAN_INTERVAL;
         self.probe_workers(now);
         let mut links = self.links.values();
-        let mut memo = PassMemo {
-            unheard: links.all(|link| link.phase == LinkPhase::New),
-            ..PassMemo::default()
+        let mut unplaceable = UnplaceableSizes {
+            no_worker_answered: links.all(|link| link.phase == LinkPhase::New),
+            ..UnplaceableSizes::default()
         };
-        let mut decisions = 0;
-        let mut at = None;
-        while let Some((start, job)) = self.queue.next_after(at) {
-            at = Some((start, job));
-            decisions += self.plan_job(job, start, &mut memo, now);
-            if decisions >= MOST_DECISIONS {
+        let mut placements = 0;
+        let mut last = None;
+        while let Some((start, job)) = self.queue.next_after(last) {
+            last = Some((start, job));
+            placements += self.plan_job(job, start, &mut unplaceable, now);
+            if placements >= MAX_PLACEMENTS_PER_PASS {
                 self.plan_due = true;
                 return;
             }
         }
-        self.plan_ahead(now);
+        self.plan_precommits(now);
     }
 
-    /// Places tasks of a job until one finds no place; returns how many found one.
+    /// Places tasks of a job until one cannot be placed; returns how many were placed.
     fn plan_job(
         &mut self,
         job: JobId,
         start: LatestStart,
-        memo: &mut PassMemo,
+        unplaceable: &mut UnplaceableSizes,
         now: Duration,
     ) -> usize {
         let mut placed = 0;
         while let Some(task) = self.queue.peek(job) {
-            match self.place_for(task, start, memo, now) {
+            match self.choose_worker(task, start, unplaceable, now) {
                 Ok((worker, class, size)) => {
                     self.queue.pop(job);
                     self.place(task, worker, class, size);
                     placed += 1;
                 }
                 Err(reason) => {
-                    let reason = match memo.unheard {
+                    let reason = match unplaceable.no_worker_answered {
                         true => WaitReason::TakeOver,
                         false => reason,
                     };
-                    self.reasons.insert(job, reason);
+                    self.wait_reasons.insert(job, reason);
                     return placed;
                 }
             }
         }
-        self.reasons.swap_remove(&job);
+        self.wait_reasons.swap_remove(&job);
         placed
     }
 
-    fn place_for(
+    /// Chooses a worker for a task, or returns the reason why it waits.
+    fn choose_worker(
         &mut self,
         task: TaskId,
         start: LatestStart,
-        memo: &mut PassMemo,
+        unplaceable: &mut UnplaceableSizes,
         now: Duration,
     ) -> Result<(WorkerKey, ClassKey, ResourceAmount), WaitReason> {
         let job = self.ledger.job(task.job).ok_or(WaitReason::NotConsidered)?;
@@ -138,19 +145,19 @@
         if !self.quota_allows(job, size) {
             return Err(WaitReason::Quota);
         }
-        let urgent = start.laxity_ms(now) < URGENT_MS;
+        let urgent = start.laxity_ms(now) < URGENT_LAXITY_MS;
         if record.failed_on.is_empty()
-            && let Some(reason) = memo.find(class, urgent, size)
+            && let Some(reason) = unplaceable.find(class, urgent, size)
         {
             return Err(reason);
         }
-        let spread = self.spread_of(job);
+        let counts = self.tasks_by_domain(job);
         let demand = TaskDemand {
             class,
             kind: job.kind,
             size,
             failed_on: &record.failed_on,
-            job_tasks_by_domain: &spread,
+            job_tasks_by_domain: &counts,
             urgent,
         };
         let chosen =
@@ -161,15 +168,15 @@
             Ok(worker) => Ok((worker, class, size)),
             Err(reason) => {
                 if record.failed_on.is_empty() {
-                    memo.unfit.push((class, urgent, size, reason));
+                    unplaceable.rejected.push((class, urgent, size, reason));
                 }
                 Err(reason)
             }
         }
     }
 
-    /// Returns what to set aside for a task. What was learned may exceed every worker: the largest
-    /// one, all to itself, must then do.
+    /// Returns the capacity to reserve for a task. If the learned usage exceeds every worker, the
+    /// task gets the largest worker that fits its declared size as a whole.
     fn reservation(&self, class: ClassKey, job: &JobRecord) -> ResourceAmount {
         let size = self.learned.usage.reservation(class, job.spec.size);
         if self.pool.any_capacity_fits(size) {
@@ -186,10 +193,11 @@
             .unwrap_or(size)
     }
 
-    fn spread_of(&self, job: &JobRecord) -> Vec<(DomainName, u32)> {
-        let mut spread: Vec<(DomainName, u32)> = Vec::new();
+    /// Returns how many tasks of a service each failure domain has; empty for batch jobs.
+    fn tasks_by_domain(&self, job: &JobRecord) -> Vec<(DomainName, u32)> {
+        let mut counts: Vec<(DomainName, u32)> = Vec::new();
         if job.kind == ClassKind::Batch {
-            return spread;
+            return counts;
         }
         for task in &job.tasks {
             let TaskState::Placed { worker, .. } = &task.state else {
@@ -199,15 +207,15 @@
                 continue;
             };
             let domain = &self.pool.worker(key).domain;
-            match spread.iter_mut().find(|(name, _)| name == domain) {
+            match counts.iter_mut().find(|(name, _)| name == domain) {
                 Some((_, count)) => *count += 1,
-                None => spread.push((domain.clone(), 1)),
+                None => counts.push((domain.clone(), 1)),
             }
         }
-        spread
+        counts
     }
 
-    /// Decides on a run: its room is set aside now, and it starts once this is committed.
+    /// Records a placement: reserves capacity now; the run starts once the placement is committed.
     pub(crate) fn place(
         &mut self,
         task: TaskId,
@@ -227,7 +235,7 @@
             reserved: size,
         };
         if self.record(transition, CommitEffect::Start(task)) {
-            self.add_run(task, TaskRun::new(attempt, worker, class, kind, size));
+            self.track_run(task, TaskRun::new(attempt, worker, class, kind, size));
             self.pool.record_start(worker);
         }
     }
--- a/crates/planner/src/shard_reconcile.rs
+++ b/crates/planner/src/shard_reconcile.rs
@@ -1,4 +1,4 @@
-//! What a worker says runs there, against what the journal says.
+//! Compares the tasks that a worker reports with the journal's state.
 
 use std::time::Duration;
 
@@ -21,19 +21,19 @@
     link_phase::LinkPhase,
     run_phase::RunPhase,
     shard_state::ShardState,
-    stop_wish::StopWish,
-    task_names::{
+    stop_request::StopRequest,
+    task_attempts::{
         attempt_of,
         task_of, //
     }, //
 };
 
 impl ShardState {
-    /// Takes in all that a worker knows.
+    /// Applies a worker's full inventory.
     pub(crate) fn reconcile(&mut self, key: WorkerKey, inventory: &WorkerInventory) {
         for known in &inventory.tasks {
             match &known.ended {
-                Some(event) => self.on_end(key, known.attempt, event),
+                Some(event) => self.on_run_ended(key, known.attempt, event),
                 None => self.on_running(key, known),
             }
         }
@@ -48,9 +48,10 @@
         for task in missing {
             self.on_missing(task);
         }
-        self.confirm_strays_gone(key, inventory);
+        self.release_stopped_orphans(key, inventory);
     }
 
+    /// Marks a run as running, or stops it if the journal does not place it on this worker.
     fn on_running(&mut self, key: WorkerKey, known: &WorkerTask) {
         let now = self.now();
         let task = task_of(known.attempt);
@@ -59,139 +60,143 @@
             .get_mut(&task)
             .filter(|run| run.worker == key && run.attempt == known.attempt.attempt);
         let Some(run) = own else {
-            self.stop_stray(key, known);
+            self.stop_orphan(key, known);
             return;
         };
         match run.phase {
-            RunPhase::Unheard | RunPhase::Starting | RunPhase::Unconfirmed { .. } => {
+            RunPhase::Unverified | RunPhase::Starting | RunPhase::Unconfirmed { .. } => {
                 run.phase = RunPhase::Running;
                 run.maybe_started = true;
-                run.since = now;
+                run.running_since = now;
                 run.speed_millis = known.speed_millis;
                 self.links[&key]
-                    .ladder
+                    .overload_controller
                     .resume_from_speed(known.speed_millis);
             }
             _ => {}
         }
-        self.attention.insert(task);
+        self.runs_to_advance.insert(task);
     }
 
-    /// A run that its worker does not know: a start of it may yet arrive, so that it is stopped
-    /// there before it is given up.
+    /// Handles a run that its worker does not know. A start of it may still arrive, so the run is
+    /// stopped there before it is ended as lost.
     fn on_missing(&mut self, task: TaskId) {
         let now = self.now();
         let Some(run) = self.runs.get_mut(&task) else {
             return;
         };
         match run.phase {
-            // The worker follows this epoch since before it answered, and refuses the starts of earlier
-            // ones: whatever is not there now will not be.
-            RunPhase::Unheard if self.first_of_epoch => self.lose_run(task),
-            RunPhase::Unheard | RunPhase::Running => {
+            // The worker adopted this epoch before it answered, and rejects the starts of earlier
+            // epochs: a run that is not there now will not appear later.
+            RunPhase::Unverified if self.first_of_epoch => self.end_run_as_lost(task),
+            RunPhase::Unverified | RunPhase::Running => {
                 run.phase = RunPhase::Unconfirmed { retry: now };
-                self.wish(task, StopWish::Stop);
+                self.request_stop(task, StopRequest::Stop);
             }
-            RunPhase::Stopping | RunPhase::Settling { .. } => {
+            RunPhase::Stopping | RunPhase::AwaitingOutcome { .. } => {
                 run.phase = RunPhase::Unconfirmed { retry: now };
-                self.wish(task, StopWish::Stop);
+                self.request_stop(task, StopRequest::Stop);
             }
             _ => {}
         }
     }
 
-    /// A run that the journal places elsewhere or nowhere must not go on, and holds its room until
-    /// it is gone.
-    fn stop_stray(&mut self, key: WorkerKey, known: &WorkerTask) {
+    /// Stops an orphaned run, which the journal places elsewhere or nowhere. Its capacity stays
+    /// reserved until it has stopped.
+    fn stop_orphan(&mut self, key: WorkerKey, known: &WorkerTask) {
         let link = &mut self.links[&key];
-        if link.strays.insert(known.attempt, known.reserved).is_none() {
+        if link.orphans.insert(known.attempt, known.reserved).is_none() {
             self.pool.reserve_orphan(key, known.reserved);
         }
-        self.calls.stop_stray(key, known.attempt, link.address);
+        self.calls.stop_orphan(key, known.attempt, link.address);
     }
 
-    pub(crate) fn on_stray_stopped(&mut self, key: WorkerKey, run: TaskAttempt, stopped: bool) {
+    /// Releases the capacity of an orphan that stopped; asks for a new inventory if the stop
+    /// failed.
+    pub(crate) fn on_orphan_stopped(&mut self, key: WorkerKey, run: TaskAttempt, stopped: bool) {
         if stopped {
-            self.release_stray(key, run);
+            self.release_orphan(key, run);
         } else {
-            // The next inventory shows whether it still runs.
+            // The next inventory shows whether the orphan still runs.
             self.links[&key].phase = LinkPhase::New;
-            self.contact_soon(key, self.now() + Duration::from_secs(1));
+            self.reschedule_call(key, self.now() + Duration::from_secs(1));
         }
     }
 
-    fn confirm_strays_gone(&mut self, key: WorkerKey, inventory: &WorkerInventory) {
+    /// Releases the capacity of orphans that do not run any more according to an inventory.
+    fn release_stopped_orphans(&mut self, key: WorkerKey, inventory: &WorkerInventory) {
         let running = |run: &TaskAttempt| {
             let found = inventory.tasks.iter().find(|known| known.attempt == *run);
             found.is_some_and(|known| known.ended.is_none())
         };
-        let strays = self.links[&key].strays.keys().copied();
-        let gone: Vec<TaskAttempt> = strays.filter(|run| !running(run)).collect();
-        for run in gone {
-            self.release_stray(key, run);
+        let orphans = self.links[&key].orphans.keys().copied();
+        let stopped: Vec<TaskAttempt> = orphans.filter(|run| !running(run)).collect();
+        for run in stopped {
+            self.release_orphan(key, run);
         }
     }
 
-    fn release_stray(&mut self, key: WorkerKey, run: TaskAttempt) {
-        if let Some(size) = self.links[&key].strays.swap_remove(&run) {
+    fn release_orphan(&mut self, key: WorkerKey, run: TaskAttempt) {
+        if let Some(size) = self.links[&key].orphans.swap_remove(&run) {
             self.pool.release_orphan(key, size);
         }
     }
 
-    /// Takes in what changed on a worker since its last report.
-    pub(crate) fn take_report(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
+    /// Applies a worker's report of changes since its last one.
+    pub(crate) fn apply_report(&mut self, key: WorkerKey, sent: Duration, report: &WorkerReport) {
         for known in &report.ended {
             if let Some(event) = &known.ended {
-                self.on_end(key, known.attempt, event);
+                self.on_run_ended(key, known.attempt, event);
             }
         }
-        self.settle_runs(key, sent);
-        self.take_usage(key, &report.usage);
-        self.check_count(key, sent, report.running);
+        self.resolve_stopped_runs(key, sent);
+        self.apply_usage(key, &report.usage);
+        self.check_running_count(key, sent, report.running);
     }
 
-    /// Runs that were told to stop before this report was asked for, and are not among the ended
-    /// ones it names, never began or were forgotten.
-    fn settle_runs(&mut self, key: WorkerKey, sent: Duration) {
+    /// Ends runs that were stopped before this report was requested and that it does not list as
+    /// ended: they never started, or the worker has forgotten them.
+    fn resolve_stopped_runs(&mut self, key: WorkerKey, sent: Duration) {
         let runs = self.links[&key].runs.iter().copied();
-        let settled: Vec<TaskId> = runs
+        let stopped: Vec<TaskId> = runs
             .filter(|task| {
-                matches!(self.runs[task].phase, RunPhase::Settling { since } if since <= sent)
+                matches!(self.runs[task].phase, RunPhase::AwaitingOutcome { since } if since <= sent)
             })
             .collect();
-        for task in settled {
-            self.lose_run(task);
+        for task in stopped {
+            self.end_run_as_lost(task);
         }
     }
 
-    /// A worker that runs more or less than it should is asked for all that runs there.
-    fn check_count(&mut self, key: WorkerKey, sent: Duration, running: u32) {
+    /// Requests a full inventory from a worker that runs more or fewer tasks than expected.
+    fn check_running_count(&mut self, key: WorkerKey, sent: Duration, running: u32) {
         let link = &self.links[&key];
-        let mut expected = link.strays.len();
+        let mut expected = link.orphans.len();
         for task in &link.runs {
             let run = &self.runs[task];
             match run.phase {
-                RunPhase::Running if run.since <= sent => expected += 1,
-                RunPhase::Committing | RunPhase::Ahead | RunPhase::ToStart => {}
+                RunPhase::Running if run.running_since <= sent => expected += 1,
+                RunPhase::Committing | RunPhase::Precommitted | RunPhase::ReadyToStart => {}
                 _ => return,
             }
         }
         if expected != running as usize {
             self.links[&key].phase = LinkPhase::New;
-            self.contact_soon(key, self.now());
+            self.reschedule_call(key, self.now());
         }
     }
 
-    /// Takes in that a run ended. The worker tells it until it is acknowledged, and that is done
-    /// once the end is committed, so that neither a lost answer nor a dead owner loses a result.
-    pub(crate) fn on_end(&mut self, key: WorkerKey, run: TaskAttempt, event: &TaskEvent) {
-        if self.ending.contains(&run) {
+    /// Applies the reported end of a run. The worker repeats the report until it is acknowledged,
+    /// which happens only once the end is committed, so that neither a lost answer nor a dead owner
+    /// loses a result.
+    pub(crate) fn on_run_ended(&mut self, key: WorkerKey, run: TaskAttempt, event: &TaskEvent) {
+        if self.uncommitted_ends.contains(&run) {
             return;
         }
         let task = task_of(run);
         let own = self.runs.get(&task);
         if own.is_some_and(|own| own.worker == key && own.attempt == run.attempt) {
-            self.end_run(task, end_of(event));
+            self.end_run(task, outcome_of(event));
             return;
         }
         let committing = self.ledger.task(task).is_some_and(|record| {
@@ -207,7 +212,8 @@
     }
 }
 
-fn end_of(event: &TaskEvent) -> RunOutcome {
+/// Converts a worker's event into the outcome of a run.
+fn outcome_of(event: &TaskEvent) -> RunOutcome {
     match event {
         TaskEvent::Finished { result } => RunOutcome::Finished {
             result: result.clone(),
--- a/crates/planner/src/shard_runs.rs
+++ b/crates/planner/src/shard_runs.rs
@@ -1,4 +1,4 @@
-//! How runs are started and stopped.
+//! Starts and stops runs.
 
 use std::time::Duration;
 
@@ -15,85 +15,91 @@
 };
 
 use crate::{
-    call_error::CallError,
     link_phase::LinkPhase,
     run_phase::RunPhase,
     shard_state::ShardState,
-    stop_wish::StopWish,
-    task_names::attempt_of, //
+    stop_request::StopRequest,
+    task_attempts::attempt_of,
+    worker_call_error::WorkerCallError, //
 };
 
-/// How long a start may be on its way.
-const START_WINDOW: Duration = Duration::from_secs(2);
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// How long a run whose checkpoint failed goes on before it is asked again.
-const CHECKPOINT_AGAIN: Duration = Duration::from_secs(10);
-/// The most stops and checkpoints at once, so that a wave of cancellations leaves room for starts.
-const MOST_STOPS: usize = 64;
+/// How long a start may take to reach its worker.
+const START_VALIDITY: Duration = Duration::from_secs(2);
+/// Delay before an unanswered or failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay before a failed checkpoint is requested again.
+const CHECKPOINT_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// Limits the stops and checkpoints in flight, so that a wave of cancellations does not delay
+/// starts.
+const MAX_STOPS_IN_FLIGHT: usize = 64;
 
 impl ShardState {
-    /// Wishes a run ended, if that is not wished as hard already.
-    pub(crate) fn wish(&mut self, task: TaskId, wish: StopWish) {
+    /// Requests that a run is ended, unless a stronger request is already set.
+    pub(crate) fn request_stop(&mut self, task: TaskId, request: StopRequest) {
         if let Some(run) = self.runs.get_mut(&task) {
-            run.wish = run.wish.max(wish);
-            self.attention.insert(task);
+            run.stop_request = run.stop_request.max(request);
+            self.runs_to_advance.insert(task);
         }
     }
 
-    /// Does what is due for the runs that are not simply running.
-    pub(crate) fn tend_runs(&mut self, now: Duration) {
-        let tasks: Vec<TaskId> = self.attention.iter().copied().collect();
+    /// Performs the due steps of all runs that need attention.
+    pub(crate) fn advance_runs(&mut self, now: Duration) {
+        let tasks: Vec<TaskId> = self.runs_to_advance.iter().copied().collect();
         for task in tasks {
-            if !self.tend_run(task, now) {
-                self.attention.swap_remove(&task);
+            if !self.advance_run(task, now) {
+                self.runs_to_advance.swap_remove(&task);
             }
         }
     }
 
-    pub(crate) fn tend_worker(&mut self, key: jasminebend_placement::WorkerKey) {
+    /// Marks all runs of a worker for attention.
+    pub(crate) fn revisit_worker_runs(&mut self, key: jasminebend_placement::WorkerKey) {
         let runs: Vec<TaskId> = self.links[&key].runs.iter().copied().collect();
-        self.attention.extend(runs);
+        self.runs_to_advance.extend(runs);
     }
 
-    /// Does what is due for a run; tells whether to look again.
-    fn tend_run(&mut self, task: TaskId, now: Duration) -> bool {
+    /// Performs the due step of a run; returns whether the run still needs attention.
+    fn advance_run(&mut self, task: TaskId, now: Duration) -> bool {
         let Some(run) = self.runs.get(&task) else {
             return false;
         };
         let adopted = self.links[&run.worker].phase == LinkPhase::Adopted;
-        let ending = run.wish != StopWish::Keep;
+        let stop_requested = run.stop_request != StopRequest::Continue;
         match run.phase {
-            RunPhase::ToStart | RunPhase::Ahead if !run.maybe_started && (ending || !adopted) => {
+            RunPhase::ReadyToStart | RunPhase::Precommitted
+                if !run.maybe_started && (stop_requested || !adopted) =>
+            {
                 self.end_run(task, RunOutcome::NotStarted);
                 false
             }
-            RunPhase::ToStart if adopted => {
+            RunPhase::ReadyToStart if adopted => {
                 self.start_run(task);
                 false
             }
             RunPhase::Unconfirmed { retry } if adopted && now >= retry => {
-                match ending {
+                match stop_requested {
                     true => self.stop_run(task, now),
                     false => self.start_run(task),
                 }
                 true
             }
-            RunPhase::Running if ending && adopted => {
+            RunPhase::Running if stop_requested && adopted => {
                 self.stop_run(task, now);
                 true
             }
-            RunPhase::Running => ending,
-            RunPhase::ToStart | RunPhase::Unconfirmed { .. } => true,
+            RunPhase::Running => stop_requested,
+            RunPhase::ReadyToStart | RunPhase::Unconfirmed { .. } => true,
             _ => false,
         }
     }
 
+    /// Sends the start of a run, unless the shard must still stay idle.
     fn start_run(&mut self, task: TaskId) {
         if !self.calls.permit.idle_for().is_zero() {
-            self.attention.insert(task);
+            self.runs_to_advance.insert(task);
             return;
         }
-        let Some(order) = self.order_of(task) else {
+        let Some(order) = self.start_order(task) else {
             return;
         };
         let Some(run) = self.runs.get_mut(&task) else {
@@ -106,7 +112,8 @@
             .start(task, link.address, link.domain.clone(), order);
     }
 
-    fn order_of(&self, task: TaskId) -> Option<TaskOrder> {
+    /// Returns the start order of a run; `None` if the ledger does not place its task.
+    fn start_order(&self, task: TaskId) -> Option<TaskOrder> {
         let run = self.runs.get(&task)?;
         let job = self.ledger.job(task.job)?;
         let record = self.ledger.task(task)?;
@@ -114,10 +121,12 @@
             return None;
         };
         let checkpoint = record.checkpoint.as_ref();
-        // The worker counts from the last renewal that it answered, which it did after `heard`. A
-        // planner that is paused with this order in hand renews nothing meanwhile, so that the order
-        // is refused as it wakes.
-        let since = self.now().saturating_sub(self.links[&run.worker].heard);
+        // The worker measures `valid_for` from the last renewal that it answered, which was after
+        // the time in `last_answered_call_sent`. A planner that is paused while it holds this order
+        // renews nothing meanwhile, so the worker rejects the order that is sent afterwards.
+        let since = self
+            .now()
+            .saturating_sub(self.links[&run.worker].last_answered_call_sent);
         Some(TaskOrder {
             attempt: attempt_of(task, run.attempt),
             class: job.spec.class.clone(),
@@ -126,31 +135,38 @@
             payload: job.spec.payload.clone(),
             checkpoint: checkpoint.map(|name| CheckpointId::from(name.as_str())),
             incarnation: self.links[&run.worker].incarnation,
-            valid_for: since + START_WINDOW,
+            valid_for: since + START_VALIDITY,
         })
     }
 
+    /// Sends a stop or a checkpoint of a run, within the limit of calls in flight.
     fn stop_run(&mut self, task: TaskId, now: Duration) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
         };
-        if self.stops_in_flight >= MOST_STOPS {
+        if self.stops_in_flight >= MAX_STOPS_IN_FLIGHT {
             return;
         }
-        let hard = run.wish == StopWish::Stop || run.phase != RunPhase::Running;
-        if !hard && now < run.not_before {
+        let immediately = run.stop_request == StopRequest::Stop || run.phase != RunPhase::Running;
+        if !immediately && now < run.checkpoint_not_before {
             return;
         }
         run.phase = RunPhase::Stopping;
         self.stops_in_flight += 1;
         let address = self.links[&run.worker].address;
-        match hard {
+        match immediately {
             true => self.calls.stop(task, run.attempt, address),
             false => self.calls.checkpoint(task, run.attempt, address),
         }
     }
 
-    pub(crate) fn on_started(&mut self, task: TaskId, attempt: u32, result: Result<(), CallError>) {
+    /// Handles the answer to a start.
+    pub(crate) fn on_started(
+        &mut self,
+        task: TaskId,
+        attempt: u32,
+        result: Result<(), WorkerCallError>,
+    ) {
         let now = self.now();
         let Some(run) = self.runs.get_mut(&task) else {
             return;
@@ -158,38 +174,40 @@
         if run.attempt != attempt || run.phase != RunPhase::Starting {
             return;
         }
-        self.attention.insert(task);
-        let retry = now + RETRY_AFTER;
+        self.runs_to_advance.insert(task);
+        let retry = now + RETRY_DELAY;
         match result {
             Ok(()) => {
                 run.phase = RunPhase::Running;
                 run.maybe_started = true;
-                run.since = now;
-                self.note_started(task);
+                run.running_since = now;
+                self.record_start(task);
             }
-            Err(CallError::Worker(WorkerError::Unknown)) => {
+            Err(WorkerCallError::Worker(WorkerError::Unknown)) => {
                 run.maybe_started = true;
                 run.phase = RunPhase::Unconfirmed { retry };
             }
-            // An earlier copy of the start may have been taken; only a stop or a report can tell.
+            // An earlier copy of the start may have been accepted; only a stop or a report can
+            // clarify that.
             Err(_) if run.maybe_started => run.phase = RunPhase::Unconfirmed { retry },
-            Err(CallError::Worker(WorkerError::OutOfDate)) => {
+            Err(WorkerCallError::Worker(WorkerError::OutOfDate)) => {
                 run.maybe_started = true;
                 run.phase = RunPhase::Unconfirmed { retry: now };
-                run.wish = StopWish::Stop;
+                run.stop_request = StopRequest::Stop;
             }
             Err(_) => {
-                run.phase = RunPhase::ToStart;
+                run.phase = RunPhase::ReadyToStart;
                 self.end_run(task, RunOutcome::NotStarted);
             }
         }
     }
 
+    /// Handles the answer to a checkpoint.
     pub(crate) fn on_checkpointed(
         &mut self,
         task: TaskId,
         attempt: u32,
-        result: Result<CheckpointId, CallError>,
+        result: Result<CheckpointId, WorkerCallError>,
     ) {
         self.stops_in_flight = self.stops_in_flight.saturating_sub(1);
         let now = self.now();
@@ -199,31 +217,37 @@
         if run.attempt != attempt || run.phase != RunPhase::Stopping {
             return;
         }
-        self.attention.insert(task);
+        self.runs_to_advance.insert(task);
         match result {
             Ok(checkpoint) => {
                 let checkpoint = CheckpointName::from(checkpoint.as_str());
                 self.end_run(task, RunOutcome::Checkpointed { checkpoint });
             }
-            Err(CallError::Worker(WorkerError::CheckpointFailed)) => {
+            Err(WorkerCallError::Worker(WorkerError::CheckpointFailed)) => {
                 run.phase = RunPhase::Running;
-                run.not_before = now + CHECKPOINT_AGAIN;
-                run.wish = match run.wish {
-                    // It costs the work since its last checkpoint, and never the task.
-                    StopWish::Leave => StopWish::Stop,
-                    StopWish::Checkpoint => StopWish::Keep,
-                    harder => harder,
+                run.checkpoint_not_before = now + CHECKPOINT_RETRY_DELAY;
+                run.stop_request = match run.stop_request {
+                    // The task loses the work since its last checkpoint, but is not lost itself.
+                    StopRequest::CheckpointOrStop => StopRequest::Stop,
+                    StopRequest::Checkpoint => StopRequest::Continue,
+                    stronger => stronger,
                 };
             }
-            Err(CallError::Worker(WorkerError::UnknownRun)) => self.settle(task, now),
+            Err(WorkerCallError::Worker(WorkerError::UnknownRun)) => self.await_outcome(task, now),
             Err(_) => {
                 run.phase = RunPhase::Running;
-                run.not_before = now + RETRY_AFTER;
+                run.checkpoint_not_before = now + RETRY_DELAY;
             }
         }
     }
 
-    pub(crate) fn on_stopped(&mut self, task: TaskId, attempt: u32, result: Result<(), CallError>) {
+    /// Handles the answer to a stop.
+    pub(crate) fn on_stopped(
+        &mut self,
+        task: TaskId,
+        attempt: u32,
+        result: Result<(), WorkerCallError>,
+    ) {
         self.stops_in_flight = self.stops_in_flight.saturating_sub(1);
         let now = self.now();
         let Some(run) = self.runs.get_mut(&task) else {
@@ -232,25 +256,27 @@
         if run.attempt != attempt || run.phase != RunPhase::Stopping {
             return;
         }
-        self.attention.insert(task);
+        self.runs_to_advance.insert(task);
         match result {
-            Ok(()) | Err(CallError::Worker(WorkerError::UnknownRun)) => self.settle(task, now),
+            Ok(()) | Err(WorkerCallError::Worker(WorkerError::UnknownRun)) => {
+                self.await_outcome(task, now)
+            }
             Err(_) => {
-                let retry = now + RETRY_AFTER;
+                let retry = now + RETRY_DELAY;
                 run.phase = RunPhase::Unconfirmed { retry };
-                run.wish = StopWish::Stop;
+                run.stop_request = StopRequest::Stop;
             }
         }
     }
 
-    /// Waits for a report that tells how a run ended: it may have finished just before it was to be
-    /// stopped, and its result would be lost.
-    fn settle(&mut self, task: TaskId, now: Duration) {
+    /// Waits for a report with the run's outcome. The run may have finished just before it was
+    /// stopped, and its result would be lost otherwise.
+    fn await_outcome(&mut self, task: TaskId, now: Duration) {
         let Some(run) = self.runs.get_mut(&task) else {
             return;
         };
-        run.phase = RunPhase::Settling { since: now };
+        run.phase = RunPhase::AwaitingOutcome { since: now };
         let worker = run.worker;
-        self.contact_soon(worker, now);
+        self.reschedule_call(worker, now);
     }
 }
--- a/crates/planner/src/shard_supervisor.rs
+++ b/crates/planner/src/shard_supervisor.rs
@@ -1,4 +1,4 @@
-//! The actors of the shards that this daemon holds.
+//! Starts and stops the actors of the shards that this daemon owns.
 
 use std::sync::{
     Arc,
@@ -29,46 +29,50 @@
 use crate::{
     PlannerEdges,
     PlannerSettings,
-    flight_count::FlightCount,
+    in_flight_calls::InFlightCalls,
     shard_actor::{
         ShardActor,
-        ShardStart, //
+        ShardArguments, //
     },
     shard_message::ShardMessage,
     shard_permit::ShardPermit, //
 };
 
+/// The actor of an owned shard, with the epoch under which it acts.
 struct HeldShard {
     epoch: OwnerEpoch,
     actor: ActorRef<ShardMessage>,
 }
 
-/// The actors of the shards that this daemon holds.
+/// Starts and stops the actors of the shards that this daemon owns.
 pub(crate) struct ShardSupervisor {
     settings: PlannerSettings,
-    edges: Arc<PlannerEdges>,
+    dependencies: Arc<PlannerEdges>,
     held: Mutex<IndexMap<u16, HeldShard>>,
-    flights: Vec<FlightCount>,
-    begun: Mutex<IndexMap<u16, OwnerEpoch>>,
+    /// Calls in progress, by shard.
+    in_flight_calls: Vec<InFlightCalls>,
+    /// The newest epoch under which an actor was started, by shard.
+    started_epochs: Mutex<IndexMap<u16, OwnerEpoch>>,
 }
 
 impl ShardSupervisor {
-    pub(crate) fn new(settings: PlannerSettings, edges: Arc<PlannerEdges>) -> Self {
+    pub(crate) fn new(settings: PlannerSettings, dependencies: Arc<PlannerEdges>) -> Self {
         let shards = usize::from(settings.shards);
         Self {
             settings,
-            edges,
+            dependencies,
             held: Mutex::new(IndexMap::new()),
-            begun: Mutex::new(IndexMap::new()),
-            flights: std::iter::repeat_with(FlightCount::new)
+            started_epochs: Mutex::new(IndexMap::new()),
+            in_flight_calls: std::iter::repeat_with(InFlightCalls::new)
                 .take(shards)
                 .collect(),
         }
     }
 
-    /// Follows the ownership and wakes the actors, until `closed` is; then ends them.
+    /// Starts and stops actors as the ownership changes and sends them ticks, until all planner
+    /// handles are dropped; then ends the actors.
     pub(crate) async fn run(self: Arc<Self>, mut closed: watch::Receiver<()>) {
-        let mut ticks = interval(self.settings.tick);
+        let mut ticks = interval(self.settings.tick_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
@@ -83,21 +87,25 @@
 
     async fn tick(&self) {
         for shard in 0..self.settings.shards {
-            let granted = self.edges.ownership.may_act(ResourceId::Shard(shard));
-            self.end_other(shard, granted);
+            let granted = self
+                .dependencies
+                .ownership
+                .may_act(ResourceId::Shard(shard));
+            self.stop_outdated_actor(shard, granted);
             if let Some(epoch) = granted
                 && !self.lock().contains_key(&shard)
             {
-                self.begin(shard, epoch).await;
+                self.start_actor(shard, epoch).await;
             }
         }
         for held in self.lock().values() {
-            // An actor that ended is replaced at the next tick.
+            // An actor that has ended is replaced at the next tick.
             let _ = held.actor.cast(ShardMessage::Tick);
         }
     }
 
-    fn end_other(&self, shard: u16, granted: Option<OwnerEpoch>) {
+    /// Stops the actor of a shard if it has ended or acts under another epoch than the granted one.
+    fn stop_outdated_actor(&self, shard: u16, granted: Option<OwnerEpoch>) {
         let mut held = self.lock();
         let Some(known) = held.get(&shard) else {
             return;
@@ -109,37 +117,46 @@
         }
     }
 
-    async fn begin(&self, shard: u16, epoch: OwnerEpoch) {
-        let start = ShardStart {
+    /// Starts the actor of a shard.
+    async fn start_actor(&self, shard: u16, epoch: OwnerEpoch) {
+        let start = ShardArguments {
             settings: self.settings,
-            edges: Arc::clone(&self.edges),
+            dependencies: Arc::clone(&self.dependencies),
             permit: ShardPermit {
-                ownership: Arc::clone(&self.edges.ownership),
+                ownership: Arc::clone(&self.dependencies.ownership),
                 shard,
                 epoch,
             },
-            flights: self.flights[usize::from(shard)].clone(),
-            first_of_epoch: self.note_epoch(shard, epoch),
+            in_flight_calls: self.in_flight_calls[usize::from(shard)].clone(),
+            first_of_epoch: self.record_epoch(shard, epoch),
         };
         match Actor::spawn(None, ShardActor, start).await {
             Ok((actor, _)) => {
                 self.lock().insert(shard, HeldShard { epoch, actor });
             }
-            Err(error) => error!("[planner] Shard {} was not begun: {}.", shard, error),
+            Err(error) => error!(
+                "[planner] The actor of shard {} could not be started: {}.",
+                shard, error
+            ),
         }
     }
 
-    /// Notes an epoch as begun; tells whether it is so for the first time.
-    fn note_epoch(&self, shard: u16, epoch: OwnerEpoch) -> bool {
-        let mut begun = self.begun.lock().unwrap_or_else(PoisonError::into_inner);
-        begun.insert(shard, epoch) != Some(epoch)
+    /// Records that an actor is started under an epoch; returns whether it is the first one.
+    fn record_epoch(&self, shard: u16, epoch: OwnerEpoch) -> bool {
+        let mut started_epochs = self
+            .started_epochs
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        started_epochs.insert(shard, epoch) != Some(epoch)
     }
 
+    /// Returns the actor of a shard.
     pub(crate) fn actor(&self, shard: u16) -> Option<ActorRef<ShardMessage>> {
         let held = self.lock();
         held.get(&shard).map(|known| known.actor.clone())
     }
 
+    /// Returns the actors of all owned shards.
     pub(crate) fn actors(&self) -> Vec<ActorRef<ShardMessage>> {
         let held = self.lock();
         held.values().map(|known| known.actor.clone()).collect()
@@ -147,8 +164,8 @@
 
     /// Waits until no call of a shard is in progress.
     pub(crate) async fn wait_idle(&self, shard: u16) {
-        if let Some(flights) = self.flights.get(usize::from(shard)) {
-            flights.wait_idle().await;
+        if let Some(in_flight_calls) = self.in_flight_calls.get(usize::from(shard)) {
+            in_flight_calls.wait_idle().await;
         }
     }
 
--- a/crates/planner/src/shard_usage.rs
+++ b/crates/planner/src/shard_usage.rs
@@ -1,4 +1,4 @@
-//! What measurements teach, and the ladder that they climb.
+//! Learns from usage measurements and reacts to overload of services.
 
 use std::time::Duration;
 
@@ -19,40 +19,49 @@
 use crate::{
     run_phase::RunPhase,
     shard_state::ShardState,
-    stop_wish::StopWish,
-    task_names::{
+    stop_request::StopRequest,
+    task_attempts::{
         attempt_of,
         task_of, //
     }, //
 };
 
-const FULL_SPEED: u32 = 1000;
-/// The share of a worker's processors in use from which every batch run slows its services.
-const OVERLOADED: f64 = 0.95;
+/// Speed of a run that is not throttled, in thousandths.
+const FULL_SPEED_MILLIS: u32 = 1000;
+/// Share of a worker's processors in use from which every batch run counts as a likely cause of
+/// slow services.
+const OVERLOAD_CPU_SHARE: f64 = 0.95;
 
 impl ShardState {
-    /// Notes which classes share a worker from now on, throttled tasks as the share of their speed.
-    pub(crate) fn note_company(&mut self, key: WorkerKey) {
+    /// Records which classes run together on a worker from now on; a throttled task counts as the
+    /// fraction of its speed.
+    pub(crate) fn record_colocation(&mut self, key: WorkerKey) {
         let now = self.now();
         let Some(link) = self.links.get(&key) else {
             return;
         };
-        let mut company: Vec<(ClassKey, f64)> = Vec::new();
+        let mut colocated_classes: Vec<(ClassKey, f64)> = Vec::new();
         for task in &link.runs {
             let run = &self.runs[task];
             if !run.is_running() {
                 continue;
             }
             let weight = f64::from(run.speed_millis) / 1000.0;
-            match company.iter_mut().find(|(class, _)| *class == run.class) {
+            match colocated_classes
+                .iter_mut()
+                .find(|(class, _)| *class == run.class)
+            {
                 Some((_, sum)) => *sum += weight,
-                None => company.push((run.class, weight)),
+                None => colocated_classes.push((run.class, weight)),
             }
         }
-        self.links[&key].company.note(now, company);
+        self.links[&key]
+            .colocation_history
+            .record(now, colocated_classes);
     }
 
-    pub(crate) fn note_started(&mut self, task: TaskId) {
+    /// Records how long a task waited, and the changed set of co-located tasks.
+    pub(crate) fn record_start(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else {
             return;
         };
@@ -64,12 +73,13 @@
                 .record(Duration::from_millis(waited).as_secs_f64());
         }
         if kind == ClassKind::Service {
-            self.learn_target(task);
+            self.set_latency_target(task);
         }
-        self.note_company(key);
+        self.record_colocation(key);
     }
 
-    fn learn_target(&mut self, task: TaskId) {
+    /// Passes the latency target of a service's class to the interference model.
+    fn set_latency_target(&mut self, task: TaskId) {
         let Some(job) = self.ledger.job(task.job) else {
             return;
         };
@@ -79,14 +89,15 @@
         }
     }
 
-    /// Returns how many measurements a worker may report. Its services are reported first, so that
-    /// there is always room for one batch run beside them: else no batch run would ever be measured.
+    /// Returns how many measurements a worker may report. Services are reported first, so the limit
+    /// always leaves space for one batch run in addition; otherwise no batch run would ever be
+    /// measured.
     pub(crate) fn usage_limit(&self, key: WorkerKey) -> u32 {
-        let held = self.edges.ownership.held();
+        let held = self.dependencies.ownership.held();
         let workers: usize = held
             .iter()
             .map(|(resource, _)| match resource {
-                ResourceId::Shard(shard) => self.listed.get(shard).copied().unwrap_or(0),
+                ResourceId::Shard(shard) => self.workers_by_shard.get(shard).copied().unwrap_or(0),
                 _ => 0,
             })
             .sum();
@@ -96,8 +107,8 @@
         self.settings.usage_limit(workers).max(services as u32 + 1)
     }
 
-    /// Learns from what a worker measured, and climbs its ladder.
-    pub(crate) fn take_usage(&mut self, key: WorkerKey, usage: &[TaskUsage]) {
+    /// Learns from a worker's measurements and applies the action of its overload controller.
+    pub(crate) fn apply_usage(&mut self, key: WorkerKey, usage: &[TaskUsage]) {
         if usage.is_empty() {
             return;
         }
@@ -112,19 +123,22 @@
         for measured in usage {
             let time = now.saturating_sub(measured.age);
             reading.measured_at = reading.measured_at.min(time);
-            let ratio = self.take_measurement(key, measured, time);
+            let ratio = self.apply_measurement(key, measured, time);
             reading.latency_ratio = reading.latency_ratio.max(ratio.unwrap_or(0.0));
         }
-        let company = self.links[&key].company.latest();
-        reading.predicted_ratio = self.learned.interference.predict_latency_ratio(company);
-        reading.unthrottled_ratio = self.lifted_ratio(key);
+        let colocated_classes = self.links[&key].colocation_history.current();
+        reading.predicted_ratio = self
+            .learned
+            .interference
+            .predict_latency_ratio(colocated_classes);
+        reading.unthrottled_ratio = self.predicted_unthrottled_ratio(key);
         reading.memory_share = self.memory_share(key);
-        let action = self.links[&key].ladder.observe(now, &reading);
-        self.climb(key, action);
+        let action = self.links[&key].overload_controller.observe(now, &reading);
+        self.apply_overload_action(key, action);
     }
 
-    /// Learns from one measurement; returns a service's latency over its target.
-    fn take_measurement(
+    /// Learns from one measurement; returns a service's latency divided by its target.
+    fn apply_measurement(
         &mut self,
         key: WorkerKey,
         measured: &TaskUsage,
@@ -135,19 +149,19 @@
         if run.attempt != measured.attempt.attempt || run.worker != key {
             return None;
         }
-        let counted = run.counted.max(measured.used);
-        let (before, class, kind) = (run.counted, run.class, run.kind);
-        let full_speed = run.speed_millis == FULL_SPEED;
+        let reservation = run.reservation.max(measured.used);
+        let (before, class, kind) = (run.reservation, run.class, run.kind);
+        let full_speed = run.speed_millis == FULL_SPEED_MILLIS;
         run.used = measured.used;
-        run.counted = counted;
-        self.pool.replace_reservation(key, before, counted);
+        run.reservation = reservation;
+        self.pool.replace_reservation(key, before, reservation);
         let job = self.ledger.job(task.job)?;
         if kind == ClassKind::Batch {
             let team = job.spec.team.clone();
-            let used = self.team_used.entry(team).or_default();
-            *used = used.saturating_sub(before) + counted;
+            let used = self.team_usage.entry(team).or_default();
+            *used = used.saturating_sub(before) + reservation;
         }
-        // What a throttled run uses tells nothing of what it would.
+        // The usage of a throttled run does not show what it would use at full speed.
         if full_speed {
             self.learned
                 .usage
@@ -159,51 +173,54 @@
         }
         let declared = job.spec.size.cpu_millis.max(1);
         let load = measured.used.cpu_millis as f64 / declared as f64;
-        if let Some(company) = self.links[&key].company.at(time) {
+        if let Some(colocated_classes) = self.links[&key].colocation_history.classes_at(time) {
             self.learned.interference.observe(&ServiceMeasurement {
                 measured_at: time,
                 service: class,
                 latency_p99: latency,
                 load,
-                task_counts: company,
+                task_counts: colocated_classes,
             });
         }
         self.learned.interference.latency_ratio(class, latency)
     }
 
-    fn lifted_ratio(&self, key: WorkerKey) -> f64 {
-        let company = self.pool.worker(key).task_counts.iter();
-        let lifted: Vec<(ClassKey, f64)> = company
+    /// Returns the predicted ratio of latency to target if no run were throttled.
+    fn predicted_unthrottled_ratio(&self, key: WorkerKey) -> f64 {
+        let colocated_classes = self.pool.worker(key).task_counts.iter();
+        let unthrottled: Vec<(ClassKey, f64)> = colocated_classes
             .map(|(class, count)| (*class, f64::from(*count)))
             .collect();
         self.learned
             .interference
-            .predict_peak_latency_ratio(&lifted)
+            .predict_peak_latency_ratio(&unthrottled)
     }
 
-    /// Returns the memory in use, that of runs not yet measured taken as reserved, over the worker's.
+    /// Returns the share of the worker's memory in use; runs that are not measured yet count with
+    /// their reservation.
     fn memory_share(&self, key: WorkerKey) -> f64 {
         let runs = self.links[&key].runs.iter().map(|task| &self.runs[task]);
         let used: u64 = runs
             .map(|run| match run.used.memory_mib {
-                0 => run.counted.memory_mib,
+                0 => run.reservation.memory_mib,
                 used => used,
             })
             .sum();
         used as f64 / self.pool.worker(key).capacity.memory_mib.max(1) as f64
     }
 
-    fn climb(&mut self, key: WorkerKey, action: OverloadAction) {
+    /// Performs an action of the overload controller.
+    fn apply_overload_action(&mut self, key: WorkerKey, action: OverloadAction) {
         match action {
             OverloadAction::NoChange => {}
             OverloadAction::Throttle(speed) => self.throttle_batch(key, speed),
-            OverloadAction::Evict => self.evict_one(key, StopWish::Checkpoint),
-            OverloadAction::Stop => self.evict_one(key, StopWish::Stop),
+            OverloadAction::Evict => self.evict_batch_run(key, StopRequest::Checkpoint),
+            OverloadAction::Stop => self.evict_batch_run(key, StopRequest::Stop),
         }
     }
 
-    /// Throttles the batch runs that are to blame, and lifts or tightens the throttle of those that
-    /// have one.
+    /// Sets the speed of the batch runs that are likely causes of slow services, and of those that
+    /// are already throttled.
     fn throttle_batch(&mut self, key: WorkerKey, speed: u32) {
         metrics::counter!("jasminebend_planner_throttles_total").increment(1);
         let overloaded = self.is_overloaded(key);
@@ -211,41 +228,42 @@
         let link = &self.links[&key];
         for task in &link.runs {
             let run = &mut self.runs[task];
-            let blamed = self
+            let likely_cause = self
                 .learned
                 .interference
                 .is_likely_cause(worker, run.class, overloaded);
-            let throttled = run.speed_millis < FULL_SPEED;
-            if run.kind == ClassKind::Service || !(blamed || throttled) {
+            let throttled = run.speed_millis < FULL_SPEED_MILLIS;
+            if run.kind == ClassKind::Service || !(likely_cause || throttled) {
                 continue;
             }
             run.speed_millis = speed;
             let name = attempt_of(*task, run.attempt);
             self.calls.throttle(link.address, name, speed);
         }
-        self.note_company(key);
+        self.record_colocation(key);
     }
 
+    /// Returns whether nearly all processors of a worker are in use.
     fn is_overloaded(&self, key: WorkerKey) -> bool {
         let runs = self.links[&key].runs.iter().map(|task| &self.runs[task]);
         let used: u64 = runs.map(|run| run.used.cpu_millis).sum();
-        used as f64 >= self.pool.worker(key).capacity.cpu_millis as f64 * OVERLOADED
+        used as f64 >= self.pool.worker(key).capacity.cpu_millis as f64 * OVERLOAD_CPU_SHARE
     }
 
-    /// Has the batch run leave that slows the services most; without such a belief, the one that
-    /// uses most.
-    fn evict_one(&mut self, key: WorkerKey, wish: StopWish) {
+    /// Evicts the batch run that slows the services most according to the interference model; among
+    /// equals, the one that uses the most memory, then processors.
+    fn evict_batch_run(&mut self, key: WorkerKey, request: StopRequest) {
         let runs = self.links[&key].runs.iter().copied();
         let batch = runs.filter(|task| {
             let run = &self.runs[task];
             run.kind == ClassKind::Batch
                 && run.phase == RunPhase::Running
-                && run.wish == StopWish::Keep
+                && run.stop_request == StopRequest::Continue
         });
         let cost = |task: &TaskId| {
             let run = &self.runs[task];
             let effect = self.effect_on_services(key, run.class);
-            let used = run.used.max(run.counted);
+            let used = run.used.max(run.reservation);
             (effect, used.memory_mib as f64, used.cpu_millis as f64)
         };
         let victim = batch.max_by(|left, right| {
@@ -255,13 +273,14 @@
         });
         if let Some(task) = victim {
             metrics::counter!("jasminebend_planner_evictions_total").increment(1);
-            self.wish(task, wish);
+            self.request_stop(task, request);
         }
     }
 
+    /// Returns the learned effect of a class on the services of a worker.
     fn effect_on_services(&self, key: WorkerKey, class: ClassKey) -> f64 {
-        let company = self.pool.worker(key).task_counts.iter();
-        company
+        let colocated_classes = self.pool.worker(key).task_counts.iter();
+        colocated_classes
             .map(|(service, _)| self.learned.interference.effect(*service, class))
             .sum()
     }
