--- a/crates/planner/src/shard_workers.rs
+++ b/crates/planner/src/shard_workers.rs
@@ -1,4 +1,4 @@
-//! How a shard's owner keeps touch with its workers.
+//! Renews workers' leases and tracks which workers answer.
 
 use std::time::Duration;
 
@@ -18,80 +18,85 @@
 };
 
 use crate::{
-    call_error::CallError,
     link_phase::LinkPhase,
     shard_phase::ShardPhase,
-    shard_state::ShardState, //
+    shard_state::ShardState,
+    worker_call_error::WorkerCallError, //
 };
 
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The lost answers after which a worker that holds runs is left alone until its lease has lapsed:
-/// each renewal that is still on its way might prolong the lease once more.
-const MOST_UNANSWERED: u32 = 3;
+/// Delay before a failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// After this many lost answers in a row, a worker with runs is not called until its lease has
+/// lapsed, since each renewal that is still in transit could extend the lease again.
+const MAX_UNANSWERED_CALLS: u32 = 3;
 
 impl ShardState {
-    /// Returns how long after taking over a worker that cannot be reached may go on with its runs.
+    /// Returns how long after a takeover an unreachable worker may keep its tasks running.
     ///
-    /// A former owner that is paused may have one renewal per worker in hand and send it as it
-    /// wakes: it has an effect only if it arrives before the lease lapses, and then prolongs it once.
-    /// Two leases cover that.
-    pub(crate) fn former_lease(&self) -> Duration {
-        self.settings.with_drift(self.settings.lease * 2)
+    /// A paused former owner may hold one unsent renewal per worker and send it when it resumes.
+    /// The renewal has an effect only if it arrives before the lease lapses, and extends it once.
+    /// Two lease lengths cover that.
+    pub(crate) fn former_owner_lease(&self) -> Duration {
+        self.settings.add_clock_drift(self.settings.lease * 2)
     }
 
-    /// Has every worker tell anew what runs there.
-    pub(crate) fn adopt_anew(&mut self, now: Duration) {
+    /// Adopts every worker again, so that it reports its full inventory.
+    pub(crate) fn readopt_workers(&mut self, now: Duration) {
         let keys: Vec<WorkerKey> = self.links.keys().copied().collect();
         for key in keys {
             self.links[&key].phase = LinkPhase::New;
-            self.links[&key].holds_until = now + self.former_lease();
-            self.contact_soon(key, now);
+            self.links[&key].lease_lapses_by = now + self.former_owner_lease();
+            self.reschedule_call(key, now);
             self.refresh_condition(key);
         }
     }
 
-    /// Contacts a worker at a time, though it is to be heard later.
-    pub(crate) fn contact_soon(&mut self, key: WorkerKey, time: Duration) {
-        self.links[&key].contact_due = None;
-        self.contact_at(key, time);
+    /// Schedules a call to a worker and cancels the call that was due.
+    pub(crate) fn reschedule_call(&mut self, key: WorkerKey, time: Duration) {
+        self.links[&key].call_due = None;
+        self.schedule_call(key, time);
     }
 
-    pub(crate) fn contact_at(&mut self, key: WorkerKey, time: Duration) {
-        self.contacts.insert((time, key));
+    /// Schedules a call to a worker.
+    pub(crate) fn schedule_call(&mut self, key: WorkerKey, time: Duration) {
+        self.scheduled_calls.insert((time, key));
     }
 
-    pub(crate) fn contact_workers(&mut self, now: Duration) {
-        while let Some((due, key)) = self.contacts.first().copied()
+    /// Calls all workers that are due.
+    pub(crate) fn call_due_workers(&mut self, now: Duration) {
+        while let Some((due, key)) = self.scheduled_calls.first().copied()
             && due <= now
         {
-            self.contacts.pop_first();
-            self.contact_worker(key, now);
+            self.scheduled_calls.pop_first();
+            self.call_worker(key, now);
         }
     }
 
-    fn contact_worker(&mut self, key: WorkerKey, now: Duration) {
+    /// Adopts a worker or renews its lease, unless a call is in progress or it must not be called
+    /// now.
+    fn call_worker(&mut self, key: WorkerKey, now: Duration) {
         let link = &self.links[&key];
-        if link.phase != LinkPhase::Adopted || link.moved_to.is_some() {
-            self.settle_lapsed(key, now);
+        if link.phase != LinkPhase::Adopted || link.new_address.is_some() {
+            self.end_lapsed_runs(key, now);
         }
-        self.follow_move(key);
+        self.switch_address(key);
         let link = &mut self.links[&key];
-        if link.calling {
+        if link.call_in_progress {
             link.call_again = true;
             return;
         }
-        if link.contact_due.is_some_and(|due| due > now) {
+        if link.call_due.is_some_and(|due| due > now) {
             return;
         }
-        link.contact_due = None;
+        link.call_due = None;
         if link.address.port() == 0
-            || link.moved_to.is_some()
-            || link.is_left_alone(MOST_UNANSWERED)
+            || link.new_address.is_some()
+            || link.is_waiting_for_lapse(MAX_UNANSWERED_CALLS)
         {
-            self.contact_at(key, now + RETRY_AFTER);
+            self.schedule_call(key, now + RETRY_DELAY);
             return;
         }
-        link.calling = true;
+        link.call_in_progress = true;
         let usage_limit = self.usage_limit(key);
         let link = &self.links[&key];
         let epoch = self.calls.permit.epoch;
@@ -119,44 +124,46 @@
         }
     }
 
-    /// Calls a worker at its new address once nothing can run at the former one.
-    fn follow_move(&mut self, key: WorkerKey) {
+    /// Switches to a worker's new address once nothing can run at the former one.
+    fn switch_address(&mut self, key: WorkerKey) {
         let link = &mut self.links[&key];
-        if !link.runs.is_empty() || link.calling {
+        if !link.runs.is_empty() || link.call_in_progress {
             return;
         }
-        if let Some(address) = link.moved_to.take() {
+        if let Some(address) = link.new_address.take() {
             link.address = address;
             link.phase = LinkPhase::New;
         }
     }
 
-    /// Gives up the runs of a worker whose lease has surely lapsed: by now it has stopped them.
-    fn settle_lapsed(&mut self, key: WorkerKey, now: Duration) {
+    /// Ends the runs of a worker as lost if its lease is certain to have lapsed: the worker has
+    /// stopped them by now.
+    fn end_lapsed_runs(&mut self, key: WorkerKey, now: Duration) {
         let link = &self.links[&key];
-        if now < link.holds_until || self.phase != ShardPhase::Open {
+        if now < link.lease_lapses_by || self.phase != ShardPhase::Open {
             return;
         }
         let runs: Vec<_> = link.runs.iter().copied().collect();
         for task in runs {
-            self.lose_run(task);
+            self.end_run_as_lost(task);
         }
         let link = &mut self.links[&key];
-        link.unanswered = 0;
+        link.unanswered_calls = 0;
         link.phase = LinkPhase::New;
     }
 
+    /// Handles the answer to an adoption.
     pub(crate) fn on_adopted(
         &mut self,
         key: WorkerKey,
         sent: Duration,
-        result: Result<WorkerInventory, CallError>,
+        result: Result<WorkerInventory, WorkerCallError>,
     ) {
-        self.links[&key].calling = false;
+        self.links[&key].call_in_progress = false;
         match result {
             Ok(inventory) => {
-                self.note_heard(key, sent);
-                self.spread_contact(key);
+                self.record_answer(key, sent);
+                self.randomize_next_call(key);
                 let link = &mut self.links[&key];
                 link.incarnation = Some(inventory.incarnation);
                 link.late_starts.clear();
@@ -167,77 +174,83 @@
                 }
                 self.refresh_condition(key);
             }
-            Err(error) => self.on_unheard(key, error),
+            Err(error) => self.on_call_failed(key, error),
         }
     }
 
+    /// Handles the answer to a lease renewal.
     pub(crate) fn on_renewed(
         &mut self,
         key: WorkerKey,
         sent: Duration,
         acknowledged: &[TaskAttempt],
-        result: Result<WorkerReport, CallError>,
+        result: Result<WorkerReport, WorkerCallError>,
     ) {
-        self.links[&key].calling = false;
+        self.links[&key].call_in_progress = false;
         let report = match result {
             Ok(report) => report,
-            Err(error) => return self.on_unheard(key, error),
+            Err(error) => return self.on_call_failed(key, error),
         };
-        self.note_heard(key, sent);
+        self.record_answer(key, sent);
         let link = &mut self.links[&key];
         link.acknowledged.retain(|run| !acknowledged.contains(run));
         if link.incarnation != Some(report.incarnation) {
-            // It restarted and has forgotten its runs; it must be told whom to follow.
+            // The worker restarted and forgot its tasks and its owner; it must be adopted again.
             link.phase = LinkPhase::New;
-            self.contact_soon(key, self.now());
+            self.reschedule_call(key, self.now());
             self.refresh_condition(key);
             return;
         }
-        // An adoption that overtook this renewal has the newer word.
+        // If an adoption overtook this renewal, its result is newer and stays.
         if link.phase == LinkPhase::Silent {
             link.phase = LinkPhase::Adopted;
         }
         if self.phase == ShardPhase::Open {
-            self.take_report(key, sent, &report);
+            self.apply_report(key, sent, &report);
         }
         self.refresh_condition(key);
     }
 
-    /// Calls a worker for the first time at any moment within a heartbeat: all workers of a shard are
-    /// adopted at once, and would else be called at once for good.
-    fn spread_contact(&mut self, key: WorkerKey) {
-        let offset = self.settings.heartbeat.mul_f64(self.random.random());
+    /// Schedules the first renewal at a random moment within a heartbeat interval. All workers of a
+    /// shard are adopted at the same time and would otherwise always be called at the same time.
+    fn randomize_next_call(&mut self, key: WorkerKey) {
+        let offset = self
+            .settings
+            .heartbeat_interval
+            .mul_f64(self.random.random());
         let next = self.now() + offset;
-        self.links[&key].contact_due = Some(next);
-        self.contact_at(key, next);
+        self.links[&key].call_due = Some(next);
+        self.schedule_call(key, next);
     }
 
-    fn note_heard(&mut self, key: WorkerKey, sent: Duration) {
+    /// Records an answer, extends the assumed lease, and schedules the next call.
+    fn record_answer(&mut self, key: WorkerKey, sent: Duration) {
         let now = self.now();
-        let lease = self.settings.with_drift(self.settings.lease);
+        let lease = self.settings.add_clock_drift(self.settings.lease);
         let link = &mut self.links[&key];
         let next = match std::mem::take(&mut link.call_again) {
             true => now,
-            false => now + self.settings.heartbeat,
+            false => now + self.settings.heartbeat_interval,
         };
-        link.heard = sent;
-        link.unanswered = 0;
-        link.holds_until = now + lease;
-        link.contact_due = Some(next);
-        self.contact_at(key, next);
+        link.last_answered_call_sent = sent;
+        link.unanswered_calls = 0;
+        link.lease_lapses_by = now + lease;
+        link.call_due = Some(next);
+        self.schedule_call(key, next);
     }
 
-    fn on_unheard(&mut self, key: WorkerKey, error: CallError) {
+    /// Handles a failed call: updates the assumed lease and schedules a retry.
+    fn on_call_failed(&mut self, key: WorkerKey, error: WorkerCallError) {
         let now = self.now();
-        let lease = self.settings.with_drift(self.settings.lease);
+        let lease = self.settings.add_clock_drift(self.settings.lease);
         let link = &mut self.links[&key];
         match error {
-            CallError::Worker(WorkerError::StaleEpoch { newer }) => {
+            WorkerCallError::Worker(WorkerError::StaleEpoch { newer }) => {
                 let own = self.calls.permit.epoch;
                 if newer > own {
-                    // Another owner keeps its runs alive: no time makes them lapse. Were they started
-                    // elsewhere once our own lease is over, they would run twice.
-                    link.holds_until = Duration::MAX;
+                    // Another owner keeps the worker's tasks running, so they never lapse. If they
+                    // were started elsewhere after our own lease, they would run twice.
+                    link.lease_lapses_by = Duration::MAX;
                     info!(
                         "[planner] Worker {} follows epoch {}, not {}.",
                         link.address, newer, own
@@ -245,24 +258,25 @@
                 }
                 link.phase = LinkPhase::New;
             }
-            CallError::Worker(WorkerError::Unknown) => {
-                // It may have renewed its lease as late as that lease would have lapsed.
-                link.holds_until = link.holds_until.max(now).saturating_add(lease);
-                link.unanswered += 1;
-                link.note_silence();
+            WorkerCallError::Worker(WorkerError::Unknown) => {
+                // The worker may have received this call just before its lease lapsed, and renewed
+                // the lease then.
+                link.lease_lapses_by = link.lease_lapses_by.max(now).saturating_add(lease);
+                link.unanswered_calls += 1;
+                link.mark_silent();
             }
-            CallError::Worker(WorkerError::OutOfDate | WorkerError::UnknownRun) => {
-                // Its lease lapsed; it must be adopted again.
+            WorkerCallError::Worker(WorkerError::OutOfDate | WorkerError::UnknownRun) => {
+                // The worker's lease lapsed; it must be adopted again.
                 link.phase = LinkPhase::New;
             }
-            CallError::Worker(_) => link.note_silence(),
-            CallError::Withheld => {}
+            WorkerCallError::Worker(_) => link.mark_silent(),
+            WorkerCallError::NotSent => {}
         }
-        if link.unanswered == MOST_UNANSWERED {
-            warn!("[planner] Worker {} gives no answer.", link.address);
+        if link.unanswered_calls == MAX_UNANSWERED_CALLS {
+            warn!("[planner] Worker {} does not answer.", link.address);
         }
-        self.contact_at(key, now + RETRY_AFTER);
+        self.schedule_call(key, now + RETRY_DELAY);
         self.refresh_condition(key);
-        self.tend_worker(key);
+        self.revisit_worker_runs(key);
     }
 }
--- a/crates/planner/src/submit_check.rs
+++ b/crates/planner/src/submit_check.rs
@@ -1,4 +1,4 @@
-//! Which submissions are refused at once.
+//! Checks submissions and determines their home shard.
 
 use jasminebend_base::{
     ClassKind,
@@ -16,19 +16,19 @@
 
 use crate::SubmitError;
 
-/// The most tasks of a job.
-pub(crate) const MOST_TASKS: u32 = 10_000;
-/// The most bytes of a submission's texts together.
-pub(crate) const MOST_BYTES: usize = 16 * 1024;
+/// Limits the tasks of a job.
+pub(crate) const MAX_TASKS_PER_JOB: u32 = 10_000;
+/// Limits the total length of a submission's payload, key and names, in bytes.
+pub(crate) const MAX_SUBMISSION_BYTES: usize = 16 * 1024;
 
-/// Refuses what can be seen at once never to run; returns the kind of the class.
-pub(crate) fn check(
+/// Rejects a submission that can never run; returns the kind of its class.
+pub(crate) fn check_submission(
     spec: &JobSpec,
     configuration: &Configuration,
     vms: &VmSnapshot,
     shards: u16,
 ) -> Result<ClassKind, SubmitError> {
-    check_form(spec)?;
+    check_limits(spec)?;
     let class = configuration.class(&spec.class);
     let class = class.ok_or_else(|| SubmitError::UnknownClass {
         class: spec.class.clone(),
@@ -38,10 +38,11 @@
     Ok(class.kind)
 }
 
-fn check_form(spec: &JobSpec) -> Result<(), SubmitError> {
-    if spec.tasks == 0 || spec.tasks > MOST_TASKS {
+/// Rejects a submission whose task count, task size or text length is out of range.
+fn check_limits(spec: &JobSpec) -> Result<(), SubmitError> {
+    if spec.tasks == 0 || spec.tasks > MAX_TASKS_PER_JOB {
         return Err(SubmitError::TaskCount {
-            most: MOST_TASKS,
+            max: MAX_TASKS_PER_JOB,
             found: spec.tasks,
         });
     }
@@ -51,15 +52,17 @@
     let key = spec.key.as_ref().map_or(0, String::len);
     let names = spec.team.as_str().len() + spec.class.as_str().len();
     let found = spec.payload.len() + key + names;
-    if found > MOST_BYTES {
+    if found > MAX_SUBMISSION_BYTES {
         return Err(SubmitError::TooLong {
-            most: MOST_BYTES,
+            max: MAX_SUBMISSION_BYTES,
             found,
         });
     }
     Ok(())
 }
 
+/// Rejects an undeclared team, and batch tasks that exceed a shard's part of the team's quota.
+/// Accepts every team if none is declared.
 fn check_quota(
     spec: &JobSpec,
     kind: ClassKind,
@@ -73,15 +76,15 @@
     let Some(quota) = configuration.team(&spec.team) else {
         return Err(SubmitError::UnknownTeam { team });
     };
-    if kind == ClassKind::Batch && !spec.size.fits_in(quota_part(quota.limit, shards)) {
+    if kind == ClassKind::Batch && !spec.size.fits_in(quota_per_shard(quota.limit, shards)) {
         return Err(SubmitError::BeyondQuota { team, shards });
     }
     Ok(())
 }
 
-/// Returns a shard's part of a team's quota: were each shard to grant the whole, a team could hold it
-/// as many times as there are shards.
-pub(crate) fn quota_part(limit: ResourceAmount, shards: u16) -> ResourceAmount {
+/// Returns a shard's part of a team's quota. If each shard granted the whole quota, a team could
+/// use it once per shard.
+pub(crate) fn quota_per_shard(limit: ResourceAmount, shards: u16) -> ResourceAmount {
     let shards = u64::from(shards.max(1));
     ResourceAmount {
         cpu_millis: limit.cpu_millis / shards,
@@ -90,7 +93,8 @@
     }
 }
 
-/// A list that was never read, or names no worker, proves nothing.
+/// Rejects tasks that no listed worker can hold even if empty. Accepts all if the list was never
+/// read or contains no worker.
 fn check_fit(spec: &JobSpec, vms: &VmSnapshot) -> Result<(), SubmitError> {
     let mut capacities = workers(vms).map(|worker| worker.capacity).peekable();
     let unknown = capacities.peek().is_none();
@@ -100,7 +104,8 @@
     Err(SubmitError::NeverFits)
 }
 
-/// Returns the home shard of a job: by hash among those with a worker that could hold its tasks.
+/// Returns the home shard of a job: chosen by hash among the shards with a worker that can hold its
+/// tasks, or among all if there is none.
 pub(crate) fn home_shard(job: JobId, size: ResourceAmount, vms: &VmSnapshot, shards: u16) -> u16 {
     let fitting = workers(vms).filter(|worker| size.fits_in(worker.capacity));
     let mut homes: Vec<u16> = fitting
@@ -115,6 +120,7 @@
     }
 }
 
+/// Returns the workers of a VM list.
 fn workers(vms: &VmSnapshot) -> impl Iterator<Item = &WorkerRecord> {
     vms.vms.iter().filter_map(|vm| vm.worker.as_ref())
 }
--- a/crates/planner/src/submit_error.rs
+++ b/crates/planner/src/submit_error.rs
@@ -1,4 +1,4 @@
-//! Why a job was not accepted.
+//! The reason why a job was not accepted.
 
 use derive_more::{
     Display,
@@ -10,71 +10,71 @@
 };
 use jasminebend_placement::JobId;
 
-/// Why a job was not accepted, or is not known to be.
+/// The reason why a job was not accepted, or may not have been.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum SubmitError {
-    /// The class is not declared.
+    /// The configuration does not declare the class.
     #[display("the configuration declares no class `{class}`; declare it, or name another")]
     UnknownClass {
-        /// The class.
+        /// Class of the submission.
         class: ClassName,
     },
-    /// The team is not declared.
+    /// The configuration does not declare the team.
     #[display("the configuration declares no team `{team}`; declare it with its quota")]
     UnknownTeam {
-        /// The team.
+        /// Team of the submission.
         team: TeamName,
     },
     /// The number of tasks is zero or too large.
-    #[display("a job has from 1 to {most} tasks, not {found}")]
+    #[display("a job has from 1 to {max} tasks, not {found}")]
     TaskCount {
-        /// The most.
-        most: u32,
-        /// As submitted.
+        /// Largest accepted number of tasks.
+        max: u32,
+        /// Number of tasks of the submission.
         found: u32,
     },
-    /// The tasks need no processors or no memory.
+    /// The declared task size has no processors or no memory.
     #[display("a task needs some processors and some memory")]
     ZeroSize,
-    /// The payload or the key is too long.
-    #[display("payload, names and key together have at most {most} bytes, not {found}")]
+    /// The payload, the key and the names together are too long.
+    #[display("payload, names and key together have at most {max} bytes, not {found}")]
     TooLong {
-        /// The most.
-        most: usize,
-        /// As submitted.
+        /// Largest accepted length in bytes.
+        max: usize,
+        /// Length of the submission in bytes.
         found: usize,
     },
-    /// No worker could ever hold one of its tasks.
+    /// No listed worker can hold one of the tasks, even if empty.
     #[display("no worker is large enough for one of its tasks, even if empty; declare less")]
     NeverFits,
-    /// A shard's part of the team's quota is smaller than one of its tasks.
+    /// One task exceeds a shard's part of the team's quota.
     #[display(
         "one of its tasks needs more than the quota of team `{team}` allows; the quota is divided among {shards} shard(s)"
     )]
     BeyondQuota {
-        /// The team.
+        /// Team of the submission.
         team: TeamName,
-        /// The number of shards.
+        /// Number of shards among which the quota is divided.
         shards: u16,
     },
-    /// The key was used for another job.
+    /// The idempotency key belongs to a different job.
     #[display("the key was used for job {job}, which is not the same; use a new key")]
     KeyReused {
-        /// The earlier job.
+        /// The job that was submitted with the key before.
         job: JobId,
     },
-    /// The table service took nothing in.
+    /// The table service did not store the job.
     #[display("the job was not accepted: the table service cannot be reached; submit it again")]
     TableUnavailable,
-    /// The table service's answer was lost.
+    /// The answer of the table service was lost, so the job may have been stored.
     #[display(
         "job {job} may or may not have been accepted: the table service's answer was lost; ask for its status, or submit it again with the same key"
     )]
     Unknown {
-        /// The job's identity if it was.
+        /// Identifier of the job if it was stored.
         job: JobId,
     },
-    /// The record could not be encoded.
+    /// The job's record could not be encoded.
     #[display("the job was not accepted: it cannot be encoded")]
     Encoding,
 }
--- a/crates/planner/src/task_names.rs
+++ b/crates/planner/src/task_attempts.rs
@@ -1,4 +1,4 @@
-//! The workers' names of runs.
+//! Converts between the planner's task identifiers and the attempts that workers report.
 
 use jasminebend_placement::{
     JobId,
@@ -6,7 +6,7 @@
 };
 use jasminebend_ports::TaskAttempt;
 
-/// Returns a worker's name of a run.
+/// Returns the identifier of a run that workers use.
 pub(crate) fn attempt_of(task: TaskId, attempt: u32) -> TaskAttempt {
     TaskAttempt {
         job: task.job.0,
@@ -15,7 +15,7 @@
     }
 }
 
-/// Returns the task of a run that a worker names.
+/// Returns the task of a run that a worker reports.
 pub(crate) fn task_of(run: TaskAttempt) -> TaskId {
     TaskId {
         job: JobId(run.job),
--- a/crates/planner/src/task_run.rs
+++ b/crates/planner/src/task_run.rs
@@ -1,4 +1,4 @@
-//! A run as the shard's owner follows it.
+//! The state of a run that a shard's owner tracks.
 
 use std::time::Duration;
 
@@ -14,11 +14,11 @@
 
 use crate::{
     run_phase::RunPhase,
-    stop_wish::StopWish, //
+    stop_request::StopRequest, //
 };
 
-/// A run as the shard's owner follows it. What is known here is lost with the owner; its successor
-/// learns it from the workers.
+/// The state of a run (one attempt of a task) that a shard's owner tracks. It is not stored: a new
+/// owner asks the workers for it.
 #[derive(Clone, Debug)]
 pub(crate) struct TaskRun {
     pub(crate) attempt: u32,
@@ -28,23 +28,28 @@
     pub(crate) phase: RunPhase,
     /// Whether a start may have reached the worker.
     pub(crate) maybe_started: bool,
-    pub(crate) wish: StopWish,
-    /// What the pool counts for it: what was set aside, or what was measured if more.
-    pub(crate) counted: ResourceAmount,
+    /// The strongest request to end the run.
+    pub(crate) stop_request: StopRequest,
+    /// Capacity that the pool counts for the run: the reservation, or the measured use if that is
+    /// larger.
+    pub(crate) reservation: ResourceAmount,
+    /// Last measured use; zero before the first measurement.
     pub(crate) used: ResourceAmount,
-    pub(crate) since: Duration,
-    /// The share of its speed that a throttle leaves it, in thousandths.
+    /// Time since which the run is known to run; zero if it was never seen running.
+    pub(crate) running_since: Duration,
+    /// Speed that the throttle allows, in thousandths of full speed.
     pub(crate) speed_millis: u32,
-    /// When a refused checkpoint may be asked for again.
-    pub(crate) not_before: Duration,
-    /// Whether its room is set aside; not for a run that was committed ahead.
-    pub(crate) holds_room: bool,
-    /// Whether it was committed ahead, to start once there is room.
-    pub(crate) ahead: bool,
-    /// Its latest start, if it was committed ahead.
-    pub(crate) latest: LatestStart,
-    /// The place that is kept for it while it leaves its worker; for services.
-    pub(crate) moving_to: Option<WorkerKey>,
+    /// Earliest time of the next checkpoint attempt after a failed one.
+    pub(crate) checkpoint_not_before: Duration,
+    /// Whether capacity is reserved for the run; not for a waiting pre-committed one.
+    pub(crate) holds_capacity: bool,
+    /// Whether the run was committed before its worker had free capacity.
+    pub(crate) precommitted: bool,
+    /// Latest start of a pre-committed run; zero for other runs.
+    pub(crate) latest_start: LatestStart,
+    /// The worker on which capacity is reserved while this run of a service is stopped to move
+    /// there.
+    pub(crate) move_target: Option<WorkerKey>,
 }
 
 impl TaskRun {
@@ -53,7 +58,7 @@
         worker: WorkerKey,
         class: ClassKey,
         kind: ClassKind,
-        counted: ResourceAmount,
+        reservation: ResourceAmount,
     ) -> Self {
         Self {
             attempt,
@@ -62,30 +67,31 @@
             kind,
             phase: RunPhase::Committing,
             maybe_started: false,
-            wish: StopWish::Keep,
-            counted,
+            stop_request: StopRequest::Continue,
+            reservation,
             used: ResourceAmount::default(),
-            since: Duration::ZERO,
+            running_since: Duration::ZERO,
             speed_millis: 1000,
-            not_before: Duration::ZERO,
-            holds_room: true,
-            ahead: false,
-            latest: LatestStart(0),
-            moving_to: None,
+            checkpoint_not_before: Duration::ZERO,
+            holds_capacity: true,
+            precommitted: false,
+            latest_start: LatestStart(0),
+            move_target: None,
         }
     }
 
-    /// Tells whether its worker is known, or believed, to run it.
+    /// Returns whether the worker runs this run, or may be running it.
     pub(crate) fn is_running(&self) -> bool {
         match self.phase {
-            RunPhase::Committing | RunPhase::Ahead | RunPhase::ToStart | RunPhase::Starting => {
-                false
-            }
-            RunPhase::Unheard
+            RunPhase::Committing
+            | RunPhase::Precommitted
+            | RunPhase::ReadyToStart
+            | RunPhase::Starting => false,
+            RunPhase::Unverified
             | RunPhase::Unconfirmed { .. }
             | RunPhase::Running
             | RunPhase::Stopping
-            | RunPhase::Settling { .. } => true,
+            | RunPhase::AwaitingOutcome { .. } => true,
         }
     }
 }
--- a/crates/planner/src/trace_span.rs
+++ b/crates/planner/src/trace_span.rs
@@ -8,9 +8,10 @@
     trace::Tracer, //
 };
 
-const TRACER: &str = "jasminebend";
+/// Name of the tracer.
+const TRACER_NAME: &str = "jasminebend";
 
-/// Begins a span, which ends when it is dropped.
-pub(crate) fn begin(name: &'static str) -> BoxedSpan {
-    global::tracer(TRACER).start(name)
+/// Starts a span, which ends when it is dropped.
+pub(crate) fn start_span(name: &'static str) -> BoxedSpan {
+    global::tracer(TRACER_NAME).start(name)
 }
--- a/crates/planner/tests/planner/cancellation.rs
+++ b/crates/planner/tests/planner/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations, also in waves.
+//! Tests cancellations, single and in large numbers.
 
 use std::sync::Arc;
 
@@ -13,27 +13,27 @@
 };
 
 use crate::{
+    counting_workers::CountingWorkers,
     test_bed::{
         TestBed,
-        batch,
+        batch_job,
         seconds,
-        service, //
-    },
-    watched_workers::WatchedWorkers, //
+        service_job, //
+    }, //
 };
 
-// Operators cancel ten thousand jobs at once, and a service that customers wait for starts minutes
-// late behind the stops.
+// Operators cancel 10,000 jobs at once. The stops must not delay the start of a service by minutes,
+// and no cancelled task may keep running.
 #[tokio::test(start_paused = true)]
 async fn a_wave_of_cancellations_neither_delays_urgent_starts_nor_leaves_a_task_running() {
     let bed = TestBed::new(40);
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     let mut jobs = Vec::new();
     for _ in 0..10_000 {
         jobs.push(
             planner
                 .handle
-                .submit(batch(1, seconds(5_000)))
+                .submit(batch_job(1, seconds(5_000)))
                 .await
                 .unwrap(),
         );
@@ -46,7 +46,7 @@
         let handle = planner.handle.clone();
         wave.spawn(async move { handle.cancel(job).await });
     }
-    let urgent = planner.handle.submit(service(20)).await.unwrap();
+    let urgent = planner.handle.submit(service_job(20)).await.unwrap();
     let submitted = bed.now();
     while let Some(answer) = wave.join_next().await {
         answer.unwrap().unwrap();
@@ -65,8 +65,8 @@
     bed.check();
 }
 
-// A cancelled job still runs. The cancellation comes while its start is committed, on its way, or
-// answered late, or as it finishes.
+// Cancels a job while its start is being committed, in transit or answered late, or as it finishes.
+// No task may run afterwards.
 #[tokio::test(start_paused = true)]
 async fn cancellations_that_race_starts_and_finishes_leave_nothing_running() {
     for fault in [
@@ -78,17 +78,21 @@
     ] {
         for wait in (0..40).map(|step| seconds(1) / 10 * step) {
             let bed = TestBed::new(2);
-            let planner = bed.planner(1).await;
+            let planner = bed.start_planner(1).await;
             bed.each_worker(|worker| {
                 if let Some(kind) = fault {
                     worker.faults().once(CallKind::Start, kind);
                     worker.faults().once(CallKind::Stop, kind);
                 }
             });
-            let job = planner.handle.submit(batch(4, seconds(2))).await.unwrap();
+            let job = planner
+                .handle
+                .submit(batch_job(4, seconds(2)))
+                .await
+                .unwrap();
             sleep(wait).await;
             planner.handle.cancel(job).await.unwrap();
-            let status = planner.ended(job, seconds(60)).await;
+            let status = planner.wait_until_ended(job, seconds(60)).await;
             assert!(bed.ledger.running().is_empty(), "{fault:?} {wait:?}");
             sleep(seconds(30)).await;
             assert!(bed.ledger.running().is_empty(), "{fault:?} {wait:?}");
@@ -98,19 +102,20 @@
     }
 }
 
-// A job that was cancelled right after its submission runs for ever. Its owner reads cancellations and
-// submissions one after the other, some at a time: it sees the cancellation before the job.
+// Cancels jobs right after their submission. The owner reads cancellations and submissions in
+// separate, limited scans, so it may read a cancellation before the job; the job would run forever
+// if the cancellation were dropped.
 #[tokio::test(start_paused = true)]
-async fn a_cancellation_that_is_seen_before_its_job_holds() {
+async fn a_cancellation_read_before_its_job_takes_effect() {
     for slow in [0, 300] {
         let bed = TestBed::new(4);
-        let planner = bed.planner(1).await;
+        let planner = bed.start_planner(1).await;
         let fault = FaultKind::Slow(seconds(1) * slow / 1000);
         bed.table.faults().always(CallKind::Scan, fault);
         let mut jobs = Vec::new();
         for _ in 0..3 {
             for _ in 0..300 {
-                let spec = batch(1, seconds(100_000));
+                let spec = batch_job(1, seconds(100_000));
                 jobs.push(planner.handle.submit(spec).await.unwrap());
             }
             let mut wave = JoinSet::new();
@@ -121,9 +126,9 @@
             wave.join_all().await.into_iter().for_each(Result::unwrap);
             sleep(seconds(1) * 777 / 1000).await;
         }
-        // One by one, at every moment between two looks.
+        // Single jobs, at many moments between two scans.
         for _ in 0..40 {
-            let spec = batch(1, seconds(100_000));
+            let spec = batch_job(1, seconds(100_000));
             let job = planner.handle.submit(spec).await.unwrap();
             planner.handle.cancel(job).await.unwrap();
             jobs.push(job);
@@ -137,20 +142,22 @@
     }
 }
 
-// A job of hundreds of tasks is cancelled while workers answer slowly. Were all stops sent at once, a
-// wave of them would leave no room for starts.
+// Cancels a job of 300 tasks while workers answer slowly. If all stops were sent at once, they
+// would delay starts.
 #[tokio::test(start_paused = true)]
 async fn stops_in_flight_are_limited() {
     let bed = TestBed::new(40);
-    let workers = Arc::new(WatchedWorkers::new(&bed).with_stop_time(seconds(1)));
+    let workers = Arc::new(CountingWorkers::new(&bed).with_stop_time(seconds(1)));
     let table = Arc::new(bed.table.clone());
-    let planner = bed.planner_with(1, table, Arc::clone(&workers) as _).await;
-    let job = batch(300, seconds(5_000));
+    let planner = bed
+        .start_planner_with(1, table, Arc::clone(&workers) as _)
+        .await;
+    let job = batch_job(300, seconds(5_000));
     let job = planner.handle.submit(job).await.unwrap();
     sleep(seconds(60)).await;
     assert_eq!(bed.ledger.running().len(), 300);
     planner.handle.cancel(job).await.unwrap();
-    let status = planner.ended(job, seconds(60)).await;
+    let status = planner.wait_until_ended(job, seconds(60)).await;
     assert_eq!(status.phase, JobPhase::Cancelled);
     let counts = workers.counts();
     assert_eq!((counts.stops, counts.most_stops_in_flight), (300, 64));
--- a/crates/planner/tests/planner/watched_workers.rs
+++ b/crates/planner/tests/planner/counting_workers.rs
@@ -1,4 +1,5 @@
-//! Workers that take a domain out as its first start arrives, and count starts and stops.
+//! Workers that count starts and stops, can take a failure domain out when its first start arrives,
+//! and can delay stops.
 
 use std::{
     net::SocketAddr,
@@ -29,26 +30,26 @@
 
 use crate::test_bed::TestBed;
 
-/// What was counted.
+/// Counts of the calls to all workers.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct WatchedCounts {
-    /// The starts that were sent to the domain, the one that took it out included.
+pub(crate) struct CallCounts {
+    /// Starts that were sent to the failure domain, including the one that took it out.
     pub(crate) starts_in_domain: usize,
     pub(crate) stops: usize,
     pub(crate) stops_in_flight: usize,
     pub(crate) most_stops_in_flight: usize,
 }
 
-/// Workers whose calls are counted.
-pub(crate) struct WatchedWorkers {
+/// Passes calls on to the worker stand-ins and counts them.
+pub(crate) struct CountingWorkers {
     fleet: WorkerFleet,
     configuration: watch::Sender<Arc<Configuration>>,
     domain: Option<DomainName>,
     stop_time: Duration,
-    counts: Mutex<WatchedCounts>,
+    counts: Mutex<CallCounts>,
 }
 
-impl WatchedWorkers {
+impl CountingWorkers {
     pub(crate) fn new(bed: &TestBed) -> Self {
         Self {
             fleet: bed.fleet.clone(),
@@ -59,22 +60,23 @@
         }
     }
 
-    /// Takes this domain out as its first start arrives.
+    /// Takes this failure domain out of use when its first start arrives.
     pub(crate) fn with_domain_going_out(mut self, domain: &str) -> Self {
         self.domain = Some(domain.into());
         self
     }
 
-    /// Has each stop take this long.
+    /// Delays each stop by this long.
     pub(crate) fn with_stop_time(mut self, time: Duration) -> Self {
         self.stop_time = time;
         self
     }
 
-    pub(crate) fn counts(&self) -> WatchedCounts {
+    pub(crate) fn counts(&self) -> CallCounts {
         *self.counts.lock().unwrap()
     }
 
+    /// Counts a start in the failure domain and takes the domain out.
     fn note_start(&self, worker: SocketAddr) {
         let domain = self.fleet.worker(worker).map(|worker| worker.domain());
         if domain.is_none() || domain != self.domain {
@@ -91,6 +93,7 @@
         });
     }
 
+    /// Counts a stop and delays it.
     async fn delay_stop(&self) {
         {
             let mut counts = self.counts.lock().unwrap();
@@ -104,7 +107,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for WatchedWorkers {
+impl WorkerCalls for CountingWorkers {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/planner/tests/planner/severed_edges.rs
+++ b/crates/planner/tests/planner/crashing_dependencies.rs
@@ -1,4 +1,5 @@
-//! A planner's table and workers that go silent for good at its n-th call, as if it had died there.
+//! A table and workers that stop answering at a planner's n-th call, as if the planner had crashed
+//! there.
 
 use std::{
     future::pending,
@@ -31,46 +32,51 @@
     WorkerFleet, //
 };
 
-/// Where a planner dies: at its n-th call, before the call takes effect or right after.
+/// The call at which a planner crashes, before or right after the call takes effect.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct DeathPoint {
+pub(crate) struct CrashPoint {
+    /// Number of the call, counted from 1.
     pub(crate) call: usize,
     pub(crate) after_effect: bool,
 }
 
-/// The calls of one planner, counted over table and workers.
+/// The table and workers of one planner, with a common count of its calls.
 #[derive(Clone)]
-pub(crate) struct SeveredEdges {
+pub(crate) struct CrashingDependencies {
     table: TableStandIn,
     fleet: WorkerFleet,
     calls: Arc<AtomicUsize>,
-    death: DeathPoint,
+    crash_point: CrashPoint,
 }
 
-impl SeveredEdges {
-    pub(crate) fn new(table: &TableStandIn, fleet: &WorkerFleet, death: DeathPoint) -> Self {
+impl CrashingDependencies {
+    pub(crate) fn new(table: &TableStandIn, fleet: &WorkerFleet, crash_point: CrashPoint) -> Self {
         Self {
             table: table.clone(),
             fleet: fleet.clone(),
             calls: Arc::default(),
-            death,
+            crash_point,
         }
     }
 
+    /// Returns the number of calls so far.
     pub(crate) fn calls(&self) -> usize {
         self.calls.load(Ordering::Relaxed)
     }
 
-    async fn meet_death<Answer, Call>(&self, call: Call) -> Answer
+    /// Performs a call, or never returns if the planner has crashed at or before it.
+    async fn call_until_crash<Answer, Call>(&self, call: Call) -> Answer
     where
         Call: Future<Output = Answer> + Send,
     {
         let count = self.calls.fetch_add(1, Ordering::Relaxed) + 1;
-        if count > self.death.call || (count == self.death.call && !self.death.after_effect) {
+        if count > self.crash_point.call
+            || (count == self.crash_point.call && !self.crash_point.after_effect)
+        {
             return pending().await;
         }
         let answer = call.await;
-        if count == self.death.call {
+        if count == self.crash_point.call {
             return pending().await;
         }
         answer
@@ -78,9 +84,9 @@
 }
 
 #[async_trait]
-impl TableService for SeveredEdges {
+impl TableService for CrashingDependencies {
     async fn read(&self, key: &RowKey) -> Result<Option<TableRow>, TableError> {
-        self.meet_death(self.table.read(key)).await
+        self.call_until_crash(self.table.read(key)).await
     }
 
     async fn scan(
@@ -89,7 +95,8 @@
         after: Option<&RowKey>,
         limit: usize,
     ) -> Result<Vec<TableRow>, TableError> {
-        self.meet_death(self.table.scan(prefix, after, limit)).await
+        self.call_until_crash(self.table.scan(prefix, after, limit))
+            .await
     }
 
     async fn commit(
@@ -97,17 +104,19 @@
         write: WriteId,
         changes: Vec<RowChange>,
     ) -> Result<CommitOutcome, TableError> {
-        self.meet_death(self.table.commit(write, changes)).await
+        self.call_until_crash(self.table.commit(write, changes))
+            .await
     }
 }
 
 #[async_trait]
-impl WorkerCalls for SeveredEdges {
+impl WorkerCalls for CrashingDependencies {
     async fn call(
         &self,
         worker: SocketAddr,
         request: WorkerRequest,
     ) -> Result<WorkerAnswer, WorkerError> {
-        self.meet_death(self.fleet.call(worker, request)).await
+        self.call_until_crash(self.fleet.call(worker, request))
+            .await
     }
 }
--- a/crates/planner/tests/planner/eviction.rs
+++ b/crates/planner/tests/planner/eviction.rs
@@ -1,4 +1,4 @@
-//! Evicted work resumes once.
+//! Tests that evicted tasks are resumed exactly once.
 
 use jasminebend_base::DomainState;
 use jasminebend_standins::{
@@ -10,14 +10,14 @@
 
 use crate::test_bed::{
     TestBed,
-    batch,
+    batch_job,
     seconds, //
 };
 
-// Reconciliation is skipped or done twice. A task is evicted, and its checkpoint fails, or is lost
-// later, or is written while the answer is lost, arrives late, or twice.
+// Evicts tasks while checkpoints fail, are lost later, or are written although the answer is lost,
+// late or duplicated. Every task must still finish exactly once.
 #[tokio::test(start_paused = true)]
-async fn a_checkpoint_that_goes_wrong_costs_work_and_never_a_task() {
+async fn a_failed_or_lost_checkpoint_loses_work_but_no_task() {
     let modes = [
         CheckpointMode::Kept,
         CheckpointMode::Fails,
@@ -34,8 +34,12 @@
     for mode in modes {
         for fault in faults {
             let bed = TestBed::new(6);
-            let planner = bed.planner(1).await;
-            let job = planner.handle.submit(batch(40, seconds(30))).await.unwrap();
+            let planner = bed.start_planner(1).await;
+            let job = planner
+                .handle
+                .submit(batch_job(40, seconds(30)))
+                .await
+                .unwrap();
             sleep(seconds(12)).await;
             bed.each_worker(|worker| {
                 worker.set_knobs(|knobs| knobs.checkpoints = mode);
@@ -46,7 +50,10 @@
                 }
             });
             bed.set_domain("a", DomainState::Out);
-            assert_eq!(planner.ended(job, seconds(300)).await.finished, 40);
+            assert_eq!(
+                planner.wait_until_ended(job, seconds(300)).await.finished,
+                40
+            );
             let summary = bed.check();
             assert_eq!(summary.finishes, 40, "{mode:?} {fault:?}");
             assert_eq!(summary.repeated_resumes, 0, "{mode:?} {fault:?}");
@@ -55,22 +62,29 @@
     }
 }
 
-// A result is lost. The task cannot be checkpointed and is to be stopped, and finishes just before the
-// stop comes: taken for stopped, it would run again.
+// A task that cannot be checkpointed is stopped and finishes just before the stop arrives. If it
+// were taken for stopped, its result would be lost and it would run again.
 #[tokio::test(start_paused = true)]
 async fn a_task_that_finishes_as_it_is_stopped_is_not_run_again() {
     for step in 0..24 {
         let bed = TestBed::new(6);
-        let planner = bed.planner(1).await;
+        let planner = bed.start_planner(1).await;
         bed.each_worker(|worker| {
             worker.set_knobs(|knobs| knobs.checkpoints = CheckpointMode::Fails);
             let slow = FaultKind::Slow(seconds(1));
             worker.faults().always(CallKind::Stop, slow);
         });
-        let job = planner.handle.submit(batch(24, seconds(20))).await.unwrap();
+        let job = planner
+            .handle
+            .submit(batch_job(24, seconds(20)))
+            .await
+            .unwrap();
         sleep(seconds(18) + seconds(1) / 8 * step).await;
         bed.set_domain("a", DomainState::Out);
-        assert_eq!(planner.ended(job, seconds(300)).await.finished, 24);
+        assert_eq!(
+            planner.wait_until_ended(job, seconds(300)).await.finished,
+            24
+        );
         assert_eq!(bed.check().starts_after_finish, 0, "step {step}");
     }
 }
--- a/crates/planner/tests/planner/failure_domain.rs
+++ b/crates/planner/tests/planner/failure_domain.rs
@@ -1,4 +1,4 @@
-//! Failure domains leave and return.
+//! Tests failure domains that are taken out of use and return.
 
 use std::sync::Arc;
 
@@ -14,17 +14,17 @@
 use tokio::time::sleep;
 
 use crate::{
+    counting_workers::CountingWorkers,
     test_bed::{
         TestBed,
-        batch,
+        batch_job,
         seconds,
-        service, //
-    },
-    watched_workers::WatchedWorkers, //
+        service_job, //
+    }, //
 };
 
-// Operators take a domain out to work on its power, and a task starts there a minute later: it was
-// decided on, committed, or on its way to the worker when the domain went out.
+// Operators take a failure domain out for maintenance. No task may start there three seconds later,
+// even if its start was already decided, committed or in transit.
 #[tokio::test(start_paused = true)]
 async fn nothing_starts_in_a_domain_three_seconds_after_it_went_out() {
     for fault in [
@@ -34,14 +34,14 @@
         Some((CallKind::Start, FaultKind::LoseAnswer)),
     ] {
         let bed = TestBed::new(12);
-        let planner = bed.planner(1).await;
+        let planner = bed.start_planner(1).await;
         sleep(seconds(3)).await;
         if let Some((CallKind::Commit, kind)) = fault {
             bed.table.faults().always(CallKind::Commit, kind);
         }
         let job = planner
             .handle
-            .submit(batch(150, seconds(20)))
+            .submit(batch_job(150, seconds(20)))
             .await
             .unwrap();
         bed.each_worker(|worker| {
@@ -53,7 +53,10 @@
         let out = bed.now();
         bed.set_domain("b", DomainState::Out);
         let deadline = out + seconds(3);
-        assert_eq!(planner.ended(job, seconds(400)).await.finished, 150);
+        assert_eq!(
+            planner.wait_until_ended(job, seconds(400)).await.finished,
+            150
+        );
         let late = bed
             .ledger
             .starts_in(&DomainName::from("b"), deadline, bed.now());
@@ -62,28 +65,41 @@
     }
 }
 
-// Operators take a domain out while the starts that were decided on together are being sent: the
-// first of them is on its way, the others must not follow. The stops that come later end them, but by
-// then work has begun where somebody is about to cut the power.
+// A failure domain is taken out while starts that were decided together are being sent. The first
+// one is in transit, the others must not be sent: stopping them later would be too late for whoever
+// cuts the power.
 #[tokio::test(start_paused = true)]
 async fn no_start_is_sent_once_its_domain_went_out() {
     let bed = TestBed::new(12);
-    let workers = Arc::new(WatchedWorkers::new(&bed).with_domain_going_out("b"));
+    let workers = Arc::new(CountingWorkers::new(&bed).with_domain_going_out("b"));
     let table = Arc::new(bed.table.clone());
-    let planner = bed.planner_with(1, table, Arc::clone(&workers) as _).await;
+    let planner = bed
+        .start_planner_with(1, table, Arc::clone(&workers) as _)
+        .await;
     sleep(seconds(3)).await;
-    let job = planner.handle.submit(batch(90, seconds(20))).await.unwrap();
-    assert_eq!(planner.ended(job, seconds(400)).await.finished, 90);
+    let job = planner
+        .handle
+        .submit(batch_job(90, seconds(20)))
+        .await
+        .unwrap();
+    assert_eq!(
+        planner.wait_until_ended(job, seconds(400)).await.finished,
+        90
+    );
     assert_eq!(workers.counts().starts_in_domain, 1);
     bed.check();
 }
 
 #[tokio::test(start_paused = true)]
-async fn batch_leaves_by_checkpoint_and_services_move_within_what_others_hold() {
+async fn batch_tasks_checkpoint_and_services_move_when_a_domain_goes_out() {
     let bed = TestBed::new(12);
-    let planner = bed.planner(1).await;
-    let services = planner.handle.submit(service(6)).await.unwrap();
-    let job = planner.handle.submit(batch(40, seconds(60))).await.unwrap();
+    let planner = bed.start_planner(1).await;
+    let services = planner.handle.submit(service_job(6)).await.unwrap();
+    let job = planner
+        .handle
+        .submit(batch_job(40, seconds(60)))
+        .await
+        .unwrap();
     sleep(seconds(10)).await;
     bed.set_domain("a", DomainState::Out);
     sleep(seconds(20)).await;
@@ -94,16 +110,19 @@
         assert_eq!(end, RunEnd::Checkpointed);
     }
     assert_eq!(planner.status(services).await.running, 6);
-    assert_eq!(planner.ended(job, seconds(400)).await.finished, 40);
+    assert_eq!(
+        planner.wait_until_ended(job, seconds(400)).await.finished,
+        40
+    );
     let summary = bed.check();
     assert_eq!(summary.repeated_resumes, 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_service_with_no_other_place_stays_until_there_is_one() {
+async fn a_service_that_fits_nowhere_else_keeps_running() {
     let bed = TestBed::new(6);
-    let planner = bed.planner(1).await;
-    let job = planner.handle.submit(service(24)).await.unwrap();
+    let planner = bed.start_planner(1).await;
+    let job = planner.handle.submit(service_job(24)).await.unwrap();
     sleep(seconds(10)).await;
     assert_eq!(bed.ledger.running().len(), 24);
     bed.set_domain("a", DomainState::Out);
@@ -113,16 +132,16 @@
     bed.check();
 }
 
-// A domain returns empty and draws every waiting task at once: its switches and disks, cold, slow
-// what starts there.
+// A failure domain returns empty. If it received every waiting task at once, its cold switches and
+// disks would slow them.
 #[tokio::test(start_paused = true)]
 async fn a_domain_that_returns_fills_slowly() {
     let bed = TestBed::new(12);
     bed.set_domain("a", DomainState::Out);
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     planner
         .handle
-        .submit(batch(200, seconds(900)))
+        .submit(batch_job(200, seconds(900)))
         .await
         .unwrap();
     sleep(seconds(30)).await;
--- a/crates/planner/tests/planner/main.rs
+++ b/crates/planner/tests/planner/main.rs
@@ -1,4 +1,4 @@
-//! The planner against the platform's stand-ins.
+//! Tests the planner against stand-ins of the platform.
 
 #![expect(
     clippy::unwrap_used,
@@ -6,16 +6,16 @@
 )]
 
 mod cancellation;
+mod counting_workers;
+mod crash_at_each_call;
+mod crashing_dependencies;
 mod damaged_records;
 mod eviction;
 mod failing_work;
 mod failure_domain;
 mod outage;
 mod random_faults;
-mod severed_edges;
-mod step_kill;
 mod submission;
-mod take_over;
+mod takeover;
 mod test_bed;
-mod watched_workers;
 mod worker_faults;
--- a/crates/planner/tests/planner/outage.rs
+++ b/crates/planner/tests/planner/outage.rs
@@ -1,4 +1,4 @@
-//! The table goes down.
+//! Tests outages and limits of the table service.
 
 use std::sync::Arc;
 
@@ -28,16 +28,16 @@
 
 use crate::test_bed::{
     TestBed,
-    batch,
+    batch_job,
     seconds,
-    service, //
+    service_job, //
 };
 
-// The table is down for ten minutes and comes back slow. Running tasks must go on, and their results
-// be kept until they are committed; a submission must never be said to be accepted or refused
-// wrongly.
+// The table is unavailable for ten minutes and slow afterwards. Running tasks must continue, their
+// results must be kept until they are committed, and no submission may be wrongly reported as
+// accepted or rejected.
 #[tokio::test(start_paused = true)]
-async fn ten_minutes_without_the_table_lose_and_double_nothing() {
+async fn a_ten_minute_table_outage_loses_and_repeats_nothing() {
     for kind in [
         FaultKind::Unreachable,
         FaultKind::Refuse,
@@ -45,11 +45,11 @@
         FaultKind::LoseAnswer,
     ] {
         let bed = TestBed::new(4);
-        let planner = bed.planner(1).await;
-        let services = planner.handle.submit(service(3)).await.unwrap();
+        let planner = bed.start_planner(1).await;
+        let services = planner.handle.submit(service_job(3)).await.unwrap();
         let job = planner
             .handle
-            .submit(batch(160, seconds(60)))
+            .submit(batch_job(160, seconds(60)))
             .await
             .unwrap();
         sleep(seconds(100)).await;
@@ -58,7 +58,7 @@
         sleep(seconds(30)).await;
         let error = planner
             .handle
-            .submit(batch(1, seconds(1)))
+            .submit(batch_job(1, seconds(1)))
             .await
             .unwrap_err();
         let truthful = match kind {
@@ -72,13 +72,16 @@
         sleep(seconds(570)).await;
         let running = bed.ledger.runs_of(services.0, 0);
         assert!(running.len() == 1 && running[0].ended.is_none());
-        // The 26 that ran, and as many again that were committed ahead.
+        // The 26 tasks that ran, and as many pre-committed ones.
         let finishes = bed.ledger.summary().finishes - before;
         assert!((52..=58).contains(&finishes), "{kind:?}: {finishes}");
         bed.table.faults().set_outage(OutageState::Up);
         let slow = FaultKind::Slow(seconds(2));
         bed.table.faults().always(CallKind::Commit, slow);
-        assert_eq!(planner.ended(job, seconds(900)).await.finished, 160);
+        assert_eq!(
+            planner.wait_until_ended(job, seconds(900)).await.finished,
+            160
+        );
         let summary = bed.check();
         assert_eq!(summary.starts_after_finish, 0, "{kind:?}");
         assert_eq!(
@@ -89,27 +92,31 @@
     }
 }
 
-// The planner dies in the outage with ends in hand that it could not commit. The workers keep them
-// until its successor has committed them.
+// The planner dies during the outage with completions that it could not commit. The workers keep
+// them until its successor has committed them.
 #[tokio::test(start_paused = true)]
 async fn a_planner_that_dies_in_an_outage_loses_no_result() {
     let bed = TestBed::new(4);
-    let first = bed.planner(1).await;
-    let job = first.handle.submit(batch(20, seconds(10))).await.unwrap();
+    let first = bed.start_planner(1).await;
+    let job = first
+        .handle
+        .submit(batch_job(20, seconds(10)))
+        .await
+        .unwrap();
     sleep(seconds(5)).await;
     let down = OutageState::Down(FaultKind::LoseAnswer);
     bed.table.faults().set_outage(down);
     sleep(seconds(300)).await;
     drop(first);
     bed.table.faults().set_outage(OutageState::Up);
-    let second = bed.planner(2).await;
-    assert_eq!(second.ended(job, seconds(60)).await.finished, 20);
+    let second = bed.start_planner(2).await;
+    assert_eq!(second.wait_until_ended(job, seconds(60)).await.finished, 20);
     let summary = bed.check();
     assert_eq!((summary.starts, summary.finishes), (20, 20));
 }
 
-// A table that takes small transactions only: a commit that it finds too large is made again in halves,
-// and the shard must not stop over it.
+// The table accepts only small transactions. A commit that it rejects as too large is split in
+// halves, and the shard must keep working.
 #[tokio::test(start_paused = true)]
 async fn commits_that_are_too_large_are_halved() {
     let settings = PlannerSettings::new(1).with_rows_per_snapshot(20);
@@ -120,25 +127,40 @@
         most_bytes: 3_000,
     });
     let workers = Arc::new(bed.fleet.clone());
-    let planner = bed.planner_with(1, table, workers).await;
+    let planner = bed.start_planner_with(1, table, workers).await;
     let mut jobs = Vec::new();
     for index in 0..120 {
-        jobs.push(planner.handle.submit(batch(5, seconds(20))).await.unwrap());
+        jobs.push(
+            planner
+                .handle
+                .submit(batch_job(5, seconds(20)))
+                .await
+                .unwrap(),
+        );
         if index % 30 == 29 {
             sleep(seconds(60)).await;
         }
     }
     for job in jobs {
-        assert_eq!(planner.ended(job, seconds(900)).await.finished, 5);
+        assert_eq!(
+            planner.wait_until_ended(job, seconds(900)).await.finished,
+            5
+        );
     }
     assert_eq!(bed.check().starts, 600);
-    // A snapshot that was not named in the end must not have cost the one that is.
+    // A snapshot that was dropped because its commit was too large must not have deleted the one
+    // that the head row names.
     drop(planner);
-    let successor = bed.planner(2).await;
-    let job = successor.handle.submit(batch(1, seconds(1))).await.unwrap();
-    successor.ended(job, seconds(30)).await;
+    let successor = bed.start_planner(2).await;
+    let job = successor
+        .handle
+        .submit(batch_job(1, seconds(1)))
+        .await
+        .unwrap();
+    successor.wait_until_ended(job, seconds(30)).await;
 }
 
+/// A table that rejects transactions above a number of changes or bytes.
 struct NarrowTable {
     table: TableStandIn,
     most_changes: usize,
--- a/crates/planner/tests/planner/random_faults.rs
+++ b/crates/planner/tests/planner/random_faults.rs
@@ -1,4 +1,4 @@
-//! Everything goes wrong by chance while operators act.
+//! Tests random faults of all dependencies while operators act.
 
 use jasminebend_base::{
     DomainName,
@@ -18,12 +18,13 @@
 
 use crate::test_bed::{
     TestBed,
-    batch,
+    batch_job,
     seconds,
-    service, //
+    service_job, //
 };
 
-fn mix(random: &mut SmallRng) -> [(FaultKind, u32); 6] {
+/// Returns random faults with their probability in thousandths.
+fn random_fault_mix(random: &mut SmallRng) -> [(FaultKind, u32); 6] {
     let late = seconds(random.random_range(1..30));
     let twice = seconds(random.random_range(1..30));
     let slow = seconds(random.random_range(1..4));
@@ -37,24 +38,24 @@
     ]
 }
 
-// Operators take a domain out and in and cancel jobs, planners follow each other, workers restart and
-// fail, and calls to all of them go wrong by chance. Nothing may run in two places, go on after its
-// cancellation, or start in the domain that is out.
+// Operators take a failure domain out and in and cancel jobs, planners replace each other, workers
+// restart and fail, and calls to all of them fail at random. No task may run in two places,
+// continue after its cancellation, or start in the domain that is out.
 #[tokio::test(start_paused = true)]
-async fn operators_act_while_everything_fails() {
+async fn operator_actions_under_random_faults_lose_and_repeat_nothing() {
     for seed in (0..30).chain([74]) {
         let mut random = SmallRng::seed_from_u64(seed);
         let bed = TestBed::new(8);
-        let mut planner = bed.planner(1).await;
-        let services = planner.handle.submit(service(5)).await.unwrap();
+        let mut planner = bed.start_planner(1).await;
+        let services = planner.handle.submit(service_job(5)).await.unwrap();
         sleep(seconds(5)).await;
-        let faults = mix(&mut random);
+        let faults = random_fault_mix(&mut random);
         bed.table.faults().mix(faults);
         bed.each_worker(|worker| worker.faults().mix(faults));
         let mut jobs = Vec::new();
         let mut cancelled = Vec::new();
         for epoch in 2..6 {
-            if let Ok(job) = planner.handle.submit(batch(15, seconds(15))).await {
+            if let Ok(job) = planner.handle.submit(batch_job(15, seconds(15))).await {
                 jobs.push(job);
             }
             bed.set_domain("b", DomainState::Out);
@@ -76,25 +77,28 @@
             }
             sleep(seconds(random.random_range(1..30))).await;
             worker.restart();
-            planner = bed.planner(epoch).await;
+            planner = bed.start_planner(epoch).await;
         }
         sleep(seconds(60)).await;
         bed.table.faults().heal();
         bed.each_worker(|worker| worker.faults().heal());
         for job in jobs {
-            let status = planner.ended(job, seconds(600)).await;
+            let status = planner.wait_until_ended(job, seconds(600)).await;
             assert_eq!(status.finished, 15, "seed {seed}");
         }
         for (job, answer) in cancelled {
-            let status = planner.ended(job, seconds(600)).await;
-            let told = answer.is_err() || status.finished == 15;
-            assert!(told || status.phase == JobPhase::Cancelled, "{status:?}");
+            let status = planner.wait_until_ended(job, seconds(600)).await;
+            let consistent = answer.is_err() || status.finished == 15;
+            assert!(
+                consistent || status.phase == JobPhase::Cancelled,
+                "{status:?}"
+            );
         }
         assert_eq!(planner.status(services).await.running, 5, "seed {seed}");
         assert_eq!(bed.ledger.running().len(), 5, "seed {seed}");
         let runs = bed.ledger.runs();
         let ends = runs.iter().filter_map(|run| run.ended);
         assert!(ends.clone().any(|(_, end)| end == RunEnd::Checkpointed));
-        bed.check_places();
+        bed.check_single_runs();
     }
 }
--- a/crates/planner/tests/planner/submission.rs
+++ b/crates/planner/tests/planner/submission.rs
@@ -1,4 +1,4 @@
-//! Jobs come in, run, and their results come out once.
+//! Tests submissions, quotas, results and the retention of ended jobs.
 
 use std::sync::Arc;
 
@@ -24,17 +24,21 @@
 
 use crate::test_bed::{
     TestBed,
-    batch,
+    batch_job,
     seconds,
-    service, //
+    service_job, //
 };
 
 #[tokio::test(start_paused = true)]
-async fn a_job_runs_and_its_results_are_told() {
+async fn a_job_runs_and_its_results_are_returned() {
     let bed = TestBed::new(4);
-    let planner = bed.planner(1).await;
-    let job = planner.handle.submit(batch(40, seconds(20))).await.unwrap();
-    let status = planner.ended(job, seconds(120)).await;
+    let planner = bed.start_planner(1).await;
+    let job = planner
+        .handle
+        .submit(batch_job(40, seconds(20)))
+        .await
+        .unwrap();
+    let status = planner.wait_until_ended(job, seconds(120)).await;
     assert_eq!(status.phase, JobPhase::Finished);
     assert_eq!(status.finished, 40);
     assert!(status.results.iter().all(Option::is_some));
@@ -45,15 +49,15 @@
 #[tokio::test(start_paused = true)]
 async fn urgent_work_starts_within_seven_seconds() {
     let bed = TestBed::new(4);
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     planner
         .handle
-        .submit(batch(24, seconds(600)))
+        .submit(batch_job(24, seconds(600)))
         .await
         .unwrap();
     sleep(seconds(10)).await;
     let submitted = bed.now();
-    let job = planner.handle.submit(service(3)).await.unwrap();
+    let job = planner.handle.submit(service_job(3)).await.unwrap();
     sleep(seconds(7)).await;
     let runs = bed.ledger.runs_of(job.0, 0);
     assert!(runs[0].started - submitted <= seconds(7));
@@ -62,9 +66,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_can_never_run_is_refused_at_once() {
+async fn jobs_that_can_never_run_are_rejected_at_once() {
     let bed = TestBed::new(4);
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     type Change = fn(&mut JobSpec);
     type Expected = fn(&SubmitError) -> bool;
     let table: [(Change, Expected); 6] = [
@@ -94,7 +98,7 @@
         ),
     ];
     for (change, expected) in table {
-        let mut spec = batch(1, seconds(1));
+        let mut spec = batch_job(1, seconds(1));
         change(&mut spec);
         let error = planner.handle.submit(spec).await.unwrap_err();
         assert!(expected(&error), "{error}");
@@ -102,8 +106,8 @@
     assert!(bed.table.rows("planner/job/").is_empty());
 }
 
-// A submitter sees one job run twice. The table takes the submission, the answer is lost, and the
-// copy that is sent to settle it, or a second submission with the same key, makes another job.
+// The table stores a submission, but its answer is lost. The repeated commit, or a second
+// submission with the same key, must not create a second job.
 #[tokio::test(start_paused = true)]
 async fn a_submission_whose_answer_was_lost_is_one_job() {
     for fault in [
@@ -113,14 +117,14 @@
         FaultKind::Duplicate(seconds(20)),
     ] {
         let bed = TestBed::new(4);
-        let planner = bed.planner(1).await;
+        let planner = bed.start_planner(1).await;
         sleep(seconds(2)).await;
         bed.table.faults().once(CallKind::Commit, fault);
-        let mut spec = batch(2, seconds(5));
+        let mut spec = batch_job(2, seconds(5));
         spec.key = Some("nightly".to_owned());
         let job = planner.handle.submit(spec.clone()).await.unwrap();
         assert_eq!(planner.handle.submit(spec.clone()).await, Ok(job));
-        planner.ended(job, seconds(60)).await;
+        planner.wait_until_ended(job, seconds(60)).await;
         sleep(seconds(30)).await;
         assert_eq!(planner.handle.submit(spec.clone()).await, Ok(job));
         spec.tasks = 3;
@@ -138,9 +142,13 @@
         changed.teams[0].limit = ResourceAmount::new(4_000, 100_000);
         *configuration = Arc::new(changed);
     });
-    let planner = bed.planner(1).await;
-    let held = planner.handle.submit(batch(10, seconds(30))).await.unwrap();
-    let mut other = batch(10, seconds(30));
+    let planner = bed.start_planner(1).await;
+    let held = planner
+        .handle
+        .submit(batch_job(10, seconds(30)))
+        .await
+        .unwrap();
+    let mut other = batch_job(10, seconds(30));
     other.team = "straps".into();
     let other = planner.handle.submit(other).await.unwrap();
     sleep(seconds(10)).await;
@@ -151,20 +159,24 @@
     assert_eq!(planner.status(other).await.running, 10);
 }
 
-// A job runs a second time. A look for submissions is answered half a minute late, with the row of a
-// job that was meanwhile taken in, run and forgotten.
+// An inbox scan is answered 40 seconds late, with the row of a job that was meanwhile accepted,
+// finished and forgotten. The job must not be accepted again.
 #[tokio::test(start_paused = true)]
-async fn a_late_look_at_the_inbox_takes_no_job_in_twice() {
+async fn a_late_inbox_scan_accepts_no_job_twice() {
     let bed = TestBed::new(2);
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     sleep(seconds(3)).await;
-    let job = planner.handle.submit(batch(1, seconds(1))).await.unwrap();
+    let job = planner
+        .handle
+        .submit(batch_job(1, seconds(1)))
+        .await
+        .unwrap();
     let faults = bed.table.faults();
     faults.once(CallKind::Commit, FaultKind::Slow(seconds(3)));
     faults.pass(CallKind::Scan);
     faults.pass(CallKind::Scan);
     faults.once(CallKind::Scan, FaultKind::SlowAnswer(seconds(40)));
-    planner.ended(job, seconds(30)).await;
+    planner.wait_until_ended(job, seconds(30)).await;
     sleep(seconds(60)).await;
     assert_eq!(bed.check().starts, 1);
 }
@@ -172,13 +184,17 @@
 #[tokio::test(start_paused = true)]
 async fn jobs_that_ended_long_ago_are_forgotten_and_others_are_not() {
     let bed = TestBed::new(2);
-    let settings = PlannerSettings::new(1).with_keep_ended(seconds(600));
+    let settings = PlannerSettings::new(1).with_ended_job_retention(seconds(600));
     let bed = bed.with_settings(settings);
-    let planner = bed.planner(1).await;
-    let short = planner.handle.submit(batch(1, seconds(5))).await.unwrap();
+    let planner = bed.start_planner(1).await;
+    let short = planner
+        .handle
+        .submit(batch_job(1, seconds(5)))
+        .await
+        .unwrap();
     let long = planner
         .handle
-        .submit(batch(1, seconds(5_000)))
+        .submit(batch_job(1, seconds(5_000)))
         .await
         .unwrap();
     sleep(seconds(500)).await;
@@ -189,7 +205,7 @@
     assert_eq!(planner.status(long).await.running, 1);
 }
 
-// A team holds twice its quota, since each of two shards grants all of it.
+// If each of two shards granted the whole quota, a team could use it twice.
 #[tokio::test(start_paused = true)]
 async fn a_quota_is_divided_among_shards() {
     let bed = TestBed::new(12).with_settings(PlannerSettings::new(2));
@@ -198,15 +214,19 @@
         changed.teams[0].limit = ResourceAmount::new(8_000, 100_000);
         *configuration = Arc::new(changed);
     });
-    let planner = bed.planner(1).await;
+    let planner = bed.start_planner(1).await;
     let other = ResourceId::Shard(1);
     planner.ownership.hold(other, OwnerEpoch(1), seconds(0));
     for _ in 0..12 {
-        planner.handle.submit(batch(4, seconds(600))).await.unwrap();
+        planner
+            .handle
+            .submit(batch_job(4, seconds(600)))
+            .await
+            .unwrap();
     }
     sleep(seconds(20)).await;
     assert_eq!(bed.ledger.running().len(), 8);
-    let mut wide = batch(1, seconds(1));
+    let mut wide = batch_job(1, seconds(1));
     wide.size.cpu_millis = 5_000;
     let error = planner.handle.submit(wide).await.unwrap_err();
     assert!(matches!(error, SubmitError::BeyondQuota { shards: 2, .. }));
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -1,4 +1,4 @@
-//! What the planner's tests run on: the platform's stand-ins, a paused clock, planners by name.
+//! The test environment: stand-ins of the platform, a paused clock, and planners that use them.
 
 use std::{
     net::IpAddr,
@@ -55,9 +55,11 @@
     time::sleep, //
 };
 
-pub(crate) const SHARD: ResourceId = ResourceId::Shard(0);
+pub(crate) const PLANNED_SHARD: ResourceId = ResourceId::Shard(0);
 
 #[derive(Clone, Copy)]
+/// A clock whose wall-clock time starts at the Unix epoch, so that both times follow Tokio's paused
+/// clock.
 struct PausedClock(SystemClock);
 
 impl ClockSource for PausedClock {
@@ -70,6 +72,7 @@
     }
 }
 
+/// A fleet of worker stand-ins, a table and an object store, shared by the planners of a test.
 pub(crate) struct TestBed {
     pub(crate) clock: Arc<dyn ClockSource>,
     pub(crate) table: TableStandIn,
@@ -81,14 +84,14 @@
     pub(crate) settings: PlannerSettings,
 }
 
-/// A planner and what it was given.
+/// A planner and the ownership that it was started with.
 pub(crate) struct TestPlanner {
     pub(crate) handle: PlannerHandle,
     pub(crate) ownership: Arc<FixedOwnership>,
 }
 
 impl TestBed {
-    /// Workers of 8 cores and 32 GB, two to a rack, over three failure domains.
+    /// Creates workers with 8 cores and 32 GiB, two per rack, in three failure domains.
     pub(crate) fn new(workers: usize) -> Self {
         let clock: Arc<dyn ClockSource> = Arc::new(PausedClock(SystemClock::new()));
         let ledger = Arc::new(RunLedger::new());
@@ -120,22 +123,23 @@
         self
     }
 
-    /// Starts a planner that holds the only shard.
-    pub(crate) async fn planner(&self, epoch: u64) -> TestPlanner {
+    /// Starts a planner that owns shard 0.
+    pub(crate) async fn start_planner(&self, epoch: u64) -> TestPlanner {
         let caller = IpAddr::from([10, 9, 0, u8::try_from(epoch).unwrap()]);
         let workers = Arc::new(self.fleet.with_caller(caller));
         let table = Arc::new(self.table.clone());
-        self.planner_with(epoch, table, workers).await
+        self.start_planner_with(epoch, table, workers).await
     }
 
-    pub(crate) async fn planner_with(
+    /// Starts a planner that owns shard 0 and uses the given table and workers.
+    pub(crate) async fn start_planner_with(
         &self,
         epoch: u64,
         table: Arc<dyn TableService>,
         workers: Arc<dyn WorkerPort>,
     ) -> TestPlanner {
-        let ownership = Arc::new(FixedOwnership::new().with_held(SHARD, OwnerEpoch(epoch)));
-        let edges = PlannerEdges {
+        let ownership = Arc::new(FixedOwnership::new().with_held(PLANNED_SHARD, OwnerEpoch(epoch)));
+        let dependencies = PlannerEdges {
             ownership: Arc::clone(&ownership) as _,
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -145,10 +149,11 @@
             clock: Arc::clone(&self.clock),
             seed: epoch,
         };
-        let handle = PlannerHandle::start(self.settings, edges).await;
+        let handle = PlannerHandle::start(self.settings, dependencies).await;
         TestPlanner { handle, ownership }
     }
 
+    /// Sets the state of a failure domain in the configuration.
     pub(crate) fn set_domain(&self, name: &str, state: DomainState) {
         self.configuration.send_modify(|configuration| {
             let mut changed = Configuration::clone(configuration);
@@ -175,16 +180,18 @@
         self.clock.monotonic()
     }
 
-    /// Fails unless what must always hold held so far, and no task ran again after it finished.
+    /// Fails if a run overlapped another run of its task, a worker was over capacity, or a task
+    /// finished more than once.
     pub(crate) fn check(&self) -> LedgerSummary {
-        let summary = self.check_places();
+        let summary = self.check_single_runs();
         assert_eq!(summary.repeated_finishes, 0, "{summary:?}");
         summary
     }
 
-    /// Fails unless what must always hold held so far. A task may have finished unheard, on a worker
-    /// that then forgot it or was cut off for longer than its lease, and have run again.
-    pub(crate) fn check_places(&self) -> LedgerSummary {
+    /// Fails if a run overlapped another run of its task or a worker was over capacity. Allows
+    /// repeated finishes: a task may finish without a report, on a worker that then forgets it or
+    /// is partitioned for longer than its lease, and run again.
+    pub(crate) fn check_single_runs(&self) -> LedgerSummary {
         let summary = self.ledger.summary();
         assert_eq!(summary.overlaps, 0, "{:?}", self.ledger.overlaps());
         assert_eq!(summary.over_capacity, 0, "{summary:?}");
@@ -200,8 +207,9 @@
         self.handle.job(job).await.unwrap()
     }
 
-    /// Waits until a job has ended.
-    pub(crate) async fn ended(&self, job: JobId, within: Duration) -> JobStatus {
+    /// Waits until a job has ended and returns its status; fails if that takes longer than
+    /// `within`.
+    pub(crate) async fn wait_until_ended(&self, job: JobId, within: Duration) -> JobStatus {
         let mut left = within;
         loop {
             let status = self.status(job).await;
@@ -216,8 +224,8 @@
     }
 }
 
-/// A batch job of `tasks` tasks of one core that run this long.
-pub(crate) fn batch(tasks: u32, work: Duration) -> JobSpec {
+/// Returns a batch job of `tasks` tasks, each of one core and 1 GiB, that run for `work`.
+pub(crate) fn batch_job(tasks: u32, work: Duration) -> JobSpec {
     JobSpec {
         team: "repairs".into(),
         class: "reconciliation".into(),
@@ -229,12 +237,12 @@
     }
 }
 
-/// A service of `tasks` tasks of two cores.
-pub(crate) fn service(tasks: u32) -> JobSpec {
+/// Returns a service of `tasks` tasks, each of two cores and 2 GiB.
+pub(crate) fn service_job(tasks: u32) -> JobSpec {
     JobSpec {
         class: "quotes".into(),
         size: ResourceAmount::new(2_000, 2_048),
-        ..batch(tasks, Duration::from_secs(1_000_000))
+        ..batch_job(tasks, Duration::from_secs(1_000_000))
     }
 }
 
