--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// The dependencies of the planners under measurement, which the stand-ins provide.
+/// The stand-ins that the planners under measurement use.
 struct ShardBench {
     clock: Arc<dyn ClockSource>,
     table: TableStandIn,
@@ -102,7 +102,7 @@
     async fn planner(&self, epoch: u64, objects: &ObjectStandIn) -> PlannerHandle {
         let shard = ResourceId::Shard(0);
         let ownership = FixedOwnership::new().with_held(shard, OwnerEpoch(epoch));
-        let dependencies = PlannerEdges {
+        let ports = PlannerEdges {
             ownership: Arc::new(ownership),
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -112,7 +112,7 @@
             clock: Arc::clone(&self.clock),
             seed: epoch,
         };
-        PlannerHandle::start(PlannerSettings::new(1), dependencies).await
+        PlannerHandle::start(PlannerSettings::new(1), ports).await
     }
 }
 
--- a/crates/planner/src/job_api.rs
+++ b/crates/planner/src/job_api.rs
@@ -63,16 +63,16 @@
 /// job's home shard.
 pub(crate) struct JobApi {
     settings: PlannerSettings,
-    dependencies: Arc<PlannerEdges>,
+    ports: Arc<PlannerEdges>,
     random: Mutex<StdRng>,
 }
 
 impl JobApi {
-    pub(crate) fn new(settings: PlannerSettings, dependencies: Arc<PlannerEdges>) -> Self {
-        let random = Mutex::new(StdRng::seed_from_u64(dependencies.seed));
+    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerEdges>) -> Self {
+        let random = Mutex::new(StdRng::seed_from_u64(ports.seed));
         Self {
             settings,
-            dependencies,
+            ports,
             random,
         }
     }
@@ -86,8 +86,8 @@
     /// Checks a submission and commits its job row and inbox row.
     pub(crate) async fn submit(&self, spec: JobSpec) -> Result<JobId, SubmitError> {
         let _span = trace_span::start_span("planner.submit");
-        let configuration = self.dependencies.configuration.borrow().clone();
-        let vms = self.dependencies.vms.borrow().clone();
+        let configuration = self.ports.configuration.borrow().clone();
+        let vms = self.ports.vms.borrow().clone();
         let kind =
             submit_check::check_submission(&spec, &configuration, &vms, self.settings.shards)?;
         let job = self.job_id_for(&spec);
@@ -131,7 +131,7 @@
         let write = WriteId(self.random_id());
         let mut unknown = false;
         for _ in 0..MAX_COMMIT_ATTEMPTS {
-            match self.dependencies.table.commit(write, changes.clone()).await {
+            match self.ports.table.commit(write, changes.clone()).await {
                 Ok(CommitOutcome::Committed(_)) => return Ok(job),
                 Ok(CommitOutcome::Conflict { found, .. }) => {
                     return resolve_conflict(job, row, write, found.as_ref());
@@ -163,16 +163,12 @@
 
     /// Reads a job's row, with its results from the object store if they are stored there.
     pub(crate) async fn read_job(&self, job: JobId) -> Result<JobRow, JobError> {
-        let found = self
-            .dependencies
-            .table
-            .read(&row_keys::job_row(job))
-            .await?;
+        let found = self.ports.table.read(&row_keys::job_row(job)).await?;
         let found = found.ok_or(JobError::UnknownJob { job })?;
         let mut row: JobRow = record_codec::decode(&found.value)?;
         if let Some(key) = &row.results {
             let body = self
-                .dependencies
+                .ports
                 .objects
                 .get(&ObjectKey::from(key.as_str()))
                 .await?;
@@ -189,7 +185,7 @@
         let mut after = None;
         while rows.len() < MAX_LISTED_JOBS {
             let found = self
-                .dependencies
+                .ports
                 .table
                 .scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN)
                 .await?;
@@ -218,7 +214,7 @@
         let changes = vec![RowChange::put(key, RowExpectation::Any, value)];
         let mut last = TableError::Unreachable;
         for _ in 0..MAX_COMMIT_ATTEMPTS {
-            match self.dependencies.table.commit(write, changes.clone()).await {
+            match self.ports.table.commit(write, changes.clone()).await {
                 Ok(_) => return Ok(()),
                 Err(error) => last = error,
             }
@@ -230,7 +226,7 @@
     /// Returns the wall-clock time in milliseconds since the Unix epoch.
     fn wall_ms(&self) -> u64 {
         let since = self
-            .dependencies
+            .ports
             .clock
             .wall()
             .duration_since(SystemTime::UNIX_EPOCH);
--- a/crates/planner/src/journal_writer.rs
+++ b/crates/planner/src/journal_writer.rs
@@ -22,7 +22,8 @@
 
 /// Limits the journal entries in one commit.
 const MAX_ENTRIES_PER_COMMIT: usize = 512;
-/// Limits the other rows that are written with one commit.
+/// Limits the rows that belong to the entries of one commit, and separately those that belong to
+/// none.
 const MAX_EXTRA_ROWS_PER_COMMIT: usize = 64;
 /// Limits the obsolete log rows that one commit deletes.
 const MAX_LOG_DELETIONS_PER_COMMIT: u64 = 64;
--- a/crates/planner/src/planner_handle.rs
+++ b/crates/planner/src/planner_handle.rs
@@ -55,10 +55,10 @@
 
 impl PlannerHandle {
     /// Starts a planner, with its shard supervisor and cancellation batches.
-    pub async fn start(settings: PlannerSettings, dependencies: PlannerEdges) -> Self {
-        let dependencies = Arc::new(dependencies);
-        let supervisor = Arc::new(ShardSupervisor::new(settings, Arc::clone(&dependencies)));
-        let job_api = Arc::new(JobApi::new(settings, dependencies));
+    pub async fn start(settings: PlannerSettings, ports: PlannerEdges) -> Self {
+        let ports = Arc::new(ports);
+        let supervisor = Arc::new(ShardSupervisor::new(settings, Arc::clone(&ports)));
+        let job_api = Arc::new(JobApi::new(settings, ports));
         let cancellations = cancellation_batcher::start(Arc::clone(&job_api));
         let (open, closed) = watch::channel(());
         tokio::spawn(Arc::clone(&supervisor).run(closed));
--- a/crates/planner/src/shard_actor.rs
+++ b/crates/planner/src/shard_actor.rs
@@ -26,7 +26,7 @@
 /// The arguments with which a shard's actor is started.
 pub(crate) struct ShardArguments {
     pub(crate) settings: PlannerSettings,
-    pub(crate) dependencies: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerEdges>,
     /// Checks whether this daemon may still act as the shard's owner.
     pub(crate) permit: ShardPermit,
     /// Counts the actor's calls in progress; shared with later actors of the shard.
@@ -45,15 +45,10 @@
         myself: ActorRef<ShardMessage>,
         start: ShardArguments,
     ) -> Result<ShardState, ActorProcessingErr> {
-        let dependencies = Arc::clone(&start.dependencies);
-        let calls = ShardCalls::new(
-            start.permit,
-            start.dependencies,
-            myself,
-            start.in_flight_calls,
-        );
+        let ports = Arc::clone(&start.ports);
+        let calls = ShardCalls::new(start.permit, start.ports, myself, start.in_flight_calls);
         let first = start.first_of_epoch;
-        Ok(ShardState::new(start.settings, dependencies, calls, first))
+        Ok(ShardState::new(start.settings, ports, calls, first))
     }
 
     async fn handle(
--- a/crates/planner/src/shard_calls.rs
+++ b/crates/planner/src/shard_calls.rs
@@ -48,7 +48,7 @@
 /// message, so that a slow worker or table never blocks the actor. All end with the actor.
 pub(crate) struct ShardCalls {
     pub(crate) permit: ShardPermit,
-    pub(crate) dependencies: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerEdges>,
     actor: ActorRef<ShardMessage>,
     in_flight_calls: InFlightCalls,
     tasks: JoinSet<()>,
@@ -57,13 +57,13 @@
 impl ShardCalls {
     pub(crate) fn new(
         permit: ShardPermit,
-        dependencies: Arc<PlannerEdges>,
+        ports: Arc<PlannerEdges>,
         actor: ActorRef<ShardMessage>,
         in_flight_calls: InFlightCalls,
     ) -> Self {
         Self {
             permit,
-            dependencies,
+            ports,
             actor,
             in_flight_calls,
             tasks: JoinSet::new(),
@@ -92,35 +92,30 @@
 
     /// Reads the shard's journal.
     pub(crate) fn read_journal(&mut self, write: WriteId) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let (shard, epoch) = (self.permit.shard, self.epoch());
         self.spawn(async move {
-            let opened = journal_store::open_journal(
-                &dependencies.table,
-                &dependencies.objects,
-                shard,
-                epoch,
-                write,
-            )
-            .await;
+            let opened =
+                journal_store::open_journal(&ports.table, &ports.objects, shard, epoch, write)
+                    .await;
             ShardMessage::Opened(Box::new(opened))
         });
     }
 
     /// Commits changes to the table.
     pub(crate) fn commit(&mut self, write: WriteId, changes: Vec<RowChange>) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         self.spawn(async move {
             let _span = trace_span::start_span("planner.commit");
-            ShardMessage::Committed(dependencies.table.commit(write, changes).await)
+            ShardMessage::Committed(ports.table.commit(write, changes).await)
         });
     }
 
     /// Writes a snapshot to the object store.
     pub(crate) fn store_snapshot(&mut self, key: ObjectKey, entries: usize, body: Bytes) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         self.spawn(async move {
-            let result = dependencies.objects.put(&key, body).await;
+            let result = ports.objects.put(&key, body).await;
             ShardMessage::SnapshotStored {
                 key,
                 entries,
@@ -137,53 +132,48 @@
         body: Bytes,
         delay: Duration,
     ) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         self.spawn(async move {
             tokio::time::sleep(delay).await;
-            let result = dependencies.objects.put(&key, body.clone()).await;
+            let result = ports.objects.put(&key, body.clone()).await;
             ShardMessage::ResultsStored { job, body, result }
         });
     }
 
     /// Deletes an object.
     pub(crate) fn delete_object(&mut self, key: ObjectKey) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         self.spawn(async move {
             // An object that is not deleted only costs storage.
-            let _ = dependencies.objects.delete(&key).await;
+            let _ = ports.objects.delete(&key).await;
             ShardMessage::CallCompleted
         });
     }
 
     /// Reads the next job rows after a key.
     pub(crate) fn scan_job_rows(&mut self, after: Option<RowKey>) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         self.spawn(async move {
             let prefix = RowKey::from(row_keys::JOBS_PREFIX);
-            let rows = dependencies
-                .table
-                .scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN);
+            let rows = ports.table.scan(&prefix, after.as_ref(), MAX_ROWS_PER_SCAN);
             ShardMessage::JobRowsScanned(rows.await)
         });
     }
 
     /// Reads the shard's inbox and cancellations.
     pub(crate) fn scan_inbox(&mut self, started: Duration) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let shard = self.permit.shard;
         self.spawn(async move {
             let inbox = row_keys::inbox_prefix(shard);
             let cancellations = row_keys::cancellations_prefix(shard);
             // Cancellations are read first. A job is submitted before it is cancelled, so every job
             // that the first scan names is in the second one unless it was accepted before.
-            let cancellations = dependencies
+            let cancellations = ports
                 .table
                 .scan(&cancellations, None, MAX_ROWS_PER_SCAN)
                 .await;
-            let submissions = dependencies
-                .table
-                .scan(&inbox, None, MAX_ROWS_PER_SCAN)
-                .await;
+            let submissions = ports.table.scan(&inbox, None, MAX_ROWS_PER_SCAN).await;
             ShardMessage::InboxScanned {
                 started,
                 submissions,
@@ -201,19 +191,15 @@
         domain: DomainName,
         order: TaskOrder,
     ) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
             let _span = trace_span::start_span("planner.start");
             let attempt = order.attempt.attempt;
-            let is_in =
-                dependencies.configuration.borrow().domain_state(&domain) == DomainState::In;
+            let is_in = ports.configuration.borrow().domain_state(&domain) == DomainState::In;
             let result = match is_in && permit.is_granted() {
                 true => {
-                    let started = dependencies
-                        .workers
-                        .start(address, permit.epoch, order)
-                        .await;
+                    let started = ports.workers.start(address, permit.epoch, order).await;
                     started.map_err(WorkerCallError::from)
                 }
                 false => Err(WorkerCallError::NotSent),
@@ -228,16 +214,13 @@
 
     /// Orders a worker to checkpoint and end a run.
     pub(crate) fn checkpoint(&mut self, task: TaskId, attempt: u32, address: SocketAddr) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
             let run = attempt_of(task, attempt);
             let result = match permit.is_granted() {
                 true => {
-                    let kept = dependencies
-                        .workers
-                        .checkpoint(address, permit.epoch, run)
-                        .await;
+                    let kept = ports.workers.checkpoint(address, permit.epoch, run).await;
                     kept.map_err(WorkerCallError::from)
                 }
                 false => Err(WorkerCallError::NotSent),
@@ -252,11 +235,11 @@
 
     /// Orders a worker to stop a run.
     pub(crate) fn stop(&mut self, task: TaskId, attempt: u32, address: SocketAddr) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
             let run = attempt_of(task, attempt);
-            let result = stop_run(&dependencies, &permit, address, run).await;
+            let result = stop_run(&ports, &permit, address, run).await;
             ShardMessage::Stopped {
                 task,
                 attempt,
@@ -267,10 +250,10 @@
 
     /// Orders a worker to stop a run that the journal does not place there.
     pub(crate) fn stop_orphan(&mut self, worker: WorkerKey, run: TaskAttempt, address: SocketAddr) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
-            let result = stop_run(&dependencies, &permit, address, run).await;
+            let result = stop_run(&ports, &permit, address, run).await;
             ShardMessage::OrphanStopped {
                 worker,
                 run,
@@ -281,13 +264,13 @@
 
     /// Sets the speed of a run, in thousandths of full speed.
     pub(crate) fn throttle(&mut self, address: SocketAddr, run: TaskAttempt, speed: u32) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
             if permit.is_granted() {
                 // The overload controller decides by the next measurements, whether this call
                 // arrived or not.
-                let _ = dependencies
+                let _ = ports
                     .workers
                     .throttle(address, permit.epoch, run, speed)
                     .await;
@@ -298,16 +281,13 @@
 }
 
 async fn stop_run(
-    dependencies: &PlannerEdges,
+    ports: &PlannerEdges,
     permit: &ShardPermit,
     address: SocketAddr,
     run: TaskAttempt,
 ) -> Result<(), WorkerCallError> {
     require_permit(permit.is_granted())?;
-    Ok(dependencies
-        .workers
-        .stop(address, permit.epoch, run)
-        .await?)
+    Ok(ports.workers.stop(address, permit.epoch, run).await?)
 }
 
 /// Returns an error unless the permit was granted.
--- a/crates/planner/src/shard_lease_calls.rs
+++ b/crates/planner/src/shard_lease_calls.rs
@@ -32,24 +32,21 @@
         late_starts: Vec<TaskAttempt>,
         adoption: EpochAdoption,
     ) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
-            let sent = dependencies.clock.monotonic();
+            let sent = ports.clock.monotonic();
             let result = async {
                 for run in late_starts {
                     require_permit(permit.is_granted())?;
-                    let stopped = dependencies
-                        .workers
-                        .stop(address, adoption.epoch, run)
-                        .await;
+                    let stopped = ports.workers.stop(address, adoption.epoch, run).await;
                     if let Err(error @ (WorkerError::Unreachable | WorkerError::Unknown)) = stopped
                     {
                         return Err(WorkerCallError::from(error));
                     }
                 }
                 require_permit(permit.is_granted())?;
-                Ok(dependencies.workers.adopt(address, adoption).await?)
+                Ok(ports.workers.adopt(address, adoption).await?)
             };
             let result = result.await;
             ShardMessage::Adopted {
@@ -62,13 +59,13 @@
 
     /// Renews a worker's lease and requests its report.
     pub(crate) fn renew(&mut self, worker: WorkerKey, address: SocketAddr, renewal: LeaseRenewal) {
-        let dependencies = Arc::clone(&self.dependencies);
+        let ports = Arc::clone(&self.ports);
         let permit = self.permit.clone();
         self.spawn(async move {
-            let sent = dependencies.clock.monotonic();
+            let sent = ports.clock.monotonic();
             let acknowledged = renewal.acknowledged.clone();
             let result = match permit.is_granted() {
-                true => dependencies.workers.renew(address, renewal).await,
+                true => ports.workers.renew(address, renewal).await,
                 false => {
                     return ShardMessage::Renewed {
                         worker,
--- a/crates/planner/src/shard_state.rs
+++ b/crates/planner/src/shard_state.rs
@@ -58,7 +58,7 @@
 /// clock.
 pub(crate) struct ShardState {
     pub(crate) settings: PlannerSettings,
-    pub(crate) dependencies: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerEdges>,
     pub(crate) calls: ShardCalls,
     pub(crate) random: StdRng,
     pub(crate) phase: ShardPhase,
@@ -146,14 +146,14 @@
 impl ShardState {
     pub(crate) fn new(
         settings: PlannerSettings,
-        dependencies: Arc<PlannerEdges>,
+        ports: Arc<PlannerEdges>,
         calls: ShardCalls,
         first_of_epoch: bool,
     ) -> Self {
         let shard = u64::from(calls.permit.shard);
-        let seed = dependencies.seed ^ calls.permit.epoch.0.rotate_left(20) ^ shard.rotate_left(48);
-        let mut configuration = dependencies.configuration.clone();
-        let mut vms = dependencies.vms.clone();
+        let seed = ports.seed ^ calls.permit.epoch.0.rotate_left(20) ^ shard.rotate_left(48);
+        let mut configuration = ports.configuration.clone();
+        let mut vms = ports.vms.clone();
         // The initial values count as changes for this shard.
         configuration.mark_changed();
         vms.mark_changed();
@@ -161,7 +161,7 @@
             settings,
             configuration,
             vms,
-            dependencies,
+            ports,
             calls,
             random: StdRng::seed_from_u64(seed),
             phase: ShardPhase::Closed,
@@ -208,13 +208,13 @@
 
     /// Returns the time of the monotonic clock.
     pub(crate) fn now(&self) -> Duration {
-        self.dependencies.clock.monotonic()
+        self.ports.clock.monotonic()
     }
 
     /// Returns the wall-clock time in milliseconds since the Unix epoch.
     pub(crate) fn wall_ms(&self) -> u64 {
         let since = self
-            .dependencies
+            .ports
             .clock
             .wall()
             .duration_since(SystemTime::UNIX_EPOCH);
--- a/crates/planner/src/shard_supervisor.rs
+++ b/crates/planner/src/shard_supervisor.rs
@@ -47,7 +47,7 @@
 /// Starts and stops the actors of the shards that this daemon owns.
 pub(crate) struct ShardSupervisor {
     settings: PlannerSettings,
-    dependencies: Arc<PlannerEdges>,
+    ports: Arc<PlannerEdges>,
     held: Mutex<IndexMap<u16, HeldShard>>,
     /// Calls in progress, by shard.
     in_flight_calls: Vec<InFlightCalls>,
@@ -56,11 +56,11 @@
 }
 
 impl ShardSupervisor {
-    pub(crate) fn new(settings: PlannerSettings, dependencies: Arc<PlannerEdges>) -> Self {
+    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerEdges>) -> Self {
         let shards = usize::from(settings.shards);
         Self {
             settings,
-            dependencies,
+            ports,
             held: Mutex::new(IndexMap::new()),
             started_epochs: Mutex::new(IndexMap::new()),
             in_flight_calls: std::iter::repeat_with(InFlightCalls::new)
@@ -87,10 +87,7 @@
 
     async fn tick(&self) {
         for shard in 0..self.settings.shards {
-            let granted = self
-                .dependencies
-                .ownership
-                .may_act(ResourceId::Shard(shard));
+            let granted = self.ports.ownership.may_act(ResourceId::Shard(shard));
             self.stop_outdated_actor(shard, granted);
             if let Some(epoch) = granted
                 && !self.lock().contains_key(&shard)
@@ -121,9 +118,9 @@
     async fn start_actor(&self, shard: u16, epoch: OwnerEpoch) {
         let start = ShardArguments {
             settings: self.settings,
-            dependencies: Arc::clone(&self.dependencies),
+            ports: Arc::clone(&self.ports),
             permit: ShardPermit {
-                ownership: Arc::clone(&self.dependencies.ownership),
+                ownership: Arc::clone(&self.ports.ownership),
                 shard,
                 epoch,
             },
--- a/crates/planner/src/submit_check.rs
+++ b/crates/planner/src/submit_check.rs
@@ -42,7 +42,7 @@
 fn check_limits(spec: &JobSpec) -> Result<(), SubmitError> {
     if spec.tasks == 0 || spec.tasks > MAX_TASKS_PER_JOB {
         return Err(SubmitError::TaskCount {
-            max: MAX_TASKS_PER_JOB,
+            limit: MAX_TASKS_PER_JOB,
             found: spec.tasks,
         });
     }
@@ -54,7 +54,7 @@
     let found = spec.payload.len() + key + names;
     if found > MAX_SUBMISSION_BYTES {
         return Err(SubmitError::TooLong {
-            max: MAX_SUBMISSION_BYTES,
+            limit: MAX_SUBMISSION_BYTES,
             found,
         });
     }
--- a/crates/planner/src/submit_error.rs
+++ b/crates/planner/src/submit_error.rs
@@ -26,10 +26,10 @@
         team: TeamName,
     },
     /// The number of tasks is zero or too large.
-    #[display("a job has from 1 to {max} tasks, not {found}")]
+    #[display("a job has from 1 to {limit} tasks, not {found}")]
     TaskCount {
         /// Largest accepted number of tasks.
-        max: u32,
+        limit: u32,
         /// Number of tasks of the submission.
         found: u32,
     },
@@ -37,10 +37,10 @@
     #[display("a task needs some processors and some memory")]
     ZeroSize,
     /// The payload, the key and the names together are too long.
-    #[display("payload, names and key together have at most {max} bytes, not {found}")]
+    #[display("payload, names and key together have at most {limit} bytes, not {found}")]
     TooLong {
         /// Largest accepted length in bytes.
-        max: usize,
+        limit: usize,
         /// Length of the submission in bytes.
         found: usize,
     },
--- a/crates/planner/tests/planner/crash_at_each_call.rs
+++ b/crates/planner/tests/planner/crash_at_each_call.rs
@@ -11,9 +11,9 @@
 use tokio::time::sleep;
 
 use crate::{
-    crashing_dependencies::{
+    crashing_ports::{
         CrashPoint,
-        CrashingDependencies, //
+        CrashingPorts, //
     },
     test_bed::{
         TestBed,
@@ -39,13 +39,9 @@
     let services = submitter.handle.submit(service_job(2)).await.unwrap();
     let to_cancel = batch_job(2, seconds(5_000));
     let to_cancel = submitter.handle.submit(to_cancel).await.unwrap();
-    let dependencies = CrashingDependencies::new(&bed.table, &bed.fleet, crash_point);
+    let ports = CrashingPorts::new(&bed.table, &bed.fleet, crash_point);
     let first = bed
-        .start_planner_with(
-            1,
-            Arc::new(dependencies.clone()),
-            Arc::new(dependencies.clone()),
-        )
+        .start_planner_with(1, Arc::new(ports.clone()), Arc::new(ports.clone()))
         .await;
     sleep(seconds(6)).await;
     bed.set_domain("a", DomainState::Out);
@@ -53,7 +49,7 @@
     submitter.handle.cancel(to_cancel).await.unwrap();
     sleep(seconds(16)).await;
     drop(first);
-    let calls = dependencies.calls();
+    let calls = ports.calls();
     bed.set_domain("a", DomainState::In);
     let second = bed.start_planner(2).await;
     let status = second.wait_until_ended(job, seconds(120)).await;
--- a/crates/planner/tests/planner/crashing_dependencies.rs
+++ b/crates/planner/tests/planner/crashing_ports.rs
@@ -42,14 +42,14 @@
 
 /// The table and workers of one planner, with a common count of its calls.
 #[derive(Clone)]
-pub(crate) struct CrashingDependencies {
+pub(crate) struct CrashingPorts {
     table: TableStandIn,
     fleet: WorkerFleet,
     calls: Arc<AtomicUsize>,
     crash_point: CrashPoint,
 }
 
-impl CrashingDependencies {
+impl CrashingPorts {
     pub(crate) fn new(table: &TableStandIn, fleet: &WorkerFleet, crash_point: CrashPoint) -> Self {
         Self {
             table: table.clone(),
@@ -84,7 +84,7 @@
 }
 
 #[async_trait]
-impl TableService for CrashingDependencies {
+impl TableService for CrashingPorts {
     async fn read(&self, key: &RowKey) -> Result<Option<TableRow>, TableError> {
         self.call_until_crash(self.table.read(key)).await
     }
@@ -110,7 +110,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for CrashingDependencies {
+impl WorkerCalls for CrashingPorts {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/planner/tests/planner/main.rs
+++ b/crates/planner/tests/planner/main.rs
@@ -8,7 +8,7 @@
 mod cancellation;
 mod counting_workers;
 mod crash_at_each_call;
-mod crashing_dependencies;
+mod crashing_ports;
 mod damaged_records;
 mod eviction;
 mod failing_work;
--- a/crates/planner/tests/planner/random_faults.rs
+++ b/crates/planner/tests/planner/random_faults.rs
@@ -1,4 +1,4 @@
-//! Tests random faults of all dependencies while operators act.
+//! Tests random faults of the table and the workers while operators act.
 
 use jasminebend_base::{
     DomainName,
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -139,7 +139,7 @@
         workers: Arc<dyn WorkerPort>,
     ) -> TestPlanner {
         let ownership = Arc::new(FixedOwnership::new().with_held(PLANNED_SHARD, OwnerEpoch(epoch)));
-        let dependencies = PlannerEdges {
+        let ports = PlannerEdges {
             ownership: Arc::clone(&ownership) as _,
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -149,7 +149,7 @@
             clock: Arc::clone(&self.clock),
             seed: epoch,
         };
-        let handle = PlannerHandle::start(self.settings, dependencies).await;
+        let handle = PlannerHandle::start(self.settings, ports).await;
         TestPlanner { handle, ownership }
     }
 
--- a/crates/planner/tests/planner/worker_faults.rs
+++ b/crates/planner/tests/planner/worker_faults.rs
@@ -128,7 +128,7 @@
 // tasks would run on a worker, or most of it would stay idle. One measurement per report must be
 // enough to learn the size.
 #[tokio::test(start_paused = true)]
-async fn sizes_declared_wrong_by_ten_times_are_learned() {
+async fn wrongly_declared_sizes_are_learned() {
     let sampled = PlannerSettings::new(1).with_usage_bytes_per_second(0);
     let cases = [(5_000, 1), (100, 20)];
     let cases =
