--- a/crates/standins/src/call_kind.rs
+++ b/crates/standins/src/call_kind.rs
@@ -1,8 +1,8 @@
-//! The calls that a stand-in may do wrong.
+//! The kinds of calls to a stand-in.
 
 use derive_more::Display;
 
-/// The calls that a stand-in may do wrong.
+/// A kind of call to a stand-in, for fault injection.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 #[display(rename_all = "snake_case")]
 pub enum CallKind {
@@ -10,7 +10,7 @@
     Read,
     /// A scan of rows.
     Scan,
-    /// A transaction.
+    /// A commit of a transaction of row changes.
     Commit,
     /// A write of an object.
     Put,
@@ -31,7 +31,7 @@
 }
 
 impl CallKind {
-    /// Tells whether the call may change something.
+    /// Returns whether the call may change state.
     pub fn is_write(self) -> bool {
         !matches!(self, Self::Read | Self::Scan)
     }
--- a/crates/standins/src/tapped_stream.rs
+++ b/crates/standins/src/controlled_stream.rs
@@ -1,4 +1,4 @@
-//! A connection whose bytes a stand-in can hold back or replace.
+//! A TCP stream whose traffic a stand-in can drop or replace.
 
 use std::{
     io::{
@@ -33,31 +33,31 @@
 };
 
 #[derive(Debug, Default)]
-enum TapState {
-    /// Bytes pass.
+enum StreamState {
+    /// Bytes pass unchanged.
     #[default]
     Open,
-    /// Nothing is read, and what is written is dropped: the connection went silent.
+    /// Nothing is read, and written bytes are dropped: the connection is silent.
     Silent,
-    /// These bytes go out in place of what is written next.
+    /// `bytes` are sent in place of the next response. Then the connection is closed if `close` is set.
     Replacing { bytes: Bytes, close: bool },
-    /// What is written is dropped until the next bytes are read.
-    Replaced,
+    /// The replacement was sent: written bytes are dropped until the next request is read.
+    DroppingRest,
 }
 
-/// The handle of a connection's tap.
+/// Controls the traffic of one stream. Copies control the same stream.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StreamTap(Arc<Mutex<TapState>>);
+pub(crate) struct StreamControl(Arc<Mutex<StreamState>>);
 
-impl StreamTap {
-    /// Lets the connection go silent for good.
+impl StreamControl {
+    /// Makes the connection silent for the rest of its life.
     pub(crate) fn silence(&self) {
-        *self.lock() = TapState::Silent;
+        *self.lock() = StreamState::Silent;
     }
 
-    /// Sends these bytes in place of the next answer, and then closes the connection or not.
-    pub(crate) fn replace(&self, bytes: Bytes, close: bool) {
-        *self.lock() = TapState::Replacing { bytes, close };
+    /// Sends `bytes` in place of the next response, and then closes the connection if `close` is set.
+    pub(crate) fn replace_response(&self, bytes: Bytes, close: bool) {
+        *self.lock() = StreamState::Replacing { bytes, close };
     }
 
     pub(crate) fn is_same(&self, other: &Self) -> bool {
@@ -65,24 +65,24 @@
     }
 
     pub(crate) fn is_silent(&self) -> bool {
-        matches!(*self.lock(), TapState::Silent)
+        matches!(*self.lock(), StreamState::Silent)
     }
 
-    fn lock(&self) -> MutexGuard<'_, TapState> {
+    fn lock(&self) -> MutexGuard<'_, StreamState> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A connection with a tap.
+/// A TCP stream whose traffic a [`StreamControl`] controls.
 #[derive(Debug)]
-pub(crate) struct TappedStream {
+pub(crate) struct ControlledStream {
     stream: TcpStream,
-    tap: StreamTap,
+    control: StreamControl,
 }
 
-impl TappedStream {
-    pub(crate) fn new(stream: TcpStream, tap: StreamTap) -> Self {
-        Self { stream, tap }
+impl ControlledStream {
+    pub(crate) fn new(stream: TcpStream, control: StreamControl) -> Self {
+        Self { stream, control }
     }
 
     fn poll_replace(
@@ -98,46 +98,46 @@
     }
 }
 
-impl AsyncRead for TappedStream {
+impl AsyncRead for ControlledStream {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<Result<(), io::Error>> {
         let this = self.get_mut();
-        if this.tap.is_silent() {
+        if this.control.is_silent() {
             return Poll::Pending;
         }
         let before = buffer.filled().len();
         ready!(Pin::new(&mut this.stream).poll_read(context, buffer))?;
-        let mut state = this.tap.lock();
-        if matches!(*state, TapState::Replaced) && buffer.filled().len() > before {
-            *state = TapState::Open;
+        let mut state = this.control.lock();
+        if matches!(*state, StreamState::DroppingRest) && buffer.filled().len() > before {
+            *state = StreamState::Open;
         }
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for TappedStream {
+impl AsyncWrite for ControlledStream {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<Result<usize, io::Error>> {
         let this = self.get_mut();
-        let mut state = this.tap.lock();
+        let mut state = this.control.lock();
         match &mut *state {
-            TapState::Open => {
+            StreamState::Open => {
                 drop(state);
                 Pin::new(&mut this.stream).poll_write(context, buffer)
             }
-            TapState::Silent | TapState::Replaced => Poll::Ready(Ok(buffer.len())),
-            TapState::Replacing { bytes, close } => {
+            StreamState::Silent | StreamState::DroppingRest => Poll::Ready(Ok(buffer.len())),
+            StreamState::Replacing { bytes, close } => {
                 ready!(Self::poll_replace(&mut this.stream, context, bytes))?;
                 if *close {
                     return Poll::Ready(Err(ErrorKind::ConnectionAborted.into()));
                 }
-                *state = TapState::Replaced;
+                *state = StreamState::DroppingRest;
                 Poll::Ready(Ok(buffer.len()))
             }
         }
--- a/crates/standins/src/ended_runs.rs
+++ b/crates/standins/src/ended_runs.rs
@@ -1,4 +1,4 @@
-//! The ended runs that a stand-in worker knows.
+//! The ended runs of a stand-in worker.
 
 use indexmap::IndexMap;
 use jasminebend_ports::{
@@ -9,13 +9,14 @@
 
 type TaskKey = (u64, u32);
 
-/// The ended runs that a stand-in worker knows.
+/// The ended runs of a stand-in worker.
 #[derive(Debug, Default)]
 pub(crate) struct EndedRuns {
+    /// The ended runs that the owner has not acknowledged yet.
     unacknowledged: IndexMap<TaskAttempt, WorkerTask>,
-    /// The last attempt of each task that is known to have ended: a start of it, or of an earlier
-    /// one, that comes late is refused. It outlives the acknowledgement.
-    last: IndexMap<TaskKey, u32>,
+    /// The last attempt of each task that has ended. A delayed start order for it, or for an earlier attempt, is
+    /// refused. It stays after the acknowledgement.
+    last_ended: IndexMap<TaskKey, u32>,
 }
 
 impl EndedRuns {
@@ -23,24 +24,24 @@
         self.unacknowledged.values().cloned()
     }
 
-    pub(crate) fn end_of(&self, attempt: TaskAttempt) -> Option<&TaskEvent> {
+    pub(crate) fn event_of(&self, attempt: TaskAttempt) -> Option<&TaskEvent> {
         self.unacknowledged.get(&attempt)?.ended.as_ref()
     }
 
-    /// Tells whether this run of the task, or a later one, is known to have ended.
-    pub(crate) fn rules_out(&self, attempt: TaskAttempt) -> bool {
-        let last = self.last.get(&task_key(attempt));
+    /// Returns whether this run of the task, or a later one, has ended.
+    pub(crate) fn has_ended(&self, attempt: TaskAttempt) -> bool {
+        let last = self.last_ended.get(&task_key(attempt));
         last.is_some_and(|last| attempt.attempt <= *last)
     }
 
     pub(crate) fn insert(&mut self, task: WorkerTask) {
-        self.mark(task.attempt);
+        self.record_ended(task.attempt);
         self.unacknowledged.insert(task.attempt, task);
     }
 
-    /// Marks a run as ended, whether it ever ran here or not.
-    pub(crate) fn mark(&mut self, attempt: TaskAttempt) {
-        let last = self.last.entry(task_key(attempt)).or_default();
+    /// Records that a run has ended, whether or not it ever started here.
+    pub(crate) fn record_ended(&mut self, attempt: TaskAttempt) {
+        let last = self.last_ended.entry(task_key(attempt)).or_default();
         *last = attempt.attempt.max(*last);
     }
 
--- a/crates/standins/src/endpoint_answer.rs
+++ b/crates/standins/src/endpoint_answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a stand-in endpoint, which its caller can check.
+//! The response body of a stand-in endpoint, which a caller can verify.
 
 use std::hash::{
     DefaultHasher,
@@ -12,33 +12,35 @@
     Error, //
 };
 
+/// The padding byte.
 const FILLER: u8 = b'.';
+/// The number of lines in a response body: the padding counts as one.
 const FIELDS: usize = 4;
 
-/// Why an answer is not the whole one to a request.
+/// Why a body is not the complete response to a request.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum AnswerFault {
-    /// It doesn't begin as an endpoint's answer does.
-    #[display("the answer is none of an endpoint's")]
+    /// It doesn't have the format of a stand-in endpoint's response.
+    #[display("the response is not in an endpoint's format")]
     Foreign,
-    /// It answers another request.
-    #[display("the answer is that to another request")]
+    /// It is the response to another request.
+    #[display("the response belongs to another request")]
     OtherRequest,
-    /// It is shorter or longer than it says.
-    #[display("the answer is not whole")]
+    /// Its padding is shorter or longer than the length in its second line.
+    #[display("the response has the wrong length")]
     NotWhole,
-    /// Its bytes, or those of the request's body, were changed on their way.
-    #[display("the answer's checksum is wrong")]
+    /// Its bytes, or those of the request's body, were corrupted in transit.
+    #[display("the response's checksum is wrong")]
     Changed,
 }
 
-/// The answer of a stand-in endpoint: the request's identity, the filler's length, the checksum of
-/// all that with the request's body, and the filler, a line each.
+/// Builds and verifies the response bodies of stand-in endpoints. A body has four lines: the request's ID, the length
+/// of the padding, the checksum of both and of the request's body, and the padding.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointAnswer;
 
 impl EndpointAnswer {
-    /// Builds the answer to a request.
+    /// Returns the body of the response to a request, with this number of padding bytes.
     pub fn build(id: &str, request: &[u8], filler: usize) -> Bytes {
         let sum = checksum(id, request, filler);
         let mut answer = format!("{id}\n{filler}\n{sum:016x}\n").into_bytes();
@@ -46,11 +48,11 @@
         answer.into()
     }
 
-    /// Checks that this is the whole answer to that request.
+    /// Checks that `answer` is the complete response to the request.
     ///
     /// # Errors
     ///
-    /// The [`AnswerFault`] found.
+    /// Returns the first [`AnswerFault`] found.
     pub fn check(id: &str, request: &[u8], answer: &[u8]) -> Result<(), AnswerFault> {
         let mut lines = answer.splitn(FIELDS, |byte| *byte == b'\n');
         let mut next = || lines.next().ok_or(AnswerFault::Foreign);
--- a/crates/standins/src/endpoint_fault.rs
+++ b/crates/standins/src/endpoint_fault.rs
@@ -1,35 +1,35 @@
-//! What an endpoint does wrong.
+//! The faults that a stand-in endpoint can inject.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 use http::StatusCode;
 
-/// What an endpoint does wrong with one request.
+/// A fault that a stand-in endpoint injects into one request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointFault {
-    /// It closes the connection and doesn't run the request.
+    /// Closes the connection without processing the request.
     CloseUnrun,
-    /// It runs the request and closes the connection before the answer.
+    /// Processes the request and closes the connection before the response.
     CloseBeforeAnswer,
-    /// It runs the request and closes the connection after the answer's head.
+    /// Processes the request and closes the connection after the response's head.
     CloseAfterHead,
-    /// It runs the request and closes the connection in the middle of the answer's body.
+    /// Processes the request and closes the connection after half of the response's body.
     CloseMidBody,
-    /// The connection goes silent for good, and the request isn't run.
+    /// Makes the connection silent for the rest of its life, without processing the request.
     GoSilent,
-    /// It runs the request, and the connection goes silent for good.
+    /// Processes the request and makes the connection silent for the rest of its life.
     GoSilentAfterRun,
-    /// It answers with this status at once and doesn't run the request, but doesn't say so.
+    /// Responds with this status at once without processing the request. The response lacks the header that says so.
     FailFast(StatusCode),
-    /// It runs the request and answers with this status.
+    /// Processes the request and responds with this status.
     FailAfterRun(StatusCode),
-    /// It refuses with 503 and says that it didn't run the request.
+    /// Refuses the request with 503 and a header that says that it was not processed.
     Refuse,
-    /// It runs the request so much longer.
+    /// Lengthens the processing of the request by this time.
     Slow(Duration),
-    /// It runs the request, sends these bytes in place of the answer, and closes the connection.
+    /// Processes the request, sends these bytes in place of the response, and closes the connection.
     Raw(Bytes),
-    /// It runs the request and sends these bytes after the answer's end.
+    /// Processes the request and sends these bytes after the end of the response.
     TrailingBytes(Bytes),
 }
--- a/crates/standins/src/endpoint_knobs.rs
+++ b/crates/standins/src/endpoint_knobs.rs
@@ -1,4 +1,4 @@
-//! How a stand-in endpoint behaves.
+//! The settings of a stand-in endpoint.
 
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(5);
 const DEFAULT_ANSWER_BYTES: usize = 256;
 
-/// How a stand-in endpoint behaves.
+/// The settings of a stand-in endpoint: its service time, its response size and its faults.
 #[derive(Clone, Debug)]
 pub struct EndpointKnobs {
-    /// How long it works on a request, at its normal speed.
+    /// The time that a request takes at normal speed.
     pub service_time: ServiceTime,
-    /// Its speed, in thousandths of the normal one; noisy neighbours lower it.
+    /// The speed in thousandths of the normal speed. A lower value simulates interference by other tasks on the VM.
     pub speed_millis: u32,
-    /// The bytes of an answer's filler, where the request doesn't say so by `X-Answer-Bytes`.
+    /// The number of padding bytes in a response, unless the request sets it by the header `X-Answer-Bytes`.
     pub answer_bytes: usize,
-    /// It is about to stop: it refuses new requests and closes its connections after their answer.
+    /// Whether the endpoint is about to stop: it refuses new requests and closes each connection after its response.
     pub leaving: bool,
-    /// Every request meets this fault.
+    /// The fault of every request that has no queued fault.
     pub always: Option<EndpointFault>,
-    /// Each request meets each of these faults by chance, in thousandths.
+    /// Random faults, each with its probability in thousandths. They apply to requests without another fault.
     pub mix: Vec<(EndpointFault, u32)>,
 }
 
--- a/crates/standins/src/endpoint_ledger.rs
+++ b/crates/standins/src/endpoint_ledger.rs
@@ -1,4 +1,4 @@
-//! What the endpoints of a test saw.
+//! Counts of the requests and connections of every endpoint of a test.
 
 use std::{
     sync::{
@@ -12,26 +12,26 @@
 use indexmap::IndexMap;
 use jasminebend_base::VmName;
 
-/// What one endpoint saw.
+/// Counts of the requests and connections of one endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct EndpointCounts {
-    /// The requests that arrived.
+    /// The number of requests that arrived.
     pub arrivals: u64,
-    /// The requests that it ran.
+    /// The number of requests that the endpoint started to process.
     pub runs: u64,
-    /// The requests that arrived while every slot was busy. Must be zero.
+    /// The number of requests that arrived while every slot was busy. A correct caller leaves it at zero.
     pub over_slots: u64,
-    /// The most requests that it ran at once.
+    /// The maximum number of requests that were processed at the same time.
     pub most_running: u64,
-    /// The connections that are open.
+    /// The number of connections that are open now.
     pub open: u64,
-    /// The most connections that were open at once.
+    /// The maximum number of connections that were open at the same time.
     pub most_open: u64,
-    /// The connections that were opened above the limit. Must be zero.
+    /// The number of connections that were opened beyond the limit. A correct caller leaves it at zero.
     pub over_connections: u64,
-    /// When the last request arrived, on the endpoints' clock.
+    /// When the last request arrived, on the endpoint's clock; `None` before the first.
     pub last_arrival: Option<Duration>,
-    /// When the last run started, on the endpoints' clock.
+    /// When the endpoint last started to process a request, on its clock; `None` before the first.
     pub last_start: Option<Duration>,
     running: u64,
 }
@@ -39,11 +39,12 @@
 #[derive(Debug, Default)]
 struct LedgerState {
     endpoints: IndexMap<VmName, EndpointCounts>,
+    /// For each `X-Request-Id`, how often the request was processed.
     runs: IndexMap<String, u32>,
 }
 
-/// What the endpoints of a test saw. It stands outside the system, so that what the system says of
-/// itself can be checked against it.
+/// Counts of the requests and connections of every endpoint of a test. It is independent of the system under test, so
+/// that tests can check the system's reports against it.
 #[derive(Debug, Default)]
 pub struct EndpointLedger(Mutex<LedgerState>);
 
@@ -53,66 +54,66 @@
         Self::default()
     }
 
-    /// Returns what one endpoint saw.
+    /// Returns the counts of one endpoint, all zero for an unknown one.
     pub fn counts(&self, endpoint: &VmName) -> EndpointCounts {
         let state = self.lock();
         state.endpoints.get(endpoint).copied().unwrap_or_default()
     }
 
-    /// Returns what each endpoint saw.
+    /// Returns the counts of each endpoint.
     pub fn all_counts(&self) -> IndexMap<VmName, EndpointCounts> {
         self.lock().endpoints.clone()
     }
 
-    /// Returns the requests that arrived while every slot of their endpoint was busy. Must be zero.
+    /// Returns the number of requests that arrived while every slot of their endpoint was busy. Must be zero.
     pub fn over_slots(&self) -> u64 {
         self.sum(|counts| counts.over_slots)
     }
 
-    /// Returns the connections that were opened above an endpoint's limit. Must be zero.
+    /// Returns the number of connections that were opened beyond an endpoint's limit. Must be zero.
     pub fn over_connections(&self) -> u64 {
         self.sum(|counts| counts.over_connections)
     }
 
-    /// Returns all runs.
+    /// Returns the number of requests processed by all endpoints.
     pub fn runs(&self) -> u64 {
         self.sum(|counts| counts.runs)
     }
 
-    /// Returns how often the request of this `X-Request-Id` was run.
+    /// Returns how often the request with this `X-Request-Id` was processed.
     pub fn runs_of(&self, id: &str) -> u32 {
         self.lock().runs.get(id).copied().unwrap_or(0)
     }
 
-    /// Returns the requests that were run more than once, by their `X-Request-Id`.
+    /// Returns the `X-Request-Id` of each request that was processed more than once.
     pub fn repeated(&self) -> Vec<String> {
         let state = self.lock();
         let repeated = state.runs.iter().filter(|(_, runs)| **runs > 1);
         repeated.map(|(id, _)| id.clone()).collect()
     }
 
-    pub(crate) fn open(&self, endpoint: &VmName, limit: u16) {
-        self.change(endpoint, |counts| {
+    pub(crate) fn record_open(&self, endpoint: &VmName, limit: u16) {
+        self.update(endpoint, |counts| {
             counts.open += 1;
             counts.most_open = counts.most_open.max(counts.open);
             counts.over_connections += u64::from(counts.open > u64::from(limit));
         });
     }
 
-    pub(crate) fn close(&self, endpoint: &VmName) {
-        self.change(endpoint, |counts| counts.open -= 1);
+    pub(crate) fn record_close(&self, endpoint: &VmName) {
+        self.update(endpoint, |counts| counts.open -= 1);
     }
 
-    pub(crate) fn arrive(&self, endpoint: &VmName, now: Duration, over_slots: bool) {
-        self.change(endpoint, |counts| {
+    pub(crate) fn record_arrival(&self, endpoint: &VmName, now: Duration, over_slots: bool) {
+        self.update(endpoint, |counts| {
             counts.arrivals += 1;
             counts.last_arrival = Some(now);
             counts.over_slots += u64::from(over_slots);
         });
     }
 
-    pub(crate) fn start(&self, endpoint: &VmName, now: Duration, id: Option<&str>) {
-        self.change(endpoint, |counts| {
+    pub(crate) fn record_start(&self, endpoint: &VmName, now: Duration, id: Option<&str>) {
+        self.update(endpoint, |counts| {
             counts.runs += 1;
             counts.running += 1;
             counts.most_running = counts.most_running.max(counts.running);
@@ -123,18 +124,18 @@
         }
     }
 
-    pub(crate) fn end(&self, endpoint: &VmName) {
-        self.change(endpoint, |counts| counts.running -= 1);
+    pub(crate) fn record_end(&self, endpoint: &VmName) {
+        self.update(endpoint, |counts| counts.running -= 1);
     }
 
-    fn sum<Part>(&self, part: Part) -> u64
+    fn sum<Count>(&self, count: Count) -> u64
     where
-        Part: Fn(&EndpointCounts) -> u64,
+        Count: Fn(&EndpointCounts) -> u64,
     {
-        self.lock().endpoints.values().map(part).sum()
+        self.lock().endpoints.values().map(count).sum()
     }
 
-    fn change<Change>(&self, endpoint: &VmName, change: Change)
+    fn update<Change>(&self, endpoint: &VmName, change: Change)
     where
         Change: FnOnce(&mut EndpointCounts),
     {
--- a/crates/standins/src/endpoint_plan.rs
+++ b/crates/standins/src/endpoint_plan.rs
@@ -1,4 +1,4 @@
-//! What becomes of an endpoint's next requests.
+//! Chooses the fault and the service time of each request to a stand-in endpoint.
 
 use std::{
     collections::VecDeque,
@@ -16,47 +16,50 @@
     EndpointKnobs, //
 };
 
-/// What becomes of an endpoint's next requests.
+/// Chooses the fault and the service time of each request to a stand-in endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointPlan {
     pub(crate) knobs: EndpointKnobs,
-    next: VecDeque<EndpointFault>,
-    source: SmallRng,
+    queued_faults: VecDeque<EndpointFault>,
+    rng: SmallRng,
 }
 
 impl EndpointPlan {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             knobs: EndpointKnobs::default(),
-            next: VecDeque::new(),
-            source: SmallRng::seed_from_u64(seed),
+            queued_faults: VecDeque::new(),
+            rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    pub(crate) fn push(&mut self, fault: EndpointFault) {
-        self.next.push_back(fault);
+    pub(crate) fn queue_fault(&mut self, fault: EndpointFault) {
+        self.queued_faults.push_back(fault);
     }
 
-    pub(crate) fn draw_fault(&mut self) -> Option<EndpointFault> {
+    /// Returns the fault of the next request: the refusal of a leaving endpoint, else the next queued fault, else the
+    /// fault of every request, else a random one.
+    pub(crate) fn next_fault(&mut self) -> Option<EndpointFault> {
         if self.knobs.leaving {
             return Some(EndpointFault::Refuse);
         }
-        self.next
+        self.queued_faults
             .pop_front()
             .or_else(|| self.knobs.always.clone())
-            .or_else(|| self.draw_mix())
+            .or_else(|| self.draw_random_fault())
     }
 
-    pub(crate) fn draw_time(&mut self) -> Duration {
-        let time = self.knobs.service_time.draw(&mut self.source);
+    /// Returns a random service time, scaled by the endpoint's speed.
+    pub(crate) fn next_service_time(&mut self) -> Duration {
+        let time = self.knobs.service_time.draw(&mut self.rng);
         time * 1000 / self.knobs.speed_millis.max(1)
     }
 
-    fn draw_mix(&mut self) -> Option<EndpointFault> {
+    fn draw_random_fault(&mut self) -> Option<EndpointFault> {
         if self.knobs.mix.is_empty() {
             return None;
         }
-        let mut drawn = self.source.random_range(0..1000);
+        let mut drawn = self.rng.random_range(0..1000);
         for (fault, share) in &self.knobs.mix {
             if drawn < *share {
                 return Some(fault.clone());
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -1,4 +1,4 @@
-//! The server under the stand-in endpoint.
+//! The HTTP/1.1 server of the stand-in endpoint.
 
 use std::sync::Arc;
 
@@ -33,29 +33,29 @@
 use crate::{
     EndpointAnswer,
     EndpointFault,
-    endpoint_stand_in::{
-        EndpointCell,
-        stay_silent, //
+    controlled_stream::{
+        ControlledStream,
+        StreamControl, //
     },
-    tapped_stream::{
-        StreamTap,
-        TappedStream, //
+    endpoint_stand_in::{
+        EndpointState,
+        wait_forever, //
     },
-    wire_answer::{
-        CutConnection,
-        WireResult,
-        refuse,
-        reply, //
+    wire_response::{
+        CloseConnection,
+        ResponseResult,
+        body_response,
+        refused_response, //
     }, //
 };
 
-const ID_HEADER: &str = "x-request-id";
-const SIZE_HEADER: &str = "x-answer-bytes";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const ANSWER_BYTES_HEADER: &str = "x-answer-bytes";
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 pub(crate) async fn accept_all(
     listener: TcpListener,
-    cell: Arc<EndpointCell>,
+    state: Arc<EndpointState>,
     mut closed: watch::Receiver<()>,
 ) {
     loop {
@@ -63,7 +63,7 @@
             _ = closed.changed() => return,
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                tokio::spawn(serve_until_closed(stream, Arc::clone(&cell), closed.clone()));
+                tokio::spawn(serve_until_closed(stream, Arc::clone(&state), closed.clone()));
             }
         }
     }
@@ -71,143 +71,158 @@
 
 async fn serve_until_closed(
     stream: TcpStream,
-    cell: Arc<EndpointCell>,
+    state: Arc<EndpointState>,
     mut closed: watch::Receiver<()>,
 ) {
-    let tap = cell.taps.add();
-    cell.ledger.open(&cell.name, cell.connections);
+    let control = state.controls.add();
+    state.ledger.record_open(&state.name, state.connections);
     tokio::select! {
         _ = closed.changed() => {}
-        () = serve_connection(stream, Arc::clone(&cell), tap.clone()) => {}
+        () = serve_connection(stream, Arc::clone(&state), control.clone()) => {}
     }
-    cell.taps.remove(&tap);
-    if !tap.is_silent() {
-        cell.ledger.close(&cell.name);
+    state.controls.remove(&control);
+    if !control.is_silent() {
+        state.ledger.record_close(&state.name);
     }
 }
 
-async fn serve_connection(stream: TcpStream, cell: Arc<EndpointCell>, tap: StreamTap) {
-    // A connection that doesn't take the option works all the same, only slower.
+async fn serve_connection(stream: TcpStream, state: Arc<EndpointState>, control: StreamControl) {
+    // A connection without this option still works, only slower.
     let _ = stream.set_nodelay(true);
-    let stream = TappedStream::new(stream, tap.clone());
-    let service = service_fn(move |request| answer(Arc::clone(&cell), tap.clone(), request));
-    // How a connection ended is its caller's matter.
+    let stream = ControlledStream::new(stream, control.clone());
+    let service = service_fn(move |request| answer(Arc::clone(&state), control.clone(), request));
+    // Errors of a connection are ignored: the caller sees them on its side.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
 }
 
-async fn answer(cell: Arc<EndpointCell>, tap: StreamTap, request: Request<Incoming>) -> WireResult {
-    let slot = Arc::clone(&cell.slots).try_acquire_owned().ok();
-    cell.ledger
-        .arrive(&cell.name, cell.clock.monotonic(), slot.is_none());
-    let fault = cell.plan().draw_fault();
+async fn answer(
+    state: Arc<EndpointState>,
+    control: StreamControl,
+    request: Request<Incoming>,
+) -> ResponseResult {
+    let slot = Arc::clone(&state.slots).try_acquire_owned().ok();
+    state
+        .ledger
+        .record_arrival(&state.name, state.clock.monotonic(), slot.is_none());
+    let fault = state.plan().next_fault();
     match &fault {
-        Some(EndpointFault::CloseUnrun) => return Err(CutConnection),
-        Some(EndpointFault::GoSilent) => return go_silent(&cell, &tap).await,
-        Some(EndpointFault::FailFast(status)) => return reply(*status, Bytes::new()),
-        Some(EndpointFault::Refuse) => return refuse_for_good(),
+        Some(EndpointFault::CloseUnrun) => return Err(CloseConnection),
+        Some(EndpointFault::GoSilent) => return go_silent(&state, &control).await,
+        Some(EndpointFault::FailFast(status)) => return body_response(*status, Bytes::new()),
+        Some(EndpointFault::Refuse) => return refuse_leaving(),
         _ => {}
     }
     let (head, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| CutConnection)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| CloseConnection)?
+        .to_bytes();
     let slot = match slot {
         Some(slot) => slot,
-        None => wait_for_slot(&cell).await?,
+        None => wait_for_slot(&state).await?,
     };
-    // The work goes on in a task of its own, whether its caller waits or not.
-    let work = tokio::spawn(work(
-        Arc::clone(&cell),
+    // Processing continues in its own task, even if the caller gives up.
+    let processing = tokio::spawn(process(
+        Arc::clone(&state),
         slot,
         head.headers,
         body,
         fault.clone(),
     ));
-    let body = work.await.map_err(|_| CutConnection)?;
-    send(&cell, &tap, fault, body).await
+    let body = processing.await.map_err(|_| CloseConnection)?;
+    respond(&state, &control, fault, body).await
 }
 
-async fn wait_for_slot(cell: &EndpointCell) -> Result<OwnedSemaphorePermit, CutConnection> {
-    let slot = Arc::clone(&cell.slots).acquire_owned().await;
-    slot.map_err(|_| CutConnection)
+async fn wait_for_slot(state: &EndpointState) -> Result<OwnedSemaphorePermit, CloseConnection> {
+    let slot = Arc::clone(&state.slots).acquire_owned().await;
+    slot.map_err(|_| CloseConnection)
 }
 
-async fn work(
-    cell: Arc<EndpointCell>,
+async fn process(
+    state: Arc<EndpointState>,
     slot: OwnedSemaphorePermit,
     headers: HeaderMap,
     body: Bytes,
     fault: Option<EndpointFault>,
 ) -> Bytes {
-    let id = text(&headers, ID_HEADER);
-    cell.ledger.start(&cell.name, cell.clock.monotonic(), id);
-    let mut time = cell.plan().draw_time();
+    let id = header_text(&headers, REQUEST_ID_HEADER);
+    state
+        .ledger
+        .record_start(&state.name, state.clock.monotonic(), id);
+    let mut time = state.plan().next_service_time();
     if let Some(EndpointFault::Slow(added)) = fault {
         time += added;
     }
     if !time.is_zero() {
         time::sleep(time).await;
     }
-    let size = text(&headers, SIZE_HEADER).and_then(|size| size.parse().ok());
-    let size = size.unwrap_or_else(|| cell.plan().knobs.answer_bytes);
-    cell.ledger.end(&cell.name);
+    let size = header_text(&headers, ANSWER_BYTES_HEADER).and_then(|size| size.parse().ok());
+    let size = size.unwrap_or_else(|| state.plan().knobs.answer_bytes);
+    state.ledger.record_end(&state.name);
     drop(slot);
     EndpointAnswer::build(id.unwrap_or_default(), &body, size.min(MAX_ANSWER_BYTES))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-async fn send(
-    cell: &EndpointCell,
-    tap: &StreamTap,
+async fn respond(
+    state: &EndpointState,
+    control: &StreamControl,
     fault: Option<EndpointFault>,
     body: Bytes,
-) -> WireResult {
+) -> ResponseResult {
     match fault {
-        Some(EndpointFault::CloseBeforeAnswer) => return Err(CutConnection),
-        Some(EndpointFault::GoSilentAfterRun) => return go_silent(cell, tap).await,
-        Some(EndpointFault::FailAfterRun(status)) => return reply(status, body),
-        Some(EndpointFault::CloseAfterHead) => tap.replace(head_of(&body), true),
+        Some(EndpointFault::CloseBeforeAnswer) => return Err(CloseConnection),
+        Some(EndpointFault::GoSilentAfterRun) => return go_silent(state, control).await,
+        Some(EndpointFault::FailAfterRun(status)) => return body_response(status, body),
+        Some(EndpointFault::CloseAfterHead) => control.replace_response(response_head(&body), true),
         Some(EndpointFault::CloseMidBody) => {
             let half = body.slice(..body.len() / 2);
-            tap.replace(join([head_of(&body), half]), true);
+            control.replace_response(concat_parts([response_head(&body), half]), true);
         }
-        Some(EndpointFault::Raw(bytes)) => tap.replace(bytes, true),
+        Some(EndpointFault::Raw(bytes)) => control.replace_response(bytes, true),
         Some(EndpointFault::TrailingBytes(bytes)) => {
-            tap.replace(join([head_of(&body), body.clone(), bytes]), false);
+            control.replace_response(
+                concat_parts([response_head(&body), body.clone(), bytes]),
+                false,
+            );
         }
         _ => {}
     }
-    let mut response = reply(StatusCode::OK, body)?;
-    if cell.plan().knobs.leaving {
-        say_close(&mut response);
+    let mut response = body_response(StatusCode::OK, body)?;
+    if state.plan().knobs.leaving {
+        set_connection_close(&mut response);
     }
     Ok(response)
 }
 
-async fn go_silent(cell: &EndpointCell, tap: &StreamTap) -> WireResult {
-    cell.silence(tap);
-    stay_silent().await
+async fn go_silent(state: &EndpointState, control: &StreamControl) -> ResponseResult {
+    state.silence(control);
+    wait_forever().await
 }
 
-fn refuse_for_good() -> WireResult {
-    let mut response = refuse(StatusCode::SERVICE_UNAVAILABLE, "the endpoint is leaving")?;
-    say_close(&mut response);
+fn refuse_leaving() -> ResponseResult {
+    let mut response =
+        refused_response(StatusCode::SERVICE_UNAVAILABLE, "the endpoint is leaving")?;
+    set_connection_close(&mut response);
     Ok(response)
 }
 
-fn say_close<Body>(response: &mut Response<Body>) {
+fn set_connection_close<Body>(response: &mut Response<Body>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-fn head_of(body: &Bytes) -> Bytes {
+fn response_head(body: &Bytes) -> Bytes {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n").into()
 }
 
-fn join<const PARTS: usize>(parts: [Bytes; PARTS]) -> Bytes {
+fn concat_parts<const PARTS: usize>(parts: [Bytes; PARTS]) -> Bytes {
     parts.concat().into()
 }
--- a/crates/standins/src/endpoint_stand_in.rs
+++ b/crates/standins/src/endpoint_stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in of an endpoint.
+//! A stand-in for an endpoint.
 
 use std::{
     future,
@@ -37,119 +37,120 @@
     EndpointKnobs,
     EndpointLedger,
     ServerGuard,
+    controlled_stream::StreamControl,
     endpoint_plan::EndpointPlan,
     endpoint_server,
-    tap_set::TapSet,
-    tapped_stream::StreamTap, //
+    stream_controls::StreamControls, //
 };
 
 const DEFAULT_SLOTS: u16 = 8;
 const DEFAULT_CONNECTIONS: u16 = 64;
 
-pub(crate) struct EndpointCell {
+/// The state that the copies of a stand-in endpoint and its connections share.
+pub(crate) struct EndpointState {
     pub(crate) name: VmName,
     pub(crate) connections: u16,
     pub(crate) slots: Arc<Semaphore>,
     pub(crate) ledger: Arc<EndpointLedger>,
     pub(crate) clock: Arc<dyn ClockSource>,
     plan: Mutex<EndpointPlan>,
-    pub(crate) taps: TapSet,
+    pub(crate) controls: StreamControls,
 }
 
-impl EndpointCell {
+impl EndpointState {
     pub(crate) fn plan(&self) -> MutexGuard<'_, EndpointPlan> {
         self.plan.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets one connection go silent; it counts as open no longer, since its other end may have
-    /// closed it unheard.
-    pub(crate) fn silence(&self, tap: &StreamTap) {
-        if !tap.is_silent() {
-            tap.silence();
-            self.ledger.close(&self.name);
+    /// Makes one connection silent. It no longer counts as open, because the endpoint can't notice that the caller
+    /// closes it.
+    pub(crate) fn silence(&self, control: &StreamControl) {
+        if !control.is_silent() {
+            control.silence();
+            self.ledger.record_close(&self.name);
         }
     }
 }
 
-/// The stand-in of an endpoint: an HTTP/1.1 server that works on as many requests at once as it has
-/// slots. A request that its caller gave up is worked on to its end.
+/// A stand-in for an endpoint: an HTTP/1.1 server that processes at most as many requests at once as it has slots. It
+/// processes a request to its end even if the caller gives up. Copies share their state.
 #[derive(Clone)]
 pub struct EndpointStandIn {
-    cell: Arc<EndpointCell>,
+    state: Arc<EndpointState>,
     slots: u16,
 }
 
 impl EndpointStandIn {
-    /// Creates an endpoint with 8 slots and 64 connections, that writes to `ledger`. `seed` is that
-    /// of its service times and of its random faults.
+    /// Creates an endpoint with 8 slots and 64 connections that counts its requests in `ledger`. `seed` seeds its
+    /// service times and its random faults.
     pub fn new<Name>(name: Name, ledger: Arc<EndpointLedger>, seed: u64) -> Self
     where
         Name: Into<VmName>,
     {
         Self {
-            cell: Arc::new(EndpointCell {
+            state: Arc::new(EndpointState {
                 name: name.into(),
                 connections: DEFAULT_CONNECTIONS,
                 slots: Arc::new(Semaphore::new(usize::from(DEFAULT_SLOTS))),
                 ledger,
                 clock: Arc::new(SystemClock::new()),
                 plan: Mutex::new(EndpointPlan::new(seed)),
-                taps: TapSet::default(),
+                controls: StreamControls::default(),
             }),
             slots: DEFAULT_SLOTS,
         }
     }
 
-    /// Sets the numbers of slots and connections. The endpoint must not be in use yet.
+    /// Sets the numbers of slots and connections. Must be called before the endpoint is served or copied.
     pub fn with_limits(self, slots: u16, connections: u16) -> Self {
-        let clock = Arc::clone(&self.cell.clock);
+        let clock = Arc::clone(&self.state.clock);
         self.rebuild(slots, connections, clock)
     }
 
-    /// Sets the clock of the ledger's times. The endpoint must not be in use yet.
+    /// Sets the clock of the ledger's times. Must be called before the endpoint is served or copied.
     pub fn with_clock(self, clock: Arc<dyn ClockSource>) -> Self {
-        let (slots, connections) = (self.slots, self.cell.connections);
+        let (slots, connections) = (self.slots, self.state.connections);
         self.rebuild(slots, connections, clock)
     }
 
-    /// Sets how it behaves from the start.
+    /// Sets the initial settings.
     pub fn with_knobs(self, knobs: EndpointKnobs) -> Self {
-        self.cell.plan().knobs = knobs;
+        self.state.plan().knobs = knobs;
         self
     }
 
-    /// Returns the VM's name.
+    /// Returns the name of the endpoint's VM.
     pub fn name(&self) -> &VmName {
-        &self.cell.name
+        &self.state.name
     }
 
-    /// Returns the ledger that it writes to.
+    /// Returns the ledger that counts the endpoint's requests.
     pub fn ledger(&self) -> &Arc<EndpointLedger> {
-        &self.cell.ledger
+        &self.state.ledger
     }
 
-    /// Changes how it behaves.
+    /// Changes the endpoint's settings.
     pub fn set_knobs<Change>(&self, change: Change)
     where
         Change: FnOnce(&mut EndpointKnobs),
     {
-        change(&mut self.cell.plan().knobs);
+        change(&mut self.state.plan().knobs);
     }
 
-    /// Lets the next request meet the fault; several wait in their order.
+    /// Queues a fault for one request. Queued faults apply to the next requests in the order of the calls.
     pub fn once(&self, fault: EndpointFault) {
-        self.cell.plan().push(fault);
+        self.state.plan().queue_fault(fault);
     }
 
-    /// Lets every open connection go silent, as when something between the two ends loses track of
-    /// them; new ones work.
+    /// Makes every open connection silent, as a NAT or firewall does that loses its connection state. New connections
+    /// work.
     pub fn silence_connections(&self) {
-        for tap in self.cell.taps.taps() {
-            self.cell.silence(&tap);
+        for control in self.state.controls.all() {
+            self.state.silence(&control);
         }
     }
 
-    /// Returns the endpoint as a VM list shows it.
+    /// Returns the record of the endpoint's VM, for a VM list.
     pub fn record<Domain, Service>(
         &self,
         domain: Domain,
@@ -161,7 +162,7 @@
         Service: Into<ServiceName>,
     {
         VmRecord {
-            name: self.cell.name.clone(),
+            name: self.state.name.clone(),
             incarnation: 1,
             domain: domain.into(),
             state: VmState::Live,
@@ -169,7 +170,7 @@
                 service: service.into(),
                 address,
                 slots: self.slots,
-                connections: self.cell.connections,
+                connections: self.state.connections,
             }),
             worker: None,
         }
@@ -179,7 +180,7 @@
     ///
     /// # Errors
     ///
-    /// The error of the socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start(&self) -> Result<(SocketAddr, ServerGuard), io::Error> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -187,34 +188,34 @@
     }
 
     fn rebuild(self, slots: u16, connections: u16, clock: Arc<dyn ClockSource>) -> Self {
-        let cell = EndpointCell {
-            name: self.cell.name.clone(),
+        let state = EndpointState {
+            name: self.state.name.clone(),
             connections,
             slots: Arc::new(Semaphore::new(usize::from(slots))),
-            ledger: Arc::clone(&self.cell.ledger),
+            ledger: Arc::clone(&self.state.ledger),
             clock,
-            plan: Mutex::new(self.cell.plan().clone()),
-            taps: TapSet::default(),
+            plan: Mutex::new(self.state.plan().clone()),
+            controls: StreamControls::default(),
         };
         Self {
-            cell: Arc::new(cell),
+            state: Arc::new(state),
             slots,
         }
     }
 
-    /// Serves the endpoint until the guard is dropped.
+    /// Serves the endpoint on `listener` until the returned guard is dropped.
     pub fn serve(&self, listener: TcpListener) -> ServerGuard {
-        let (guard, closed) = ServerGuard::new(self.cell.taps.clone());
+        let (guard, closed) = ServerGuard::new(self.state.controls.clone());
         tokio::spawn(endpoint_server::accept_all(
             listener,
-            Arc::clone(&self.cell),
+            Arc::clone(&self.state),
             closed,
         ));
         guard
     }
 }
 
-/// Waits for ever: what a silent connection does.
-pub(crate) async fn stay_silent<Answer>() -> Answer {
+/// Never returns, so that a silent connection gets no response.
+pub(crate) async fn wait_forever<Answer>() -> Answer {
     future::pending().await
 }
--- a/crates/standins/src/fault_kind.rs
+++ b/crates/standins/src/fault_kind.rs
@@ -1,36 +1,36 @@
-//! What a stand-in does wrong.
+//! The faults that a stand-in can inject.
 
 use std::time::Duration;
 
-/// What a stand-in does wrong with one call.
+/// A fault that a stand-in injects into one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultKind {
-    /// The call is lost on its way: no effect, no answer.
+    /// The request is lost: no effect and no response.
     LoseRequest,
-    /// The answer is lost on its way back, after the effect.
+    /// The call takes effect, and its response is lost.
     LoseAnswer,
-    /// The answer is cut in its middle, after the effect.
+    /// The call takes effect, and its response is truncated.
     CutAnswer,
-    /// The answer is no valid one, after the effect.
+    /// The call takes effect, and its response is not valid.
     Malformed,
-    /// The service says that it did not run the call.
+    /// The service refuses the call and reports that it had no effect.
     Refuse,
-    /// The service is not reached.
+    /// The service is unreachable.
     Unreachable,
-    /// The effect comes this much later, and the answer after it.
+    /// The effect is delayed by this time, and the response follows it.
     Slow(Duration),
-    /// The answer comes this much later than the effect.
+    /// The response is sent this time after the effect.
     SlowAnswer(Duration),
-    /// The answer is lost at once, and the effect comes this much later.
+    /// The response is lost at once, and the effect is delayed by this time.
     LateEffect(Duration),
-    /// The call is delivered a second time, this much later.
+    /// The request is delivered a second time after this delay.
     Duplicate(Duration),
-    /// The answer tells an earlier state; for the VM list only.
+    /// The response shows an earlier state. Only the VM list supports it; other services work without a fault.
     Stale,
 }
 
 impl FaultKind {
-    /// Tells whether the call has no effect, now or later.
+    /// Returns whether the call has no effect, neither now nor later.
     pub fn prevents_effect(self) -> bool {
         matches!(self, Self::LoseRequest | Self::Refuse | Self::Unreachable)
     }
--- a/crates/standins/src/fault_plan.rs
+++ b/crates/standins/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with which call.
+//! Chooses the fault of each call to a stand-in.
 
 use std::{
     collections::VecDeque,
@@ -25,33 +25,40 @@
     FaultKind, //
 };
 
-/// Whether a service is down as a whole.
+/// Which calls of a service fail because of an outage.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum OutageState {
-    /// The service works.
+    /// There is no outage.
     #[default]
     Up,
-    /// Every call meets this fault.
+    /// Every call has this fault.
     Down(FaultKind),
-    /// Reads work, every write meets this fault.
+    /// Reads work; every write has this fault.
     ReadsOnly(FaultKind),
-    /// Writes work, every read meets this fault.
+    /// Writes work; every read has this fault.
     WritesOnly(FaultKind),
 }
 
 #[derive(Debug)]
 struct PlanState {
     outage: OutageState,
-    next: IndexMap<CallKind, VecDeque<Option<FaultKind>>>,
+    /// The queued faults of the next calls of each kind; `None` lets a call through.
+    queued: IndexMap<CallKind, VecDeque<Option<FaultKind>>>,
     always: IndexMap<CallKind, FaultKind>,
+    /// Random faults, each with its probability in thousandths.
     mix: Vec<(FaultKind, u32)>,
+    /// The maximum number of writes in each second.
     write_limit: Option<u32>,
-    window: (u64, u32),
-    source: SmallRng,
+    /// The current second, and the number of writes in it.
+    write_window: (u64, u32),
+    rng: SmallRng,
     counts: CallCounts,
 }
 
-/// What goes wrong with which call, and what was counted. Copies share both.
+/// Chooses the fault of each call to a stand-in and counts the calls. Copies share their state.
+///
+/// An outage comes first, then the queued faults, then the fault of every call of a kind, then the write limit, then
+/// the random faults.
 #[derive(Clone, Debug)]
 pub struct FaultPlan(Arc<Mutex<PlanState>>);
 
@@ -62,37 +69,38 @@
 }
 
 impl FaultPlan {
-    /// Creates a plan without faults; `seed` is that of the random mix.
+    /// Creates a plan without faults. `seed` seeds the random faults.
     pub fn new(seed: u64) -> Self {
         Self(Arc::new(Mutex::new(PlanState {
             outage: OutageState::Up,
-            next: IndexMap::new(),
+            queued: IndexMap::new(),
             always: IndexMap::new(),
             mix: Vec::new(),
             write_limit: None,
-            window: (0, 0),
-            source: SmallRng::seed_from_u64(seed),
+            write_window: (0, 0),
+            rng: SmallRng::seed_from_u64(seed),
             counts: CallCounts::default(),
         })))
     }
 
-    /// Lets the next call of this kind meet the fault; several wait in their order.
+    /// Queues a fault for one call of this kind. Queued faults apply to the next calls in the order of the method
+    /// calls.
     pub fn once(&self, call: CallKind, fault: FaultKind) {
         let mut state = self.lock();
-        state.next.entry(call).or_default().push_back(Some(fault));
+        state.queued.entry(call).or_default().push_back(Some(fault));
     }
 
-    /// Lets the next call of this kind through; it takes a turn as [`FaultPlan::once`] does.
+    /// Queues a call without a fault, in the same queue as [`FaultPlan::once`].
     pub fn pass(&self, call: CallKind) {
-        self.lock().next.entry(call).or_default().push_back(None);
+        self.lock().queued.entry(call).or_default().push_back(None);
     }
 
-    /// Lets every call of this kind meet the fault, until [`FaultPlan::heal`].
+    /// Sets the fault of every call of this kind until [`FaultPlan::heal`].
     pub fn always(&self, call: CallKind, fault: FaultKind) {
         self.lock().always.insert(call, fault);
     }
 
-    /// Lets each call meet each of these faults by chance, in thousandths.
+    /// Sets the random faults, each with its probability in thousandths.
     pub fn mix<Faults>(&self, faults: Faults)
     where
         Faults: IntoIterator<Item = (FaultKind, u32)>,
@@ -100,27 +108,27 @@
         self.lock().mix = faults.into_iter().collect();
     }
 
-    /// Takes the service down or up as a whole.
+    /// Starts or ends an outage.
     pub fn set_outage(&self, outage: OutageState) {
         self.lock().outage = outage;
     }
 
-    /// Refuses the writes above so many a second.
+    /// Refuses writes beyond this number per second; `None` removes the limit.
     pub fn limit_writes(&self, per_second: Option<u32>) {
         self.lock().write_limit = per_second;
     }
 
-    /// Ends every fault; the counts stay.
+    /// Removes every fault, outage and limit. The counts stay.
     pub fn heal(&self) {
         let mut state = self.lock();
         state.outage = OutageState::Up;
-        state.next.clear();
+        state.queued.clear();
         state.always.clear();
         state.mix.clear();
         state.write_limit = None;
     }
 
-    /// Returns what was counted.
+    /// Returns the counts of the calls.
     pub fn counts(&self) -> CallCounts {
         self.lock().counts
     }
@@ -132,19 +140,18 @@
         counts.bytes += bytes as u64;
     }
 
-    /// Decides what becomes of a call that arrives at `now`, and counts it.
-    pub(crate) fn decide(&self, call: CallKind, now: Duration) -> Option<FaultKind> {
+    /// Counts a call that arrives at `now` and returns its fault, if it has one.
+    pub(crate) fn next_fault(&self, call: CallKind, now: Duration) -> Option<FaultKind> {
         let mut state = self.lock();
         state.count(call);
-        let fault = state.decide(call, now);
+        let fault = state.next_fault(call, now);
         if fault.is_some_and(FaultKind::prevents_effect) {
             state.counts.refused += 1;
         }
         fault
     }
 
-    /// Runs a call under the fault that it meets. The error is the fault that takes the place of
-    /// the answer.
+    /// Runs a call with the fault chosen for it. The error is the fault that replaces the response.
     pub(crate) async fn run<Answer, Effect>(
         &self,
         call: CallKind,
@@ -155,7 +162,7 @@
         Answer: Send + 'static,
         Effect: Fn() -> Answer + Send + 'static,
     {
-        run_under(self.decide(call, now), effect).await
+        run_with_fault(self.next_fault(call, now), effect).await
     }
 
     fn lock(&self) -> MutexGuard<'_, PlanState> {
@@ -163,8 +170,8 @@
     }
 }
 
-/// Runs an effect under a fault. The error is the fault that takes the place of the answer.
-pub(crate) async fn run_under<Answer, Effect>(
+/// Runs an effect with a fault. The error is the fault that replaces the response.
+pub(crate) async fn run_with_fault<Answer, Effect>(
     fault: Option<FaultKind>,
     effect: Effect,
 ) -> Result<Answer, FaultKind>
@@ -181,28 +188,27 @@
             effect();
             Err(fault)
         }
-        FaultKind::Slow(delay) => run_late(delay, effect).await,
+        FaultKind::Slow(delay) => run_delayed(delay, effect).await,
         FaultKind::SlowAnswer(delay) => {
             let answer = effect();
             time::sleep(delay).await;
             Ok(answer)
         }
         FaultKind::LateEffect(delay) => {
-            tokio::spawn(run_late(delay, effect));
+            tokio::spawn(run_delayed(delay, effect));
             Err(fault)
         }
         FaultKind::Duplicate(delay) => {
             let answer = effect();
-            tokio::spawn(run_late(delay, effect));
+            tokio::spawn(run_delayed(delay, effect));
             Ok(answer)
         }
         FaultKind::Stale => Ok(effect()),
     }
 }
 
-/// Runs an effect late in a task of its own: a call in progress comes about even when its caller
-/// gave up.
-async fn run_late<Answer, Effect>(delay: Duration, effect: Effect) -> Result<Answer, FaultKind>
+/// Runs an effect after a delay, in its own task: a call in progress takes effect even if its caller gives up.
+async fn run_delayed<Answer, Effect>(delay: Duration, effect: Effect) -> Result<Answer, FaultKind>
 where
     Answer: Send + 'static,
     Effect: Fn() -> Answer + Send + 'static,
@@ -223,12 +229,12 @@
         }
     }
 
-    fn decide(&mut self, call: CallKind, now: Duration) -> Option<FaultKind> {
+    fn next_fault(&mut self, call: CallKind, now: Duration) -> Option<FaultKind> {
         if let Some(fault) = self.outage_fault(call) {
             return Some(fault);
         }
-        if let Some(turn) = self.next.get_mut(&call).and_then(VecDeque::pop_front) {
-            return turn;
+        if let Some(queued) = self.queued.get_mut(&call).and_then(VecDeque::pop_front) {
+            return queued;
         }
         if let Some(fault) = self.always.get(&call) {
             return Some(*fault);
@@ -236,7 +242,7 @@
         if call.is_write() && self.over_limit(now) {
             return Some(FaultKind::Refuse);
         }
-        self.draw()
+        self.draw_random_fault()
     }
 
     fn outage_fault(&self, call: CallKind) -> Option<FaultKind> {
@@ -252,18 +258,18 @@
         let Some(limit) = self.write_limit else {
             return false;
         };
-        if self.window.0 != now.as_secs() {
-            self.window = (now.as_secs(), 0);
+        if self.write_window.0 != now.as_secs() {
+            self.write_window = (now.as_secs(), 0);
         }
-        self.window.1 += 1;
-        self.window.1 > limit
+        self.write_window.1 += 1;
+        self.write_window.1 > limit
     }
 
-    fn draw(&mut self) -> Option<FaultKind> {
+    fn draw_random_fault(&mut self) -> Option<FaultKind> {
         if self.mix.is_empty() {
             return None;
         }
-        let mut drawn = self.source.random_range(0..1000);
+        let mut drawn = self.rng.random_range(0..1000);
         for (fault, share) in &self.mix {
             if drawn < *share {
                 return Some(*fault);
--- a/crates/standins/src/fixed_ownership.rs
+++ b/crates/standins/src/fixed_ownership.rs
@@ -1,4 +1,4 @@
-//! An ownership that its maker sets.
+//! An ownership view that a test sets directly.
 
 use std::{
     sync::{
@@ -16,30 +16,31 @@
 };
 use jasminebend_ports::OwnershipView;
 
-/// An ownership that its maker sets, in place of the one agreed through the table.
+/// An ownership view that a test sets directly, in place of the one that daemons agree on through the table.
 #[derive(Debug, Default)]
 pub struct FixedOwnership {
+    /// For each owned resource, its epoch and the time for which it must stay idle.
     held: Mutex<IndexMap<ResourceId, (OwnerEpoch, Duration)>>,
 }
 
 impl FixedOwnership {
-    /// Creates an ownership that holds nothing.
+    /// Creates a view without owned resources.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Holds a resource from the start.
+    /// Adds an owned resource without an idle time.
     pub fn with_held(self, resource: ResourceId, epoch: OwnerEpoch) -> Self {
         self.hold(resource, epoch, Duration::ZERO);
         self
     }
 
-    /// Holds a resource that must stay idle for some time.
+    /// Adds an owned resource that must stay idle for the time `idle`.
     pub fn hold(&self, resource: ResourceId, epoch: OwnerEpoch, idle: Duration) {
         self.lock().insert(resource, (epoch, idle));
     }
 
-    /// Loses a resource.
+    /// Removes a resource, as after a takeover by another daemon.
     pub fn lose(&self, resource: ResourceId) {
         self.lock().shift_remove(&resource);
     }
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server under the stand-ins.
+//! The HTTP server that the stand-ins of the platform's services and of workers share.
 
 use std::{
     io,
@@ -38,28 +38,28 @@
 
 use crate::{
     ServerGuard,
-    tap_set::TapSet,
-    tapped_stream::TappedStream,
-    wire_answer::{
-        WireResult,
-        refuse, //
+    controlled_stream::ControlledStream,
+    stream_controls::StreamControls,
+    wire_response::{
+        ResponseResult,
+        refused_response, //
     }, //
 };
 
-/// The most bytes that a call's body may have.
+/// The maximum size of a request's body, in bytes.
 pub(crate) const MAX_CALL_BYTES: usize = 16 << 20;
 
-/// What answers the calls of a server.
+/// Handles the requests of a server.
 #[async_trait]
 pub(crate) trait CallHandler: Send + Sync + 'static {
-    /// The token that a caller must show.
+    /// Returns the access token that a caller must send; `None` if callers need none.
     fn token(&self) -> Option<&AccessToken>;
 
-    /// Answers a call that was read whole.
-    async fn answer(&self, head: Parts, body: Bytes, caller: SocketAddr) -> WireResult;
+    /// Handles a request whose body was read completely.
+    async fn answer(&self, head: Parts, body: Bytes, caller: SocketAddr) -> ResponseResult;
 }
 
-/// Binds an ephemeral port of the loopback interface and serves it.
+/// Binds an ephemeral port of the loopback interface and serves it until the returned guard is dropped.
 pub(crate) async fn start<Handler>(
     handler: Arc<Handler>,
 ) -> Result<(SocketAddr, ServerGuard), io::Error>
@@ -71,21 +71,21 @@
     Ok((address, serve(listener, handler)))
 }
 
-/// Serves a listener until the guard is dropped.
+/// Serves a listener until the returned guard is dropped.
 pub(crate) fn serve<Handler>(listener: TcpListener, handler: Arc<Handler>) -> ServerGuard
 where
     Handler: CallHandler,
 {
-    let taps = TapSet::default();
-    let (guard, closed) = ServerGuard::new(taps.clone());
-    tokio::spawn(accept_all(listener, handler, taps, closed));
+    let controls = StreamControls::default();
+    let (guard, closed) = ServerGuard::new(controls.clone());
+    tokio::spawn(accept_all(listener, handler, controls, closed));
     guard
 }
 
 async fn accept_all<Handler>(
     listener: TcpListener,
     handler: Arc<Handler>,
-    taps: TapSet,
+    controls: StreamControls,
     mut closed: watch::Receiver<()>,
 ) where
     Handler: CallHandler,
@@ -95,14 +95,14 @@
             _ = closed.changed() => return,
             accepted = listener.accept() => {
                 let Ok((stream, caller)) = accepted else { continue };
-                let connection = serve_connection(stream, caller, Arc::clone(&handler), taps.clone());
-                tokio::spawn(until_closed(connection, closed.clone()));
+                let connection = serve_connection(stream, caller, Arc::clone(&handler), controls.clone());
+                tokio::spawn(run_until_closed(connection, closed.clone()));
             }
         }
     }
 }
 
-async fn until_closed<Connection>(connection: Connection, mut closed: watch::Receiver<()>)
+async fn run_until_closed<Connection>(connection: Connection, mut closed: watch::Receiver<()>)
 where
     Connection: Future<Output = ()>,
 {
@@ -116,44 +116,44 @@
     stream: TcpStream,
     caller: SocketAddr,
     handler: Arc<Handler>,
-    taps: TapSet,
+    controls: StreamControls,
 ) where
     Handler: CallHandler,
 {
-    // A connection that doesn't take the option works all the same, only slower.
+    // A connection without this option still works, only slower.
     let _ = stream.set_nodelay(true);
-    let tap = taps.add();
-    let stream = TappedStream::new(stream, tap.clone());
+    let control = controls.add();
+    let stream = ControlledStream::new(stream, control.clone());
     let service = service_fn(move |request| {
         let handler = Arc::clone(&handler);
         async move { answer(handler.as_ref(), request, caller).await }
     });
-    // How a connection ended is its caller's matter.
+    // Errors of a connection are ignored: the caller sees them on its side.
     let _ = http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    taps.remove(&tap);
+    controls.remove(&control);
 }
 
 async fn answer<Handler>(
     handler: &Handler,
     request: Request<Incoming>,
     caller: SocketAddr,
-) -> WireResult
+) -> ResponseResult
 where
     Handler: CallHandler,
 {
     let (head, body) = request.into_parts();
-    if !is_allowed(handler.token(), &head) {
-        return refuse(StatusCode::UNAUTHORIZED, "the token is missing or wrong");
+    if !has_valid_token(handler.token(), &head) {
+        return refused_response(StatusCode::UNAUTHORIZED, "the token is missing or wrong");
     }
     match Limited::new(body, MAX_CALL_BYTES).collect().await {
         Ok(body) => handler.answer(head, body.to_bytes(), caller).await,
-        Err(_) => refuse(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
+        Err(_) => refused_response(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
     }
 }
 
-fn is_allowed(token: Option<&AccessToken>, head: &Parts) -> bool {
+fn has_valid_token(token: Option<&AccessToken>, head: &Parts) -> bool {
     let Some(token) = token else {
         return true;
     };
--- a/crates/standins/src/ledger_summary.rs
+++ b/crates/standins/src/ledger_summary.rs
@@ -1,30 +1,31 @@
-//! What a ledger counted.
+//! Totals over all runs of a run ledger.
 
-/// What a ledger counted. The last five must be zero.
+/// Totals over all runs of a [`RunLedger`](crate::RunLedger). The last five fields count violations and must be zero.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LedgerSummary {
-    /// Runs that started.
+    /// The number of runs that started.
     pub starts: u64,
-    /// Tasks that finished.
+    /// The number of runs that finished.
     pub finishes: u64,
-    /// Runs that failed of themselves.
+    /// The number of runs that ended with a failure code.
     pub failures: u64,
-    /// Runs that were stopped with their state kept by order.
+    /// The number of runs that the owner ended by a checkpoint order.
     pub evictions: u64,
-    /// Runs that resumed from a checkpoint.
+    /// The number of runs that started from a checkpoint.
     pub resumes: u64,
-    /// Runs that ended because their worker's lease lapsed.
+    /// The number of runs that ended because their worker's lease lapsed.
     pub lapses: u64,
-    /// Runs that ended because their worker restarted or failed.
+    /// The number of runs that ended because their worker restarted or failed.
     pub vanished: u64,
-    /// Pairs of runs of one task in progress at the same time.
+    /// The number of pairs of runs of one task that were in progress at the same time.
     pub overlaps: u64,
-    /// Finishes of tasks that had finished before.
+    /// The number of pairs of runs of one task that both finished.
     pub repeated_finishes: u64,
-    /// Runs that resumed from a checkpoint although a run from it had finished or got further.
+    /// The number of pairs of runs that resumed from the same checkpoint although the first had finished or left a
+    /// newer checkpoint.
     pub repeated_resumes: u64,
-    /// Starts of tasks that had finished before.
+    /// The number of pairs of runs of one task of which the second started after the first had finished.
     pub starts_after_finish: u64,
-    /// Orders that would have put more on a worker than it can hold; the worker refused them.
+    /// The number of start orders that a worker refused because they exceeded its free capacity.
     pub over_capacity: u64,
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for the platform, the endpoints and the workers. They serve the tests and the embedded
-//! default of `jasminebend demo`.
+//! In-process replacements ("stand-ins") of the platform's services, of endpoints and of workers, with
+//! fault injection. Tests use them, and so does `jasminebend demo` when it runs without a real platform.
 
 mod call_counts;
 mod call_kind;
+mod controlled_stream;
 mod ended_runs;
 mod endpoint_answer;
 mod endpoint_fault;
@@ -25,23 +26,22 @@
 mod run_set;
 mod server_guard;
 mod service_time;
+mod shared_worker;
 mod step_worker;
-mod table_core;
+mod stream_controls;
+mod table_rows;
 mod table_stand_in;
-mod tap_set;
-mod tapped_stream;
 mod task_payload;
-mod usage_lag;
-mod vm_list_core;
+mod usage_queue;
+mod vm_list_history;
 mod vm_list_stand_in;
-mod wire_answer;
-mod worker_cell;
-mod worker_core;
+mod wire_response;
 mod worker_fleet;
 mod worker_knobs;
 mod worker_lease;
 mod worker_run;
 mod worker_stand_in;
+mod worker_state;
 
 pub use self::{
     call_counts::CallCounts,
--- a/crates/standins/src/manual_clock.rs
+++ b/crates/standins/src/manual_clock.rs
@@ -1,4 +1,4 @@
-//! A clock that stands still until it is moved.
+//! A clock for tests that moves only when it is advanced.
 
 use std::{
     sync::{
@@ -13,19 +13,20 @@
 
 use jasminebend_ports::ClockSource;
 
-/// A clock that stands still until it is moved.
+/// A clock for tests that moves only when it is advanced. Its wall time starts at the Unix epoch.
 #[derive(Debug, Default)]
 pub struct ManualClock {
+    /// The time since the clock's origin.
     now: Mutex<Duration>,
 }
 
 impl ManualClock {
-    /// Creates a clock at its origin.
+    /// Creates a clock at zero.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Moves the clock on.
+    /// Moves the clock forward by `step`.
     pub fn advance(&self, step: Duration) {
         *self.now.lock().unwrap_or_else(PoisonError::into_inner) += step;
     }
--- a/crates/standins/src/object_stand_in.rs
+++ b/crates/standins/src/object_stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's object store.
+//! A stand-in for the platform's object store.
 
 use std::{
     io,
@@ -41,23 +41,23 @@
         CallHandler,
         MAX_CALL_BYTES, //
     },
-    wire_answer::{
-        WireResult,
+    wire_response::{
+        ResponseResult,
+        body_response,
         entity_tag,
-        fault,
-        refuse,
-        reply, //
+        fault_response,
+        refused_response, //
     }, //
 };
 
 type Objects = IndexMap<ObjectKey, Bytes>;
 
-/// The stand-in of the platform's object store. Copies share the objects, so that one can be used
-/// in memory while another is served over HTTP. All buckets are one.
+/// A stand-in for the platform's object store. Copies share the objects, so that one can be used in memory while
+/// another is served over HTTP. The bucket's name is ignored: all buckets share one key space.
 #[derive(Clone)]
 pub struct ObjectStandIn {
     objects: Arc<Mutex<Objects>>,
-    largest: usize,
+    max_object_bytes: usize,
     faults: FaultPlan,
     clock: Arc<dyn ClockSource>,
     token: Option<AccessToken>,
@@ -74,48 +74,48 @@
     pub fn new() -> Self {
         Self {
             objects: Arc::default(),
-            largest: MAX_CALL_BYTES,
+            max_object_bytes: MAX_CALL_BYTES,
             faults: FaultPlan::default(),
             clock: Arc::new(SystemClock::new()),
             token: None,
         }
     }
 
-    /// Sets the size of the largest object, in bytes.
+    /// Sets the maximum size of an object, in bytes; at most that of a call's body.
     pub fn with_largest(mut self, largest: usize) -> Self {
-        self.largest = largest.min(MAX_CALL_BYTES);
+        self.max_object_bytes = largest.min(MAX_CALL_BYTES);
         self
     }
 
-    /// Sets the clock that the write limit is counted on.
+    /// Sets the clock that measures the write limit's seconds.
     pub fn with_clock(mut self, clock: Arc<dyn ClockSource>) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Sets the faults.
+    /// Sets the fault plan.
     pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets the token that callers over HTTP must show.
+    /// Sets the access token that HTTP callers must send.
     pub fn with_token(mut self, token: AccessToken) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// Returns the faults and the counts.
+    /// Returns the fault plan, which also holds the call counts.
     pub fn faults(&self) -> &FaultPlan {
         &self.faults
     }
 
-    /// Returns the keys of all objects, past every fault.
+    /// Returns the keys of all objects, without fault injection.
     pub fn keys(&self) -> Vec<ObjectKey> {
         self.lock().keys().cloned().collect()
     }
 
-    /// Replaces an object's bytes past every fault, as damage would.
+    /// Replaces the bytes of an object without fault injection, to simulate corruption.
     pub fn damage<Key>(&self, key: Key, body: Bytes)
     where
         Key: Into<ObjectKey>,
@@ -127,17 +127,21 @@
     ///
     /// # Errors
     ///
-    /// The error of the socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start(&self) -> Result<(SocketAddr, ServerGuard), io::Error> {
         http_server::start(Arc::new(self.clone())).await
     }
 
-    /// Serves the store until the guard is dropped.
+    /// Serves the store on `listener` until the returned guard is dropped.
     pub fn serve(&self, listener: TcpListener) -> ServerGuard {
         http_server::serve(listener, Arc::new(self.clone()))
     }
 
-    async fn run<Answer, Effect>(&self, call: CallKind, effect: Effect) -> Result<Answer, FaultKind>
+    async fn run_with_faults<Answer, Effect>(
+        &self,
+        call: CallKind,
+        effect: Effect,
+    ) -> Result<Answer, FaultKind>
     where
         Answer: Send + 'static,
         Effect: Fn(&mut Objects) -> Answer + Send + 'static,
@@ -149,7 +153,7 @@
 
     async fn run_put(&self, key: ObjectKey, body: Bytes) -> Result<(), FaultKind> {
         self.faults.count_rows(1, body.len());
-        self.run(CallKind::Put, move |objects| {
+        self.run_with_faults(CallKind::Put, move |objects| {
             objects.insert(key.clone(), body.clone());
         })
         .await
@@ -157,7 +161,7 @@
 
     async fn run_get(&self, key: ObjectKey) -> Result<Option<Bytes>, FaultKind> {
         let body = self
-            .run(CallKind::Read, move |objects| objects.get(&key).cloned())
+            .run_with_faults(CallKind::Read, move |objects| objects.get(&key).cloned())
             .await?;
         self.faults
             .count_rows(1, body.as_ref().map_or(0, Bytes::len));
@@ -165,7 +169,7 @@
     }
 
     async fn run_delete(&self, key: ObjectKey) -> Result<(), FaultKind> {
-        self.run(CallKind::Delete, move |objects| {
+        self.run_with_faults(CallKind::Delete, move |objects| {
             objects.shift_remove(&key);
         })
         .await
@@ -187,7 +191,7 @@
 #[async_trait]
 impl ObjectStore for ObjectStandIn {
     async fn put(&self, key: &ObjectKey, body: Bytes) -> Result<(), ObjectError> {
-        if body.len() > self.largest {
+        if body.len() > self.max_object_bytes {
             return Err(ObjectError::TooLarge);
         }
         self.run_put(key.clone(), body).await.map_err(object_error)
@@ -208,18 +212,18 @@
         self.token.as_ref()
     }
 
-    async fn answer(&self, head: Parts, body: Bytes, _caller: SocketAddr) -> WireResult {
+    async fn answer(&self, head: Parts, body: Bytes, _caller: SocketAddr) -> ResponseResult {
         let Some(key) = object_key(head.uri.path()) else {
-            return refuse(StatusCode::BAD_REQUEST, "the path is no /bucket/key");
+            return refused_response(StatusCode::BAD_REQUEST, "the path is no /bucket/key");
         };
         match head.method {
-            Method::PUT if body.len() > self.largest => {
-                refuse(StatusCode::PAYLOAD_TOO_LARGE, "the object is too large")
+            Method::PUT if body.len() > self.max_object_bytes => {
+                refused_response(StatusCode::PAYLOAD_TOO_LARGE, "the object is too large")
             }
-            Method::PUT => answer_empty(self.run_put(key, body).await, StatusCode::OK),
-            Method::GET | Method::HEAD => answer_object(self.run_get(key).await),
-            Method::DELETE => answer_empty(self.run_delete(key).await, StatusCode::NO_CONTENT),
-            _ => refuse(
+            Method::PUT => empty_response(self.run_put(key, body).await, StatusCode::OK),
+            Method::GET | Method::HEAD => object_response(self.run_get(key).await),
+            Method::DELETE => empty_response(self.run_delete(key).await, StatusCode::NO_CONTENT),
+            _ => refused_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "the path takes PUT, GET, HEAD and DELETE",
             ),
@@ -234,21 +238,21 @@
     complete.then(|| ObjectKey::from(key.into_owned()))
 }
 
-fn answer_empty(answer: Result<(), FaultKind>, status: StatusCode) -> WireResult {
+fn empty_response(answer: Result<(), FaultKind>, status: StatusCode) -> ResponseResult {
     match answer {
-        Ok(()) => reply(status, Bytes::new()),
-        Err(kind) => fault(kind),
+        Ok(()) => body_response(status, Bytes::new()),
+        Err(kind) => fault_response(kind),
     }
 }
 
-fn answer_object(answer: Result<Option<Bytes>, FaultKind>) -> WireResult {
+fn object_response(answer: Result<Option<Bytes>, FaultKind>) -> ResponseResult {
     let body = match answer {
         Ok(Some(body)) => body,
-        Ok(None) => return reply(StatusCode::NOT_FOUND, Bytes::new()),
-        Err(kind) => return fault(kind),
+        Ok(None) => return body_response(StatusCode::NOT_FOUND, Bytes::new()),
+        Err(kind) => return fault_response(kind),
     };
     let tag = entity_tag(&body);
-    let mut response = reply(StatusCode::OK, body)?;
+    let mut response = body_response(StatusCode::OK, body)?;
     response.headers_mut().insert(ETAG, tag);
     Ok(response)
 }
--- a/crates/standins/src/port_block.rs
+++ b/crates/standins/src/port_block.rs
@@ -1,4 +1,4 @@
-//! Ports of loopback for processes and daemons that tests start and restart.
+//! Blocks of loopback ports for the processes and daemons that tests start and restart.
 
 use std::{
     io,
@@ -14,30 +14,32 @@
     }, //
 };
 
-/// The blocks lie below the ports that the system gives to connections: one of these could take the port of a daemon that
-/// is down, which could then not come back.
+/// The first port of the first block. The blocks lie below the range of ephemeral ports: an outgoing connection could
+/// otherwise take the port of a daemon that is down, and the daemon could not restart on it.
 const FIRST_PORT: u16 = 20_000;
-const BLOCKS: u16 = 40;
-const BLOCK_PORTS: u16 = 300;
+/// The number of blocks, each for one holder.
+const BLOCK_COUNT: u16 = 40;
+/// The number of ports in a block, including the first, which is the lock of the block.
+const PORTS_PER_BLOCK: u16 = 300;
 
-/// A block of ports that no other block has while it is held, in this process or another.
+/// A block of loopback ports that is reserved until it is dropped, against this process and others.
 #[derive(Debug)]
 pub struct PortBlock {
-    /// Bound to the block's first port, which shows others that the block is taken.
+    /// A listener on the block's first port, which reserves the block.
     _guard: TcpListener,
     first: u16,
     next: Mutex<u16>,
 }
 
 impl PortBlock {
-    /// Takes a block that nobody holds.
+    /// Reserves a free block.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::AddrInUse`] if all blocks are held, or any other error of binding a port.
+    /// Returns [`io::ErrorKind::AddrInUse`] if all blocks are reserved, or any other error of binding a port.
     pub fn new() -> io::Result<Self> {
-        for block in 0..BLOCKS {
-            let first = FIRST_PORT + block * BLOCK_PORTS;
+        for block in 0..BLOCK_COUNT {
+            let first = FIRST_PORT + block * PORTS_PER_BLOCK;
             match TcpListener::bind((Ipv4Addr::LOCALHOST, first)) {
                 Ok(guard) => {
                     return Ok(Self {
@@ -53,11 +55,11 @@
         Err(io::ErrorKind::AddrInUse.into())
     }
 
-    /// Returns an address that nothing listens on. An earlier one comes again once all were given.
+    /// Returns a loopback address that nothing listens on. Addresses repeat once all ports of the block were returned.
     ///
     /// # Errors
     ///
-    /// As [`PortBlock::range`].
+    /// Returns the same errors as [`PortBlock::range`].
     pub fn address(&self) -> io::Result<SocketAddr> {
         let ports = self.range(1)?;
         Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, ports.start)))
@@ -67,18 +69,18 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::AddrInUse`] if the block has not as many.
+    /// Returns [`io::ErrorKind::AddrInUse`] if the block has no such range.
     pub fn range(&self, count: u16) -> io::Result<Range<u16>> {
         let mut next = self.next.lock().unwrap_or_else(PoisonError::into_inner);
-        for _ in 0..BLOCK_PORTS {
-            if *next + count > BLOCK_PORTS {
+        for _ in 0..PORTS_PER_BLOCK {
+            if *next + count > PORTS_PER_BLOCK {
                 *next = 1;
             }
             let first = self.first + *next;
             let ports = first..first + count;
             *next += count;
             let is_free = |port| TcpListener::bind((Ipv4Addr::LOCALHOST, port)).is_ok();
-            if count < BLOCK_PORTS && ports.clone().all(is_free) {
+            if count < PORTS_PER_BLOCK && ports.clone().all(is_free) {
                 return Ok(ports);
             }
         }
--- a/crates/standins/src/run_ledger.rs
+++ b/crates/standins/src/run_ledger.rs
@@ -1,4 +1,4 @@
-//! What ran where and when, over all workers of a test.
+//! A record of every run on every worker of a test.
 
 use std::{
     fmt,
@@ -25,34 +25,35 @@
     RunRecord, //
 };
 
-/// A worker that can bring its runs up to the present.
-pub(crate) trait SettleRuns: Send + Sync {
-    fn settle(&self);
+/// Brings the runs of a worker up to the current time.
+pub(crate) trait AdvanceRuns: Send + Sync {
+    fn advance_runs(&self);
 }
 
-/// The most that was set aside on a worker, and what it can hold.
+/// The peak of the resources reserved on a worker, with the worker's capacity.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ReservedPeak {
-    /// The most that was set aside at once, part by part.
+    /// The peak of the reserved resources, for each resource separately.
     pub reserved: ResourceAmount,
-    /// What the worker can hold.
+    /// The worker's capacity.
     pub capacity: ResourceAmount,
 }
 
 #[derive(Debug, Default)]
 struct LedgerState {
     runs: Vec<RunRecord>,
+    /// The work done at each checkpoint, in seconds.
     checkpoints: IndexMap<CheckpointId, f64>,
     peaks: IndexMap<VmName, ReservedPeak>,
     over_capacity: u64,
 }
 
-/// What ran where and when, over all workers of a test. It stands outside the system, so that what
-/// the system says of itself can be checked against it.
+/// A record of every run on every worker of a test. It is independent of the system under test, so that tests can
+/// check the system's reports against it.
 #[derive(Default)]
 pub struct RunLedger {
     state: Mutex<LedgerState>,
-    workers: Mutex<Vec<Weak<dyn SettleRuns>>>,
+    workers: Mutex<Vec<Weak<dyn AdvanceRuns>>>,
 }
 
 impl fmt::Debug for RunLedger {
@@ -67,9 +68,9 @@
         Self::default()
     }
 
-    /// Returns all runs, in the order in which the ledger learned of them.
+    /// Returns all runs in the order in which their starts were recorded.
     pub fn runs(&self) -> Vec<RunRecord> {
-        self.settle();
+        self.advance_workers();
         self.lock().runs.clone()
     }
 
@@ -80,14 +81,14 @@
         runs
     }
 
-    /// Returns the runs in progress.
+    /// Returns the runs in progress at the current time.
     pub fn running(&self) -> Vec<RunRecord> {
         let mut runs = self.runs();
         runs.retain(|run| run.ended.is_none());
         runs
     }
 
-    /// Returns the runs that started in a failure domain after `from` and at `until` at the latest.
+    /// Returns the runs that started in a failure domain after `from` and no later than `until`.
     pub fn starts_in(
         &self,
         domain: &DomainName,
@@ -99,32 +100,32 @@
         runs
     }
 
-    /// Returns the most that was set aside on each worker.
+    /// Returns the peak of the reserved resources on each worker.
     pub fn peaks(&self) -> IndexMap<VmName, ReservedPeak> {
         self.lock().peaks.clone()
     }
 
     /// Returns the pairs of runs of one task that were in progress at the same time.
     pub fn overlaps(&self) -> Vec<(RunRecord, RunRecord)> {
-        overlaps(&self.runs())
+        overlapping_pairs(&self.runs())
     }
 
-    /// Returns the counts.
+    /// Returns the totals over all runs.
     pub fn summary(&self) -> LedgerSummary {
         let runs = self.runs();
         let ended = |end| {
             let ends = runs.iter().filter(|run| run_end(run) == Some(end));
-            count(ends.count())
+            to_u64(ends.count())
         };
         LedgerSummary {
-            starts: count(runs.len()),
+            starts: to_u64(runs.len()),
             finishes: ended(RunEnd::Finished),
             failures: ended(RunEnd::Failed),
             evictions: ended(RunEnd::Checkpointed),
-            resumes: count(runs.iter().filter(|run| run.resumed.is_some()).count()),
+            resumes: to_u64(runs.iter().filter(|run| run.resumed.is_some()).count()),
             lapses: ended(RunEnd::Lapsed),
             vanished: ended(RunEnd::Vanished),
-            overlaps: count(overlaps(&runs).len()),
+            overlaps: to_u64(overlapping_pairs(&runs).len()),
             repeated_finishes: count_pairs(&runs, |first, second| {
                 run_end(first) == Some(RunEnd::Finished)
                     && run_end(second) == Some(RunEnd::Finished)
@@ -135,33 +136,39 @@
         }
     }
 
-    pub(crate) fn attach(&self, worker: Weak<dyn SettleRuns>) {
+    pub(crate) fn add_worker(&self, worker: Weak<dyn AdvanceRuns>) {
         self.lock_workers().push(worker);
     }
 
-    pub(crate) fn start(&self, run: RunRecord) -> usize {
+    pub(crate) fn record_start(&self, run: RunRecord) -> usize {
         let mut state = self.lock();
         state.runs.push(run);
         state.runs.len() - 1
     }
 
-    pub(crate) fn end(&self, run: usize, now: Duration, end: RunEnd, kept: Option<CheckpointId>) {
+    pub(crate) fn record_end(
+        &self,
+        run: usize,
+        now: Duration,
+        end: RunEnd,
+        kept: Option<CheckpointId>,
+    ) {
         if let Some(run) = self.lock().runs.get_mut(run) {
             run.ended = Some((now, end));
             run.kept = kept;
         }
     }
 
-    pub(crate) fn keep(&self, checkpoint: CheckpointId, done_seconds: f64) {
+    pub(crate) fn save_checkpoint(&self, checkpoint: CheckpointId, done_seconds: f64) {
         self.lock().checkpoints.insert(checkpoint, done_seconds);
     }
 
-    pub(crate) fn resume(&self, checkpoint: &CheckpointId) -> f64 {
+    pub(crate) fn checkpoint_work_seconds(&self, checkpoint: &CheckpointId) -> f64 {
         let state = self.lock();
         state.checkpoints.get(checkpoint).copied().unwrap_or(0.0)
     }
 
-    pub(crate) fn note_reserved(
+    pub(crate) fn record_reserved(
         &self,
         worker: &VmName,
         reserved: ResourceAmount,
@@ -173,15 +180,16 @@
         peak.capacity = capacity;
     }
 
-    pub(crate) fn note_over_capacity(&self) {
+    pub(crate) fn count_over_capacity(&self) {
         self.lock().over_capacity += 1;
     }
 
-    /// Brings all workers up to the present: a run that ended unheard must not count as in progress.
-    fn settle(&self) {
+    /// Brings the runs of all workers up to the current time, so that a run that has ended without a report does not
+    /// count as in progress.
+    fn advance_workers(&self) {
         let workers = self.lock_workers().clone();
         for worker in workers.iter().filter_map(Weak::upgrade) {
-            worker.settle();
+            worker.advance_runs();
         }
     }
 
@@ -189,7 +197,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn lock_workers(&self) -> MutexGuard<'_, Vec<Weak<dyn SettleRuns>>> {
+    fn lock_workers(&self) -> MutexGuard<'_, Vec<Weak<dyn AdvanceRuns>>> {
         self.workers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -198,6 +206,8 @@
     run.ended.map(|(_, end)| end)
 }
 
+/// Returns whether `second` resumed from the checkpoint of `first` although `first` had finished or left a newer
+/// checkpoint.
 fn repeats_resume(first: &RunRecord, second: &RunRecord) -> bool {
     let got_further = first.kept.is_some() || run_end(first) == Some(RunEnd::Finished);
     first.resumed.is_some() && first.resumed == second.resumed && got_further
@@ -207,7 +217,7 @@
     matches!(first.ended, Some((ended, RunEnd::Finished)) if ended <= second.started)
 }
 
-fn overlaps(runs: &[RunRecord]) -> Vec<(RunRecord, RunRecord)> {
+fn overlapping_pairs(runs: &[RunRecord]) -> Vec<(RunRecord, RunRecord)> {
     let mut found = Vec::new();
     visit_pairs(runs, |first, second| {
         if first.overlaps(second) {
@@ -228,7 +238,7 @@
     found
 }
 
-/// Visits each pair of runs of one task, the earlier start first.
+/// Calls `visit` for each pair of runs of one task, with the run that started earlier as the first argument.
 fn visit_pairs<Visit>(runs: &[RunRecord], mut visit: Visit)
 where
     Visit: FnMut(&RunRecord, &RunRecord),
@@ -240,13 +250,13 @@
     }
     for runs in tasks.values_mut() {
         runs.sort_by_key(|run| run.started);
-        for (place, second) in runs.iter().enumerate() {
-            runs[..place].iter().for_each(|first| visit(first, second));
+        for (index, second) in runs.iter().enumerate() {
+            runs[..index].iter().for_each(|first| visit(first, second));
         }
     }
 }
 
-fn count(number: usize) -> u64 {
+fn to_u64(number: usize) -> u64 {
     // CAST: `usize` has at most 64 bits on the machines that Rust's standard library supports.
     number as u64
 }
--- a/crates/standins/src/run_record.rs
+++ b/crates/standins/src/run_record.rs
@@ -1,4 +1,4 @@
-//! A run as the ledger keeps it.
+//! The ledger's record of one run.
 
 use std::time::Duration;
 
@@ -16,50 +16,50 @@
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunEnd {
-    /// It finished.
+    /// The task finished.
     Finished,
-    /// It failed of itself.
+    /// The task ended with a failure code.
     Failed,
-    /// It was stopped, and its state kept.
+    /// The owner ended it with a checkpoint order.
     Checkpointed,
-    /// It was stopped.
+    /// The owner stopped it.
     Stopped,
-    /// Its worker's lease lapsed.
+    /// The worker's lease lapsed.
     Lapsed,
-    /// Its worker restarted or failed.
+    /// The worker restarted or failed.
     Vanished,
 }
 
-/// A run as the ledger keeps it.
+/// The ledger's record of one run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunRecord {
-    /// The run.
+    /// The identity of the run: its job, task index and attempt number.
     pub attempt: TaskAttempt,
-    /// Its class.
+    /// The class of its job.
     pub class: ClassName,
-    /// Whether it serves requests or is batch work.
+    /// Whether the class is a service or batch work.
     pub kind: ClassKind,
-    /// The worker's VM.
+    /// The name of the worker's VM.
     pub worker: VmName,
     /// The worker's failure domain.
     pub domain: DomainName,
     /// When it started, on the workers' clock.
     pub started: Duration,
-    /// The checkpoint that it resumed from.
+    /// The checkpoint that it resumed from; `None` if it started from the beginning.
     pub resumed: Option<CheckpointId>,
     /// When and how it ended; `None` while it runs.
     pub ended: Option<(Duration, RunEnd)>,
-    /// The checkpoint that was kept at its end.
+    /// The checkpoint that the worker returned at the run's end, also if the state was lost.
     pub kept: Option<CheckpointId>,
 }
 
 impl RunRecord {
-    /// Tells whether both runs are of one task.
+    /// Returns whether both runs belong to the same task.
     pub fn same_task(&self, other: &Self) -> bool {
         (self.attempt.job, self.attempt.index) == (other.attempt.job, other.attempt.index)
     }
 
-    /// Tells whether both were in progress at some moment.
+    /// Returns whether both runs were in progress at the same time.
     pub fn overlaps(&self, other: &Self) -> bool {
         let ends_after = |run: &Self, moment| run.ended.is_none_or(|(ended, _)| ended > moment);
         ends_after(self, other.started) && ends_after(other, self.started)
--- a/crates/standins/src/run_set.rs
+++ b/crates/standins/src/run_set.rs
@@ -1,4 +1,4 @@
-//! The runs in progress on a stand-in worker, and how fast they go.
+//! The runs in progress on a stand-in worker, with their progress.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::{
     WorkerKnobs,
-    usage_lag::UsageLag,
+    usage_queue::UsageQueue,
     worker_run::WorkerRun, //
 };
 
-/// The runs in progress on a stand-in worker, and how fast they go.
+/// The runs in progress on a stand-in worker, with their progress. Interference between them sets their speed.
 #[derive(Debug, Default)]
 pub(crate) struct RunSet {
     runs: IndexMap<TaskAttempt, WorkerRun>,
-    /// The moment that the runs' progress was counted up to.
-    settled: Duration,
+    /// The time up to which the runs' progress is computed.
+    advanced_to: Duration,
 }
 
 impl RunSet {
@@ -33,7 +33,7 @@
         self.runs.contains_key(&attempt)
     }
 
-    /// Tells whether some run of this run's task is in progress.
+    /// Returns whether any run of this run's task is in progress.
     pub(crate) fn has_task(&self, attempt: TaskAttempt) -> bool {
         let task = (attempt.job, attempt.index);
         self.runs()
@@ -66,31 +66,31 @@
             .fold(ResourceAmount::default(), |sum, part| sum + part)
     }
 
-    /// Returns the run that ends next by itself, and when.
-    pub(crate) fn next_end(&self, knobs: &WorkerKnobs) -> Option<(Duration, TaskAttempt)> {
-        let ends = self.runs().filter_map(|run| {
-            let at = run.ends_at(self.settled, self.slowdown(run, knobs))?;
+    /// Returns the time and the run of the next completion.
+    pub(crate) fn next_completion(&self, knobs: &WorkerKnobs) -> Option<(Duration, TaskAttempt)> {
+        let completions = self.runs().filter_map(|run| {
+            let at = run.completes_at(self.advanced_to, self.slowdown(run, knobs))?;
             Some((at, run.attempt))
         });
-        ends.min_by_key(|(at, _)| *at)
+        completions.min_by_key(|(at, _)| *at)
     }
 
-    /// Counts the runs' progress up to `now`, at the speeds that they have gone at since.
+    /// Advances the runs' progress to `now`, at their current speeds.
     pub(crate) fn advance(&mut self, now: Duration, knobs: &WorkerKnobs) {
-        let step = now.saturating_sub(self.settled);
+        let step = now.saturating_sub(self.advanced_to);
         let slowdowns = self.slowdowns(knobs);
         for (run, slowdown) in self.runs.values_mut().zip(slowdowns) {
             run.advance(step, slowdown);
         }
-        self.settled = self.settled.max(now);
+        self.advanced_to = self.advanced_to.max(now);
     }
 
-    /// Measures the runs whose turn it is.
-    pub(crate) fn measure(&mut self, now: Duration, knobs: &WorkerKnobs, usage: &mut UsageLag) {
+    /// Measures the resource usage of each run whose last measurement is at least `usage_period` old.
+    pub(crate) fn measure(&mut self, now: Duration, knobs: &WorkerKnobs, usage: &mut UsageQueue) {
         let slowdowns = self.slowdowns(knobs);
         for (run, slowdown) in self.runs.values_mut().zip(slowdowns) {
-            if now.saturating_sub(run.measured) >= knobs.usage_period {
-                run.measured = now;
+            if now.saturating_sub(run.measured_at) >= knobs.usage_period {
+                run.measured_at = now;
                 usage.measure(now, run, slowdown, knobs.usage_lag);
             }
         }
@@ -100,16 +100,16 @@
         self.runs().map(|run| self.slowdown(run, knobs)).collect()
     }
 
-    /// Returns how many times as long as alone a run takes now.
+    /// Returns the factor by which interference lengthens a run now; 1 is no interference.
     fn slowdown(&self, run: &WorkerRun, knobs: &WorkerKnobs) -> f64 {
         let load = f64::from(knobs.load_millis) / 1000.0;
         let neighbours = self.runs().filter(|other| other.attempt != run.attempt);
-        let added: f64 = neighbours
+        let added_share: f64 = neighbours
             .map(|other| {
                 let model = &knobs.interference;
-                model.added(&run.class, &other.class, other.speed_millis)
+                model.added_share(&run.class, &other.class, other.speed_millis)
             })
             .sum();
-        1.0 + added * load
+        1.0 + added_share * load
     }
 }
--- a/crates/standins/src/server_guard.rs
+++ b/crates/standins/src/server_guard.rs
@@ -1,31 +1,32 @@
-//! A running server of a stand-in.
+//! The handle of a stand-in's running server.
 
 use tokio::sync::watch;
 
-use crate::tap_set::TapSet;
+use crate::stream_controls::StreamControls;
 
-/// A running server of a stand-in. Dropping it closes the listener and every connection.
+/// The handle of a stand-in's running server. Dropping it closes the listener and every connection.
 #[derive(Debug)]
 pub struct ServerGuard {
+    /// Closes the channel that the server's tasks watch when it is dropped.
     _closing: watch::Sender<()>,
-    taps: TapSet,
+    controls: StreamControls,
 }
 
 impl ServerGuard {
-    pub(crate) fn new(taps: TapSet) -> (Self, watch::Receiver<()>) {
+    pub(crate) fn new(controls: StreamControls) -> (Self, watch::Receiver<()>) {
         let (closing, closed) = watch::channel(());
         let guard = Self {
             _closing: closing,
-            taps,
+            controls,
         };
         (guard, closed)
     }
 
-    /// Lets every open connection go silent for good, as when something between the two ends loses
-    /// track of them; new ones work.
+    /// Makes every open connection silent for the rest of its life, as a NAT or firewall does that loses its
+    /// connection state. New connections work.
     pub fn silence_connections(&self) {
-        for tap in self.taps.taps() {
-            tap.silence();
+        for control in self.controls.all() {
+            control.silence();
         }
     }
 }
--- a/crates/standins/src/service_time.rs
+++ b/crates/standins/src/service_time.rs
@@ -1,4 +1,4 @@
-//! How long an endpoint works on a request.
+//! The distribution of an endpoint's service times.
 
 use std::time::Duration;
 
@@ -7,24 +7,24 @@
     rngs::SmallRng, //
 };
 
-/// How long an endpoint works on a request, at its normal speed.
+/// The distribution of an endpoint's service times, at normal speed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ServiceTime {
-    /// Always so long.
+    /// Every request takes this time.
     Fixed(Duration),
-    /// Anything between both, each as likely as the other.
+    /// Uniformly distributed between the minimum and the maximum.
     Uniform(Duration, Duration),
     /// Exponentially distributed with this mean.
     Exponential(Duration),
 }
 
 impl ServiceTime {
-    pub(crate) fn draw(self, source: &mut SmallRng) -> Duration {
+    pub(crate) fn draw(self, rng: &mut SmallRng) -> Duration {
         match self {
             Self::Fixed(time) => time,
-            Self::Uniform(least, most) => source.random_range(least..=most.max(least)),
+            Self::Uniform(least, most) => rng.random_range(least..=most.max(least)),
             Self::Exponential(mean) => {
-                let share: f64 = source.random();
+                let share: f64 = rng.random();
                 mean.mul_f64(-(1.0 - share).ln())
             }
         }
--- a/crates/standins/src/step_worker.rs
+++ b/crates/standins/src/step_worker.rs
@@ -1,4 +1,4 @@
-//! A worker that runs the tasks of steps, as the users' platform has them.
+//! A simulated worker of the fleet's step-and-task model, driven by explicit times.
 
 use std::{
     sync::Arc,
@@ -24,62 +24,72 @@
     TaskKey, //
 };
 
-/// The time that a stop takes.
-const STOP: Duration = Duration::from_millis(40);
-/// The longest lease that it grants, on its clock.
-const LONGEST_LEASE: Duration = Duration::from_secs(6);
-/// The most ends that are told at a time.
-const ENDS_AT_A_TIME: usize = 500;
+/// The time that a run takes to end after a stop order.
+const STOP_DURATION: Duration = Duration::from_millis(40);
+/// The longest lease that the worker accepts, on its own clock.
+const MAX_LEASE: Duration = Duration::from_secs(6);
+/// The maximum number of completions in one renewal report.
+const MAX_COMPLETIONS_PER_REPORT: usize = 500;
 
-/// What a task does on a worker.
+/// How long a simulated task runs, whether it fails, and which resources it uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskWork {
-    /// How long it runs; [`Duration::MAX`] for a task that lasts, and is at work from its start.
+    /// The run time; [`Duration::MAX`] for a long-running task, which reports 100 percent progress from its start.
     pub lasts: Duration,
-    /// Whether it fails at its end.
+    /// Whether the task fails when its run time is over.
     pub fails: bool,
-    /// What it takes of the worker.
+    /// The resources that the task uses on the worker.
     pub size: ResourceAmount,
 }
 
-/// What a worker did, seen from outside.
+/// An event on a worker, recorded for the checks of a test.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WorkerDeed {
-    /// A run began.
+    /// A run started.
     Began(TaskKey, RunNumber),
     /// A run ended.
     Ended(TaskKey, RunNumber, RunResult),
-    /// An end was acknowledged.
+    /// The completion of a run was acknowledged by the owner.
     Noted(TaskKey, RunResult),
 }
 
 #[derive(Clone, Debug)]
 struct StepRun {
     work: TaskWork,
-    began: Duration,
-    stops: Option<Duration>,
+    started: Duration,
+    /// When the run ends because of a stop order; `None` without one.
+    stops_at: Option<Duration>,
 }
 
-/// A worker that runs the tasks of steps. It keeps a lease by its own clock, follows the highest token,
-/// tells ends until they are acknowledged, and never runs what was stopped before it came.
+/// A simulated worker of the fleet's step-and-task model. It measures its lease on its own clock, rejects orders whose
+/// fencing token is lower than the highest it has seen, reports each completion until it is acknowledged, and never
+/// starts a run that was stopped before its start order arrived.
 #[derive(Debug)]
 pub struct StepWorker {
     record: FleetWorker,
-    /// How fast its clock goes, in hundredths.
-    rate: u32,
-    booted: Duration,
+    /// The rate of the worker's clock, in hundredths of the true rate.
+    clock_rate_percent: u32,
+    /// The true time at which the worker's clock was zero.
+    booted_at: Duration,
+    /// The highest fencing token seen.
     token: u64,
-    lease: Duration,
+    /// When the lease lapses, on the worker's clock.
+    lease_end: Duration,
     runs: IndexMap<(TaskKey, RunNumber), StepRun>,
-    highest: IndexMap<TaskKey, RunNumber>,
-    ended: Vec<EndedRun>,
-    ends: u64,
-    deeds: Vec<(Duration, WorkerDeed)>,
+    /// For each task, the highest run that ended or was stopped here.
+    highest_runs: IndexMap<TaskKey, RunNumber>,
+    /// The completions that are not acknowledged yet.
+    completions: Vec<EndedRun>,
+    /// The number of the latest completion.
+    completion_count: u64,
+    /// All events with the true time of each.
+    events: Vec<(Duration, WorkerDeed)>,
 }
 
 impl StepWorker {
-    /// Creates a worker that boots at `now` and whose clock goes at `rate` hundredths.
-    pub fn new(id: &str, capacity: ResourceAmount, rate: u32, now: Duration) -> Self {
+    /// Creates a worker that boots at `now`, with a clock that runs at `clock_rate_percent` hundredths of the true
+    /// rate.
+    pub fn new(id: &str, capacity: ResourceAmount, clock_rate_percent: u32, now: Duration) -> Self {
         Self {
             record: FleetWorker {
                 id: id.into(),
@@ -92,61 +102,62 @@
                 draining: false,
                 incarnation: Some(now),
             },
-            rate,
-            booted: now,
+            clock_rate_percent,
+            booted_at: now,
             token: 0,
-            lease: Duration::ZERO,
+            lease_end: Duration::ZERO,
             runs: IndexMap::new(),
-            highest: IndexMap::new(),
-            ended: Vec::new(),
-            ends: 0,
-            deeds: Vec::new(),
+            highest_runs: IndexMap::new(),
+            completions: Vec::new(),
+            completion_count: 0,
+            events: Vec::new(),
         }
     }
 
-    /// Returns what it says of itself.
+    /// Returns the record that the worker reports about itself.
     pub fn record(&self) -> &FleetWorker {
         &self.record
     }
 
-    /// Returns what it says of itself, to be changed.
+    /// Returns the record that the worker reports about itself, for changes by a test.
     pub fn record_mut(&mut self) -> &mut FleetWorker {
         &mut self.record
     }
 
-    /// Returns what it did, with the true time of each deed.
+    /// Returns all events in the order of their recording, with the true time of each.
     pub fn deeds(&self) -> &[(Duration, WorkerDeed)] {
-        &self.deeds
+        &self.events
     }
 
-    /// Returns how many runs are there.
+    /// Returns the number of runs in progress.
     pub fn run_count(&self) -> usize {
         self.runs.len()
     }
 
-    /// Returns the processors and memory that its runs take.
+    /// Returns the sum of the resources that the runs in progress use.
     pub fn used(&self) -> ResourceAmount {
         self.runs
             .values()
             .fold(ResourceAmount::default(), |sum, run| sum + run.work.size)
     }
 
-    /// Begins a new life under the same identity at `now`: all it knew is gone.
+    /// Restarts the worker under the same identity at `now`: its runs end as lapsed and its state is lost. The recorded
+    /// events stay.
     pub fn reboot(&mut self, now: Duration) {
         for (task, run) in self.runs.keys().copied().collect::<Vec<_>>() {
-            self.deeds
+            self.events
                 .push((now, WorkerDeed::Ended(task, run, RunResult::Lapsed)));
         }
-        let mut fresh = Self::new("", self.record.capacity, self.rate, now);
+        let mut fresh = Self::new("", self.record.capacity, self.clock_rate_percent, now);
         fresh.record = FleetWorker {
             incarnation: Some(now),
             ..self.record.clone()
         };
-        fresh.deeds = std::mem::take(&mut self.deeds);
+        fresh.events = std::mem::take(&mut self.events);
         *self = fresh;
     }
 
-    /// Starts a run.
+    /// Starts a run, or returns the refusal of the order. Starting a run that is in progress has no effect.
     pub fn start(
         &mut self,
         now: Duration,
@@ -163,25 +174,25 @@
         if self.runs.contains_key(&key) {
             return OrderOutcome::Taken;
         }
-        if self.clock(now) > deadline {
+        if self.local_time(now) > deadline {
             return OrderOutcome::Refused(OrderRefusal::Late);
         }
-        self.extend(now, deadline);
-        if self.highest.get(&order.task) >= Some(&order.run) {
+        self.extend_lease(now, deadline);
+        if self.highest_runs.get(&order.task) >= Some(&order.run) {
             return OrderOutcome::Refused(OrderRefusal::Old);
         }
-        self.deeds
+        self.events
             .push((now, WorkerDeed::Began(order.task, order.run)));
         let run = StepRun {
             work,
-            began: now,
-            stops: None,
+            started: now,
+            stops_at: None,
         };
         self.runs.insert(key, run);
         OrderOutcome::Taken
     }
 
-    /// Stops a run.
+    /// Stops a run, or records that a run that never started here must not start any more.
     pub fn stop(
         &mut self,
         now: Duration,
@@ -194,17 +205,17 @@
             return refusal;
         }
         match self.runs.get_mut(&(task, run)) {
-            Some(state) => drop(state.stops.get_or_insert(now + STOP)),
-            None => self.note_highest(task, run),
+            Some(state) => drop(state.stops_at.get_or_insert(now + STOP_DURATION)),
+            None => self.record_highest_run(task, run),
         }
         OrderOutcome::Taken
     }
 
-    /// Renews the lease and tells what runs and has ended.
+    /// Renews the lease and returns the runs in progress and the unacknowledged completions.
     ///
     /// # Errors
     ///
-    /// The refusal of a token that is too low.
+    /// Returns the refusal of a fencing token that is lower than the highest seen.
     pub fn hold(
         &mut self,
         now: Duration,
@@ -216,69 +227,74 @@
             return Err(refusal);
         }
         if let Some(deadline) = order.deadline {
-            self.extend(now, deadline);
+            self.extend_lease(now, deadline);
         }
-        let noted = self
-            .ended
+        let acknowledged = self
+            .completions
             .extract_if(.., |end| end.number <= order.acknowledged);
-        let noted = noted.map(|end| (now, WorkerDeed::Noted(end.task, end.result)));
-        self.deeds.extend(noted);
+        let acknowledged = acknowledged.map(|end| (now, WorkerDeed::Noted(end.task, end.result)));
+        self.events.extend(acknowledged);
         let running = self.runs.iter().map(|(&(task, run), state)| RunningTask {
             task,
             run,
             checkpoint: None,
-            progress_percent: percent(state, now),
+            progress_percent: progress_percent(state, now),
             metric: None,
         });
         Ok(RenewalReport {
-            clock: self.clock(now),
+            clock: self.local_time(now),
             incarnation: self.record.incarnation,
             running: running.collect(),
-            completions: self.ended.iter().take(ENDS_AT_A_TIME).cloned().collect(),
+            completions: self
+                .completions
+                .iter()
+                .take(MAX_COMPLETIONS_PER_REPORT)
+                .cloned()
+                .collect(),
         })
     }
 
-    /// Brings its runs up to `now`.
+    /// Ends the runs that finish, are stopped or lose their lease up to `now`.
     pub fn settle(&mut self, now: Duration) {
-        let lapse = self.true_time(self.lease);
-        let mut over: Vec<(Duration, (TaskKey, RunNumber), RunResult)> = Vec::new();
+        let lapse = self.true_time(self.lease_end);
+        let mut ended: Vec<(Duration, (TaskKey, RunNumber), RunResult)> = Vec::new();
         for (&key, run) in &self.runs {
-            let natural = run.began.saturating_add(run.work.lasts);
-            let how = if run.work.fails {
+            let finishes_at = run.started.saturating_add(run.work.lasts);
+            let result = if run.work.fails {
                 RunResult::Failed
             } else {
                 RunResult::Done
             };
             let ends = [
-                (natural, how),
-                (run.stops.unwrap_or(Duration::MAX), RunResult::Stopped),
+                (finishes_at, result),
+                (run.stops_at.unwrap_or(Duration::MAX), RunResult::Stopped),
                 (lapse, RunResult::Lapsed),
             ];
             let first = ends.into_iter().min_by_key(|(at, _)| *at);
-            if let Some((at, how)) = first
+            if let Some((at, result)) = first
                 && at <= now
             {
-                over.push((at, key, how));
+                ended.push((at, key, result));
             }
         }
-        over.sort_by_key(|(at, ..)| *at);
-        for (at, (task, run), how) in over {
-            self.end(at, task, run, how);
+        ended.sort_by_key(|(at, ..)| *at);
+        for (at, (task, run), result) in ended {
+            self.end(at, task, run, result);
         }
     }
 
     fn end(&mut self, at: Duration, task: TaskKey, run: RunNumber, result: RunResult) {
         self.runs.swap_remove(&(task, run));
-        self.note_highest(task, run);
-        self.ends += 1;
-        self.ended.push(EndedRun {
-            number: self.ends,
+        self.record_highest_run(task, run);
+        self.completion_count += 1;
+        self.completions.push(EndedRun {
+            number: self.completion_count,
             task,
             run,
             result,
             checkpoint: None::<Arc<str>>,
         });
-        self.deeds.push((at, WorkerDeed::Ended(task, run, result)));
+        self.events.push((at, WorkerDeed::Ended(task, run, result)));
     }
 
     fn refuse_token(&mut self, token: u64) -> Option<OrderOutcome> {
@@ -289,31 +305,31 @@
         None
     }
 
-    fn note_highest(&mut self, task: TaskKey, run: RunNumber) {
-        let highest = self.highest.entry(task).or_insert(run);
-        *highest = (*highest).max(run);
+    fn record_highest_run(&mut self, task: TaskKey, run: RunNumber) {
+        let highest_run = self.highest_runs.entry(task).or_insert(run);
+        *highest_run = (*highest_run).max(run);
     }
 
-    fn extend(&mut self, now: Duration, deadline: Duration) {
-        let longest = self.clock(now) + LONGEST_LEASE;
-        self.lease = self.lease.max(deadline.min(longest));
+    fn extend_lease(&mut self, now: Duration, deadline: Duration) {
+        let longest = self.local_time(now) + MAX_LEASE;
+        self.lease_end = self.lease_end.max(deadline.min(longest));
     }
 
-    fn clock(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.booted) * self.rate / 100
+    fn local_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.booted_at) * self.clock_rate_percent / 100
     }
 
-    fn true_time(&self, clock: Duration) -> Duration {
-        self.booted + clock * 100 / self.rate
+    fn true_time(&self, local_time: Duration) -> Duration {
+        self.booted_at + local_time * 100 / self.clock_rate_percent
     }
 }
 
-fn percent(run: &StepRun, now: Duration) -> u32 {
+fn progress_percent(run: &StepRun, now: Duration) -> u32 {
     if run.work.lasts == Duration::MAX {
         return 100;
     }
     let share =
-        now.saturating_sub(run.began).as_secs_f64() / run.work.lasts.as_secs_f64().max(0.001);
-    // CAST: It saturates.
+        now.saturating_sub(run.started).as_secs_f64() / run.work.lasts.as_secs_f64().max(0.001);
+    // CAST: the conversion of a float to an integer saturates.
     (share * 100.0).min(100.0) as u32
 }
--- a/crates/standins/src/table_core.rs
+++ b/crates/standins/src/table_rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the stand-in table service.
+//! The rows of the stand-in table service, with their versions.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,15 @@
     WriteId, //
 };
 
-/// The rows of the stand-in table service.
+/// The rows of the stand-in table service, with their versions.
 #[derive(Debug, Default)]
-pub(crate) struct TableCore {
+pub(crate) struct TableRows {
     rows: BTreeMap<RowKey, TableRow>,
+    /// The version of the latest commit.
     version: u64,
 }
 
-impl TableCore {
+impl TableRows {
     pub(crate) fn read(&self, key: &RowKey) -> Option<TableRow> {
         self.rows.get(key).cloned()
     }
@@ -41,7 +42,10 @@
     }
 
     pub(crate) fn commit(&mut self, write: WriteId, changes: &[RowChange]) -> CommitOutcome {
-        if let Some(change) = changes.iter().find(|change| !self.holds(change)) {
+        if let Some(change) = changes
+            .iter()
+            .find(|change| !self.meets_expectation(change))
+        {
             return CommitOutcome::Conflict {
                 key: change.key.clone(),
                 found: self.read(&change.key),
@@ -55,7 +59,8 @@
         CommitOutcome::Committed(version)
     }
 
-    fn holds(&self, change: &RowChange) -> bool {
+    /// Returns whether the row's present version meets the expectation of a change.
+    fn meets_expectation(&self, change: &RowChange) -> bool {
         let found = self.rows.get(&change.key).map(|row| row.version);
         match change.expected {
             RowExpectation::Absent => found.is_none(),
--- a/crates/standins/src/table_stand_in.rs
+++ b/crates/standins/src/table_stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's table service.
+//! A stand-in for the platform's table service.
 
 use std::{
     io,
@@ -43,20 +43,20 @@
         self,
         CallHandler, //
     },
-    table_core::TableCore,
-    wire_answer::{
-        WireResult,
-        fault,
-        json,
-        refuse, //
+    table_rows::TableRows,
+    wire_response::{
+        ResponseResult,
+        fault_response,
+        json_response,
+        refused_response, //
     }, //
 };
 
-/// The stand-in of the platform's table service. Copies share their rows, so that one can be used
-/// in memory while another is served over HTTP.
+/// A stand-in for the platform's table service. Copies share their rows, so that one can be used in memory while
+/// another is served over HTTP.
 #[derive(Clone)]
 pub struct TableStandIn {
-    core: Arc<Mutex<TableCore>>,
+    table: Arc<Mutex<TableRows>>,
     faults: FaultPlan,
     clock: Arc<dyn ClockSource>,
     token: Option<AccessToken>,
@@ -72,37 +72,37 @@
     /// Creates an empty table.
     pub fn new() -> Self {
         Self {
-            core: Arc::default(),
+            table: Arc::default(),
             faults: FaultPlan::default(),
             clock: Arc::new(SystemClock::new()),
             token: None,
         }
     }
 
-    /// Sets the faults.
+    /// Sets the fault plan.
     pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets the clock that the write limit is counted on.
+    /// Sets the clock that measures the write limit's seconds.
     pub fn with_clock(mut self, clock: Arc<dyn ClockSource>) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Sets the token that callers over HTTP must show.
+    /// Sets the access token that HTTP callers must send.
     pub fn with_token(mut self, token: AccessToken) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// Returns the faults and the counts.
+    /// Returns the fault plan, which also holds the call counts.
     pub fn faults(&self) -> &FaultPlan {
         &self.faults
     }
 
-    /// Returns all rows whose key starts with `prefix`, past every fault.
+    /// Returns all rows whose key starts with `prefix`, without fault injection.
     pub fn rows<Prefix>(&self, prefix: Prefix) -> Vec<TableRow>
     where
         Prefix: Into<RowKey>,
@@ -110,7 +110,7 @@
         self.lock().scan(&prefix.into(), None, usize::MAX)
     }
 
-    /// Commits past every fault.
+    /// Commits changes without fault injection.
     pub fn commit_surely(&self, write: WriteId, changes: &[RowChange]) -> CommitOutcome {
         self.lock().commit(write, changes)
     }
@@ -119,29 +119,33 @@
     ///
     /// # Errors
     ///
-    /// The error of the socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start(&self) -> Result<(SocketAddr, ServerGuard), io::Error> {
         http_server::start(Arc::new(self.clone())).await
     }
 
-    /// Serves the table until the guard is dropped.
+    /// Serves the table on `listener` until the returned guard is dropped.
     pub fn serve(&self, listener: TcpListener) -> ServerGuard {
         http_server::serve(listener, Arc::new(self.clone()))
     }
 
-    async fn run<Answer, Effect>(&self, call: CallKind, effect: Effect) -> Result<Answer, FaultKind>
+    async fn run_with_faults<Answer, Effect>(
+        &self,
+        call: CallKind,
+        effect: Effect,
+    ) -> Result<Answer, FaultKind>
     where
         Answer: Send + 'static,
-        Effect: Fn(&mut TableCore) -> Answer + Send + 'static,
+        Effect: Fn(&mut TableRows) -> Answer + Send + 'static,
     {
-        let core = Arc::clone(&self.core);
-        let effect = move || effect(&mut core.lock().unwrap_or_else(PoisonError::into_inner));
+        let table = Arc::clone(&self.table);
+        let effect = move || effect(&mut table.lock().unwrap_or_else(PoisonError::into_inner));
         self.faults.run(call, self.clock.monotonic(), effect).await
     }
 
     async fn run_read(&self, key: RowKey) -> Result<Option<TableRow>, FaultKind> {
         let row = self
-            .run(CallKind::Read, move |core| core.read(&key))
+            .run_with_faults(CallKind::Read, move |table| table.read(&key))
             .await?;
         self.count_rows(row.as_slice());
         Ok(row)
@@ -154,8 +158,8 @@
         limit: usize,
     ) -> Result<Vec<TableRow>, FaultKind> {
         let rows = self
-            .run(CallKind::Scan, move |core| {
-                core.scan(&prefix, after.as_ref(), limit)
+            .run_with_faults(CallKind::Scan, move |table| {
+                table.scan(&prefix, after.as_ref(), limit)
             })
             .await?;
         self.count_rows(&rows);
@@ -170,7 +174,7 @@
         let values = changes.iter().filter_map(|change| change.value.as_ref());
         self.faults
             .count_rows(changes.len(), values.map(Vec::len).sum());
-        self.run(CallKind::Commit, move |core| core.commit(write, &changes))
+        self.run_with_faults(CallKind::Commit, move |table| table.commit(write, &changes))
             .await
     }
 
@@ -179,8 +183,8 @@
         self.faults.count_rows(rows.len(), bytes);
     }
 
-    fn lock(&self) -> MutexGuard<'_, TableCore> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, TableRows> {
+        self.table.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -225,34 +229,34 @@
         self.token.as_ref()
     }
 
-    async fn answer(&self, head: Parts, body: Bytes, _caller: SocketAddr) -> WireResult {
+    async fn answer(&self, head: Parts, body: Bytes, _caller: SocketAddr) -> ResponseResult {
         if head.uri.path() != TableRequest::PATH {
-            return refuse(StatusCode::NOT_FOUND, "no such path");
+            return refused_response(StatusCode::NOT_FOUND, "no such path");
         }
         if head.method != Method::POST {
-            return refuse(StatusCode::METHOD_NOT_ALLOWED, "the path takes POST");
+            return refused_response(StatusCode::METHOD_NOT_ALLOWED, "the path takes POST");
         }
         match serde_json::from_slice(&body) {
-            Ok(TableRequest::Read { key }) => answer_json(self.run_read(key).await),
+            Ok(TableRequest::Read { key }) => result_response(self.run_read(key).await),
             Ok(TableRequest::Scan {
                 prefix,
                 after,
                 limit,
-            }) => answer_json(self.run_scan(prefix, after, limit).await),
+            }) => result_response(self.run_scan(prefix, after, limit).await),
             Ok(TableRequest::Commit { write, changes }) => {
-                answer_json(self.run_commit(write, changes).await)
+                result_response(self.run_commit(write, changes).await)
             }
-            Err(_) => refuse(StatusCode::BAD_REQUEST, "the body is no table request"),
+            Err(_) => refused_response(StatusCode::BAD_REQUEST, "the body is no table request"),
         }
     }
 }
 
-fn answer_json<Answer>(answer: Result<Answer, FaultKind>) -> WireResult
+fn result_response<Answer>(answer: Result<Answer, FaultKind>) -> ResponseResult
 where
     Answer: Serialize,
 {
     match answer {
-        Ok(answer) => json(StatusCode::OK, &answer),
-        Err(kind) => fault(kind),
+        Ok(answer) => json_response(StatusCode::OK, &answer),
+        Err(kind) => fault_response(kind),
     }
 }
--- a/crates/standins/src/task_payload.rs
+++ b/crates/standins/src/task_payload.rs
@@ -1,4 +1,4 @@
-//! What a stand-in worker runs.
+//! The payload of a task on a stand-in worker.
 
 use std::time::Duration;
 
@@ -11,19 +11,18 @@
 const DEFAULT_WORK: Duration = Duration::from_secs(1);
 const DEFAULT_LATENCY: Duration = Duration::from_millis(10);
 
-/// What a stand-in worker runs: the payload of a task's order, in JSON. A payload that is none runs
-/// for a second.
+/// The payload of a task on a stand-in worker, sent as JSON in the start order. A payload that can't be parsed counts
+/// as the default one, which runs for one second.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct TaskPayload {
-    /// How long a batch task runs, alone and unthrottled, in milliseconds.
+    /// How long a batch task runs without interference and throttling, in milliseconds.
     pub work_millis: u64,
-    /// The code that the task fails with at its end.
+    /// The failure code with which the task ends; `None` if it finishes.
     pub fails: Option<i32>,
-    /// What the task uses, if it isn't what was reserved.
+    /// The resources that the task reports as used; `None` if they equal the reserved ones.
     pub used: Option<ResourceAmount>,
-    /// For a service task: the time that 99 of 100 of its requests stay below when it is alone on
-    /// its VM, in milliseconds.
+    /// For a service task: the 99th percentile of its request latency without interference, in milliseconds.
     pub latency_millis: u64,
 }
 
@@ -34,7 +33,7 @@
 }
 
 impl TaskPayload {
-    /// Creates a payload that runs so long, alone and unthrottled.
+    /// Creates a payload of a task that runs for `work` without interference and throttling.
     pub fn new(work: Duration) -> Self {
         Self {
             work_millis: millis(work),
@@ -44,30 +43,30 @@
         }
     }
 
-    /// Lets the task fail at its end.
+    /// Makes the task end with this failure code.
     pub fn with_failure(mut self, code: i32) -> Self {
         self.fails = Some(code);
         self
     }
 
-    /// Sets what the task uses, whatever was reserved.
+    /// Sets the resources that the task reports as used, independently of the reserved ones.
     pub fn with_used(mut self, used: ResourceAmount) -> Self {
         self.used = Some(used);
         self
     }
 
-    /// Sets the latency that a service task shows when it is alone.
+    /// Sets the 99th percentile of a service task's latency without interference.
     pub fn with_latency(mut self, latency: Duration) -> Self {
         self.latency_millis = millis(latency);
         self
     }
 
-    /// Returns the payload as an order carries it.
+    /// Returns the payload as JSON.
     pub fn to_text(&self) -> String {
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads an order's payload.
+    /// Parses the payload of a start order. Returns the default payload if the text is invalid.
     pub fn from_text(text: &str) -> Self {
         serde_json::from_str(text).unwrap_or_default()
     }
--- a/crates/standins/src/vm_list_stand_in.rs
+++ b/crates/standins/src/vm_list_stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the platform's VM list.
+//! A stand-in for the platform's VM list.
 
 use std::{
     io,
@@ -43,27 +43,27 @@
     FaultKind,
     FaultPlan,
     ServerGuard,
-    fault_plan::run_under,
+    fault_plan::run_with_fault,
     http_server::{
         self,
         CallHandler, //
     },
-    vm_list_core::VmListCore,
-    wire_answer::{
-        CutConnection,
-        WireResult,
+    vm_list_history::VmListHistory,
+    wire_response::{
+        CloseConnection,
+        ResponseResult,
+        body_response,
         entity_tag,
-        fault,
-        refuse,
-        reply, //
+        fault_response,
+        refused_response, //
     }, //
 };
 
-/// The stand-in of the platform's VM list. Copies share the list, so that one can be used in memory
-/// while another is served over HTTP.
+/// A stand-in for the platform's VM list. Copies share the list, so that one can be used in memory while another is
+/// served over HTTP.
 #[derive(Clone)]
 pub struct VmListStandIn {
-    core: Arc<Mutex<VmListCore>>,
+    history: Arc<Mutex<VmListHistory>>,
     lag: Duration,
     faults: FaultPlan,
     clock: Arc<dyn ClockSource>,
@@ -71,10 +71,10 @@
 }
 
 impl VmListStandIn {
-    /// Creates a list that shows every change at once.
+    /// Creates a list that shows changes without a lag.
     pub fn new(vms: Vec<VmRecord>) -> Self {
         Self {
-            core: Arc::new(Mutex::new(VmListCore::new(vms))),
+            history: Arc::new(Mutex::new(VmListHistory::new(vms))),
             lag: Duration::ZERO,
             faults: FaultPlan::default(),
             clock: Arc::new(SystemClock::new()),
@@ -82,31 +82,31 @@
         }
     }
 
-    /// Sets how long a change takes to be seen.
+    /// Sets the time after which readers see a change.
     pub fn with_lag(mut self, lag: Duration) -> Self {
         self.lag = lag;
         self
     }
 
-    /// Sets the clock that the lag is counted on.
+    /// Sets the clock that measures the lag.
     pub fn with_clock(mut self, clock: Arc<dyn ClockSource>) -> Self {
         self.clock = clock;
         self
     }
 
-    /// Sets the faults.
+    /// Sets the fault plan.
     pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets the token that callers over HTTP must show.
+    /// Sets the access token that HTTP callers must send.
     pub fn with_token(mut self, token: AccessToken) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// Returns the faults and the counts.
+    /// Returns the fault plan, which also holds the call counts.
     pub fn faults(&self) -> &FaultPlan {
         &self.faults
     }
@@ -116,7 +116,7 @@
         self.change(|listed| *listed = vms);
     }
 
-    /// Adds a VM, in the place of one of the same name.
+    /// Adds a VM, or replaces the one with the same name.
     pub fn add(&self, record: VmRecord) {
         self.change(|vms| {
             vms.retain(|vm| vm.name != record.name);
@@ -132,7 +132,7 @@
         self.lock().leave(self.clock.monotonic(), &name.into());
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove<Name>(&self, name: Name)
     where
         Name: Into<VmName>,
@@ -145,21 +145,23 @@
     ///
     /// # Errors
     ///
-    /// The error of the socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start(&self) -> Result<(SocketAddr, ServerGuard), io::Error> {
         http_server::start(Arc::new(self.clone())).await
     }
 
-    /// Serves the list until the guard is dropped.
+    /// Serves the list on `listener` until the returned guard is dropped.
     pub fn serve(&self, listener: TcpListener) -> ServerGuard {
         http_server::serve(listener, Arc::new(self.clone()))
     }
 
     async fn run_read(&self) -> Result<VmSnapshot, FaultKind> {
-        let fault = self.faults.decide(CallKind::Read, self.clock.monotonic());
+        let fault = self
+            .faults
+            .next_fault(CallKind::Read, self.clock.monotonic());
         let stale = fault == Some(FaultKind::Stale);
         let list = self.clone();
-        let snapshot = run_under(fault, move || {
+        let snapshot = run_with_fault(fault, move || {
             let now = list.clock.monotonic();
             list.lock().read(now, list.lag, stale)
         })
@@ -168,14 +170,14 @@
         Ok(snapshot)
     }
 
-    fn answer_list(&self, head: &Parts, snapshot: &VmSnapshot) -> WireResult {
-        let body = Bytes::from(serde_json::to_vec(snapshot).map_err(|_| CutConnection)?);
+    fn list_response(&self, head: &Parts, snapshot: &VmSnapshot) -> ResponseResult {
+        let body = Bytes::from(serde_json::to_vec(snapshot).map_err(|_| CloseConnection)?);
         let tag = entity_tag(&body);
         let mut response = if head.headers.get(IF_NONE_MATCH) == Some(&tag) {
-            reply(StatusCode::NOT_MODIFIED, Bytes::new())?
+            body_response(StatusCode::NOT_MODIFIED, Bytes::new())?
         } else {
             self.faults.count_rows(0, body.len());
-            reply(StatusCode::OK, body)?
+            body_response(StatusCode::OK, body)?
         };
         response.headers_mut().insert(ETAG, tag);
         Ok(response)
@@ -188,8 +190,8 @@
         self.lock().change(self.clock.monotonic(), change);
     }
 
-    fn lock(&self) -> MutexGuard<'_, VmListCore> {
-        self.core.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, VmListHistory> {
+        self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -209,16 +211,16 @@
         self.token.as_ref()
     }
 
-    async fn answer(&self, head: Parts, _body: Bytes, _caller: SocketAddr) -> WireResult {
+    async fn answer(&self, head: Parts, _body: Bytes, _caller: SocketAddr) -> ResponseResult {
         if head.uri.path() != HttpVmList::PATH {
-            return refuse(StatusCode::NOT_FOUND, "no such path");
+            return refused_response(StatusCode::NOT_FOUND, "no such path");
         }
         if head.method != Method::GET {
-            return refuse(StatusCode::METHOD_NOT_ALLOWED, "the path takes GET");
+            return refused_response(StatusCode::METHOD_NOT_ALLOWED, "the path takes GET");
         }
         match self.run_read().await {
-            Ok(snapshot) => self.answer_list(&head, &snapshot),
-            Err(kind) => fault(kind),
+            Ok(snapshot) => self.list_response(&head, &snapshot),
+            Err(kind) => fault_response(kind),
         }
     }
 }
--- a/crates/standins/src/worker_fleet.rs
+++ b/crates/standins/src/worker_fleet.rs
@@ -1,4 +1,4 @@
-//! Many stand-in workers in one process.
+//! A fleet of stand-in workers in one process.
 
 use std::{
     io,
@@ -33,19 +33,19 @@
     WorkerStandIn, //
 };
 
-/// The port of the addresses that workers have while they are not served over HTTP.
-const MEMORY_PORT: u16 = 7000;
+/// The port in the address of a worker that is not served over HTTP. Nothing listens on it.
+const IN_MEMORY_PORT: u16 = 7000;
 
-/// The shape of a fleet.
+/// The size and layout of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetShape {
     /// The number of workers.
     pub workers: usize,
-    /// The failure domains, in which the racks lie in turn.
+    /// The failure domains, to which the racks are assigned round-robin.
     pub domains: Vec<DomainName>,
-    /// The workers of a rack.
+    /// The number of workers in each rack; 0 counts as 1.
     pub rack_size: usize,
-    /// What each worker can hold.
+    /// The capacity of each worker.
     pub capacity: ResourceAmount,
 }
 
@@ -55,8 +55,8 @@
     rack: String,
 }
 
-/// Many stand-in workers in one process, each at its own address. As a [`jasminebend_ports::WorkerPort`] it reaches
-/// them in memory, from one caller's address.
+/// A fleet of stand-in workers in one process, each at its own address. As a [`jasminebend_ports::WorkerPort`] it calls
+/// them in memory, with `caller` as the caller's address.
 #[derive(Clone)]
 pub struct WorkerFleet {
     caller: IpAddr,
@@ -64,27 +64,29 @@
 }
 
 impl WorkerFleet {
-    /// Creates the workers; they are reached in memory until they are served.
+    /// Creates the workers. They are called in memory until [`WorkerFleet::start_servers`] is called.
+    ///
+    /// `seed` seeds the random parts of the workers, differently for each worker.
     pub fn new(
         shape: &FleetShape,
         clock: &Arc<dyn ClockSource>,
         ledger: &Arc<RunLedger>,
         seed: u64,
     ) -> Self {
-        let workers = (0..shape.workers).map(|place| {
-            let rack = place / shape.rack_size.max(1);
+        let workers = (0..shape.workers).map(|index| {
+            let rack = index / shape.rack_size.max(1);
             let domain = &shape.domains[rack % shape.domains.len()];
             let stand_in = WorkerStandIn::new(
-                format!("worker-{place}"),
+                format!("worker-{index}"),
                 domain.clone(),
                 shape.capacity,
                 Arc::clone(clock),
                 Arc::clone(ledger),
                 // CAST: `usize` has at most 64 bits on the machines that Rust's library supports.
-                seed.wrapping_add((place as u64) << 16),
+                seed.wrapping_add((index as u64) << 16),
             );
             let rack = format!("rack-{rack}");
-            (memory_address(place), FleetWorker { stand_in, rack })
+            (in_memory_address(index), FleetWorker { stand_in, rack })
         });
         Self {
             caller: IpAddr::V4(Ipv4Addr::LOCALHOST),
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Returns the same fleet, as a caller at another address reaches it in memory.
+    /// Returns a copy that calls the same workers in memory from another caller's address.
     pub fn with_caller(&self, caller: IpAddr) -> Self {
         Self {
             caller,
@@ -100,11 +102,11 @@
         }
     }
 
-    /// Serves every worker over HTTP on an ephemeral port of its own, and gives it that address.
+    /// Serves every worker over HTTP on its own ephemeral port, and replaces the workers' addresses by those ports.
     ///
     /// # Errors
     ///
-    /// The error of a socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start_servers(&mut self) -> Result<Vec<ServerGuard>, io::Error> {
         let mut served = IndexMap::new();
         let mut guards = Vec::new();
@@ -129,22 +131,22 @@
         self.workers.get(&address).map(|worker| &worker.stand_in)
     }
 
-    /// Returns the workers as a VM list shows them.
+    /// Returns the records of the workers' VMs, for a VM list.
     pub fn records(&self) -> Vec<VmRecord> {
         self.workers
             .iter()
-            .map(|(address, worker)| record(*address, worker))
+            .map(|(address, worker)| vm_record(*address, worker))
             .collect()
     }
 }
 
-fn memory_address(place: usize) -> SocketAddr {
+fn in_memory_address(index: usize) -> SocketAddr {
     // CAST: each part is below 256.
-    let [high, low] = [(place / 250) as u8, (place % 250 + 1) as u8];
-    SocketAddr::from((Ipv4Addr::new(10, 0, high, low), MEMORY_PORT))
+    let [high, low] = [(index / 250) as u8, (index % 250 + 1) as u8];
+    SocketAddr::from((Ipv4Addr::new(10, 0, high, low), IN_MEMORY_PORT))
 }
 
-fn record(address: SocketAddr, worker: &FleetWorker) -> VmRecord {
+fn vm_record(address: SocketAddr, worker: &FleetWorker) -> VmRecord {
     VmRecord {
         name: worker.stand_in.name(),
         incarnation: 1,
@@ -167,9 +169,9 @@
         request: WorkerRequest,
     ) -> Result<WorkerAnswer, WorkerError> {
         let worker = self.worker(worker).ok_or(WorkerError::Unreachable)?;
-        if worker.blocks(self.caller) {
+        if worker.is_blocked(self.caller) {
             return Err(WorkerError::Unreachable);
         }
-        worker.order(request).await
+        worker.handle_call(request).await
     }
 }
--- a/crates/standins/src/worker_knobs.rs
+++ b/crates/standins/src/worker_knobs.rs
@@ -1,35 +1,35 @@
-//! How a stand-in worker misbehaves.
+//! The settings of a stand-in worker.
 
 use std::time::Duration;
 
 use crate::InterferenceModel;
 
-/// What becomes of a checkpoint.
+/// What happens to the checkpoints on a stand-in worker.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CheckpointMode {
-    /// It is kept.
+    /// They are saved.
     #[default]
     Kept,
-    /// It can't be kept, and the worker says so.
+    /// They can't be saved, and the worker reports an error.
     Fails,
-    /// The worker says that it is kept, but a run that resumes from it starts from the beginning.
+    /// The worker reports them as saved, but a run that resumes from one starts from the beginning.
     Lost,
 }
 
-/// How a stand-in worker behaves, beyond the faults of its calls.
+/// The settings of a stand-in worker. The faults of its calls are set by a [`FaultPlan`](crate::FaultPlan).
 #[derive(Clone, Debug)]
 pub struct WorkerKnobs {
-    /// Every task fails soon after its start.
+    /// Whether every task fails soon after its start.
     pub fails_every_task: bool,
-    /// What becomes of checkpoints.
+    /// What happens to checkpoints.
     pub checkpoints: CheckpointMode,
-    /// How tasks slow each other.
+    /// How much tasks slow each other down.
     pub interference: InterferenceModel,
-    /// The load of the moment, in thousandths: it scales the interference.
+    /// The load, in thousandths. It scales the interference.
     pub load_millis: u32,
-    /// How often each run is measured.
+    /// The time between two measurements of a run's resource usage.
     pub usage_period: Duration,
-    /// The least and the most that a measurement lags.
+    /// The minimum and the maximum delay between a measurement and its report.
     pub usage_lag: (Duration, Duration),
 }
 
--- a/crates/standins/src/worker_lease.rs
+++ b/crates/standins/src/worker_lease.rs
@@ -1,4 +1,4 @@
-//! The epoch that a stand-in worker follows, and the lease that its owner grants.
+//! The epoch that a stand-in worker has adopted, and the lease that its owner grants.
 
 use std::time::Duration;
 
@@ -9,13 +9,15 @@
     WorkerError, //
 };
 
-/// The epoch that a stand-in worker follows, and the lease that its owner grants.
+/// The epoch that a stand-in worker has adopted, and the lease that its owner grants.
 #[derive(Debug, Default)]
 pub(crate) struct WorkerLease {
-    /// The shard whose epoch it is; `None` until the first adoption.
+    /// The shard that the epoch belongs to; `None` until the first adoption.
     shard: Option<u16>,
     epoch: OwnerEpoch,
-    renewed: Option<Duration>,
+    /// When the lease was last granted or renewed.
+    renewed_at: Option<Duration>,
+    /// When the lease lapses; `None` without a lease.
     end: Option<Duration>,
 }
 
@@ -24,12 +26,12 @@
         self.epoch
     }
 
-    /// Returns when the lease lapses; `None` if there is none.
+    /// Returns when the lease lapses; `None` without a lease.
     pub(crate) fn end(&self) -> Option<Duration> {
         self.end
     }
 
-    /// Refuses the calls of an older epoch.
+    /// Rejects calls with an older epoch than the adopted one.
     pub(crate) fn check_epoch(&self, epoch: OwnerEpoch) -> Result<(), WorkerError> {
         if epoch < self.epoch {
             return Err(WorkerError::StaleEpoch { newer: self.epoch });
@@ -37,8 +39,8 @@
         Ok(())
     }
 
-    /// Tells whether the worker would follow another shard than before.
-    pub(crate) fn moves_to(&self, shard: u16) -> bool {
+    /// Returns whether adopting an epoch of this shard would move the worker from another shard.
+    pub(crate) fn changes_shard(&self, shard: u16) -> bool {
         self.shard.is_some_and(|followed| followed != shard)
     }
 
@@ -47,7 +49,7 @@
         now: Duration,
         adoption: EpochAdoption,
     ) -> Result<(), WorkerError> {
-        match self.moves_to(adoption.shard) {
+        match self.changes_shard(adoption.shard) {
             true => self.check_lapsed()?,
             false => self.check_epoch(adoption.epoch)?,
         }
@@ -62,7 +64,7 @@
         now: Duration,
         renewal: &LeaseRenewal,
     ) -> Result<(), WorkerError> {
-        if self.moves_to(renewal.shard) {
+        if self.changes_shard(renewal.shard) {
             return Err(WorkerError::OutOfDate);
         }
         self.check_live(renewal.epoch)?;
@@ -70,7 +72,8 @@
         Ok(())
     }
 
-    /// Refuses an order that waited longer than `valid_for` since the last renewal.
+    /// Rejects an order if the lease lapsed, its epoch is not the adopted one, or the last renewal is longer ago than
+    /// `valid_for`.
     pub(crate) fn check_order(
         &self,
         now: Duration,
@@ -78,7 +81,9 @@
         valid_for: Duration,
     ) -> Result<(), WorkerError> {
         self.check_live(epoch)?;
-        let waited = self.renewed.map(|renewed| now.saturating_sub(renewed));
+        let waited = self
+            .renewed_at
+            .map(|renewed_at| now.saturating_sub(renewed_at));
         if waited.is_some_and(|waited| waited <= valid_for) {
             return Ok(());
         }
@@ -89,9 +94,9 @@
         self.end = None;
     }
 
-    /// Guards against two shards that own the worker by turns: the epochs of different shards cannot be
-    /// compared, so that a task could run in two places, or the worker never be taken over. Once the
-    /// former shard's lease has lapsed, nothing of it runs here, whatever its owner believes.
+    /// Rejects the adoption by another shard while the lease lasts. The epochs of different shards can't be compared:
+    /// if they were, a task could run in two places, or the worker could never be taken over. Once the lease has
+    /// lapsed, no run of the former shard is in progress here, even if its owner still assumes so.
     fn check_lapsed(&self) -> Result<(), WorkerError> {
         match self.end {
             Some(_) => Err(WorkerError::OutOfDate),
@@ -99,9 +104,9 @@
         }
     }
 
-    /// Guards against renewals that come late: with a start that came late beside it, such a renewal
-    /// would revive the lease, and the start would be accepted although its sender has given it up.
-    /// So a lease that lapsed, or that a restart forgot, comes back by an adoption alone.
+    /// Rejects delayed calls after the lease has lapsed or was lost in a restart. A delayed renewal would restore the
+    /// lease, and a delayed start order after it would be accepted although its sender has given up the run. Only an
+    /// adoption grants a new lease.
     fn check_live(&self, epoch: OwnerEpoch) -> Result<(), WorkerError> {
         self.check_epoch(epoch)?;
         if epoch == self.epoch && self.end.is_some() {
@@ -111,7 +116,7 @@
     }
 
     fn grant(&mut self, now: Duration, lease: Duration) {
-        self.renewed = Some(now);
+        self.renewed_at = Some(now);
         self.end = Some(now.saturating_add(lease));
     }
 }
--- a/crates/standins/src/worker_run.rs
+++ b/crates/standins/src/worker_run.rs
@@ -1,4 +1,4 @@
-//! A run in progress on a stand-in worker.
+//! One run in progress on a stand-in worker.
 
 use std::time::Duration;
 
@@ -16,9 +16,10 @@
 
 use crate::TaskPayload;
 
-pub(crate) const FULL_SPEED: u32 = 1000;
+/// The speed of a run that is not throttled, in thousandths.
+pub(crate) const FULL_SPEED_MILLIS: u32 = 1000;
 
-/// A run in progress on a stand-in worker.
+/// One run in progress on a stand-in worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerRun {
     pub(crate) attempt: TaskAttempt,
@@ -26,33 +27,41 @@
     pub(crate) kind: ClassKind,
     pub(crate) reserved: ResourceAmount,
     pub(crate) payload: TaskPayload,
+    /// The throttle factor, in thousandths of full speed.
     pub(crate) speed_millis: u32,
-    /// The work done, in seconds of a run alone and unthrottled.
+    /// The work done, in seconds of a run without interference and throttling.
     pub(crate) done_seconds: f64,
-    /// When it fails, on a worker that fails every task.
-    pub(crate) doomed: Option<Duration>,
-    pub(crate) measured: Duration,
-    pub(crate) ledger_place: usize,
+    /// When the run fails, on a worker that fails every task; otherwise `None`.
+    pub(crate) fails_at: Option<Duration>,
+    /// When the resource usage was last measured.
+    pub(crate) measured_at: Duration,
+    /// The index of the run in the ledger.
+    pub(crate) ledger_index: usize,
 }
 
 impl WorkerRun {
-    pub(crate) fn new(order: &TaskOrder, now: Duration, done_seconds: f64, place: usize) -> Self {
+    pub(crate) fn new(
+        order: &TaskOrder,
+        now: Duration,
+        done_seconds: f64,
+        ledger_index: usize,
+    ) -> Self {
         Self {
             attempt: order.attempt,
             class: order.class.clone(),
             kind: order.kind,
             reserved: order.reserved,
             payload: TaskPayload::from_text(&order.payload),
-            speed_millis: FULL_SPEED,
+            speed_millis: FULL_SPEED_MILLIS,
             done_seconds,
-            doomed: None,
-            measured: now,
-            ledger_place: place,
+            fails_at: None,
+            measured_at: now,
+            ledger_index,
         }
     }
 
-    pub(crate) fn with_doom(mut self, doomed: Option<Duration>) -> Self {
-        self.doomed = doomed;
+    pub(crate) fn with_failure_at(mut self, fails_at: Option<Duration>) -> Self {
+        self.fails_at = fails_at;
         self
     }
 
@@ -66,10 +75,11 @@
         }
     }
 
-    /// Returns when the run ends by itself at this slowdown, given the work done at `now`.
-    pub(crate) fn ends_at(&self, now: Duration, slowdown: f64) -> Option<Duration> {
-        if self.doomed.is_some() {
-            return self.doomed;
+    /// Returns when the run completes at this slowdown, given the work done at `now`. Returns `None` for services and
+    /// for runs throttled to zero, which do not complete by themselves.
+    pub(crate) fn completes_at(&self, now: Duration, slowdown: f64) -> Option<Duration> {
+        if self.fails_at.is_some() {
+            return self.fails_at;
         }
         let speed = self.speed(slowdown);
         if self.kind == ClassKind::Service || speed <= 0.0 {
@@ -84,9 +94,9 @@
         self.done_seconds += step.as_secs_f64() * self.speed(slowdown);
     }
 
-    /// Returns how the run ends by itself.
-    pub(crate) fn own_end(&self) -> TaskEvent {
-        match (self.doomed, self.payload.fails) {
+    /// Returns the event of the run's completion: finished or failed.
+    pub(crate) fn completion_event(&self) -> TaskEvent {
+        match (self.fails_at, self.payload.fails) {
             (Some(_), _) => TaskEvent::Failed { code: 1 },
             (None, Some(code)) => TaskEvent::Failed { code },
             (None, None) => TaskEvent::Finished {
@@ -100,11 +110,11 @@
             return None;
         }
         let work = self.payload.work_seconds().max(f64::EPSILON);
-        // CAST: the share is between 0 and 1000.
+        // CAST: the value is between 0 and 1000.
         Some((self.done_seconds / work * 1000.0).clamp(0.0, 1000.0) as u32)
     }
 
     fn speed(&self, slowdown: f64) -> f64 {
-        f64::from(self.speed_millis) / f64::from(FULL_SPEED) / slowdown
+        f64::from(self.speed_millis) / f64::from(FULL_SPEED_MILLIS) / slowdown
     }
 }
--- a/crates/standins/src/worker_stand_in.rs
+++ b/crates/standins/src/worker_stand_in.rs
@@ -1,4 +1,4 @@
-//! The stand-in of one worker.
+//! A stand-in for one worker.
 
 use std::{
     io,
@@ -57,32 +57,33 @@
         self,
         CallHandler, //
     },
-    run_ledger::SettleRuns,
-    wire_answer::{
-        CutConnection,
-        WireResult,
-        fault,
-        json,
-        refuse,
-        reply, //
+    run_ledger::AdvanceRuns,
+    shared_worker::SharedWorker,
+    wire_response::{
+        CloseConnection,
+        ResponseResult,
+        body_response,
+        fault_response,
+        json_response,
+        refused_response, //
     },
-    worker_cell::WorkerCell,
-    worker_core::WorkerCore, //
+    worker_state::WorkerState, //
 };
 
-/// The stand-in of one worker. Copies share its state, so that one can be used in memory while
-/// another is served over HTTP. As a [`jasminebend_ports::WorkerPort`], it takes every address for its own.
+/// A stand-in for one worker. Copies share its state, so that one can be used in memory while another is served over
+/// HTTP. As a [`jasminebend_ports::WorkerPort`], it handles calls to any address as calls to itself.
 #[derive(Clone)]
 pub struct WorkerStandIn {
-    cell: Arc<WorkerCell>,
+    shared: Arc<SharedWorker>,
     faults: FaultPlan,
     token: Option<AccessToken>,
+    /// The addresses of the callers that can't reach the worker.
     blocked: Arc<Mutex<IndexSet<IpAddr>>>,
 }
 
 impl WorkerStandIn {
-    /// Creates a worker without runs, that writes to `ledger` and counts its leases on `clock`.
-    /// `seed` is that of its measurements' lag and of its first incarnation.
+    /// Creates a worker without runs that records its runs in `ledger` and measures its leases on `clock`. `seed`
+    /// seeds the lag of its measurements and its random faults, and is its first incarnation.
     pub fn new<Name, Domain>(
         name: Name,
         domain: Domain,
@@ -95,91 +96,91 @@
         Name: Into<VmName>,
         Domain: Into<DomainName>,
     {
-        let core = WorkerCore::new(
+        let state = WorkerState::new(
             name.into(),
             domain.into(),
             capacity,
             Arc::clone(&ledger),
             seed,
         );
-        let cell = Arc::new(WorkerCell::new(core, clock));
-        let settle: Weak<dyn SettleRuns> = Arc::downgrade(&cell) as Weak<dyn SettleRuns>;
-        ledger.attach(settle);
+        let shared = Arc::new(SharedWorker::new(state, clock));
+        let runs: Weak<dyn AdvanceRuns> = Arc::downgrade(&shared) as Weak<dyn AdvanceRuns>;
+        ledger.add_worker(runs);
         Self {
-            cell,
+            shared,
             faults: FaultPlan::new(seed),
             token: None,
             blocked: Arc::default(),
         }
     }
 
-    /// Sets the faults.
+    /// Sets the fault plan.
     pub fn with_faults(mut self, faults: FaultPlan) -> Self {
         self.faults = faults;
         self
     }
 
-    /// Sets the token that owners over HTTP must show.
+    /// Sets the access token that HTTP callers must send.
     pub fn with_token(mut self, token: AccessToken) -> Self {
         self.token = Some(token);
         self
     }
 
-    /// Returns the faults and the counts.
+    /// Returns the fault plan, which also holds the call counts.
     pub fn faults(&self) -> &FaultPlan {
         &self.faults
     }
 
-    /// Returns the VM's name.
+    /// Returns the name of the worker's VM.
     pub fn name(&self) -> VmName {
-        self.cell.lock().name.clone()
+        self.shared.lock().name.clone()
     }
 
-    /// Returns the failure domain.
+    /// Returns the worker's failure domain.
     pub fn domain(&self) -> DomainName {
-        self.cell.lock().domain.clone()
+        self.shared.lock().domain.clone()
     }
 
-    /// Returns what the worker can hold.
+    /// Returns the worker's capacity.
     pub fn capacity(&self) -> ResourceAmount {
-        self.cell.lock().capacity
+        self.shared.lock().capacity
     }
 
-    /// Returns the runs in progress.
+    /// Returns the runs in progress at the current time.
     pub fn running(&self) -> Vec<WorkerTask> {
-        self.cell.settle();
-        self.cell.lock().running_tasks()
+        self.shared.advance_runs();
+        self.shared.lock().running_tasks()
     }
 
-    /// Changes how the worker behaves.
+    /// Changes the worker's settings. Runs up to now keep the progress that they made under the old settings.
     pub fn set_knobs<Change>(&self, change: Change)
     where
         Change: FnOnce(&mut WorkerKnobs),
     {
-        self.cell.settle();
-        change(&mut self.cell.lock().knobs);
+        self.shared.advance_runs();
+        change(&mut self.shared.lock().knobs);
     }
 
-    /// Restarts the worker: its runs end, it forgets everything, and it is reached again.
+    /// Restarts the worker: its runs end, its state and lease are lost, and an outage of it ends.
     pub fn restart(&self) {
-        let now = self.cell.now();
-        self.cell.lock().restart(now);
+        let now = self.shared.now();
+        self.shared.lock().restart(now);
         self.faults.set_outage(OutageState::Up);
     }
 
-    /// Fails the worker's VM: its runs end, and it is not reached until it restarts.
+    /// Fails the worker's VM: its runs end, and it is unreachable until [`WorkerStandIn::restart`].
     pub fn fail(&self) {
         self.restart();
         self.faults
             .set_outage(OutageState::Down(FaultKind::Unreachable));
     }
 
-    /// Cuts the worker off from the callers at this address.
+    /// Makes the worker unreachable for callers at this address.
     pub fn block_caller(&self, caller: IpAddr) {
         self.lock_blocked().insert(caller);
     }
 
-    /// Lets the callers at this address through again.
+    /// Makes the worker reachable again for callers at this address.
     pub fn unblock_caller(&self, caller: IpAddr) {
         self.lock_blocked().swap_remove(&caller);
     }
@@ -188,35 +189,38 @@
     ///
     /// # Errors
     ///
-    /// The error of the socket.
+    /// Returns the error of a socket that can't be bound.
     pub async fn start_server(&self) -> Result<(SocketAddr, ServerGuard), io::Error> {
         http_server::start(Arc::new(self.clone())).await
     }
 
-    /// Serves the worker until the guard is dropped.
+    /// Serves the worker on `listener` until the returned guard is dropped.
     pub fn serve(&self, listener: TcpListener) -> ServerGuard {
         http_server::serve(listener, Arc::new(self.clone()))
     }
 
-    pub(crate) fn blocks(&self, caller: IpAddr) -> bool {
+    pub(crate) fn is_blocked(&self, caller: IpAddr) -> bool {
         self.lock_blocked().contains(&caller)
     }
 
-    pub(crate) async fn order(&self, request: WorkerRequest) -> Result<WorkerAnswer, WorkerError> {
-        self.carry_out(request)
+    pub(crate) async fn handle_call(
+        &self,
+        request: WorkerRequest,
+    ) -> Result<WorkerAnswer, WorkerError> {
+        self.run_with_faults(request)
             .await
             .unwrap_or_else(|fault| Err(worker_error(fault)))
     }
 
-    async fn carry_out(
+    async fn run_with_faults(
         &self,
         request: WorkerRequest,
     ) -> Result<Result<WorkerAnswer, WorkerError>, FaultKind> {
         let call = call_kind(&request);
-        let cell = Arc::clone(&self.cell);
-        let now = self.cell.now();
+        let shared = Arc::clone(&self.shared);
+        let now = self.shared.now();
         self.faults
-            .run(call, now, move || cell.carry_out(&request))
+            .run(call, now, move || shared.handle(&request))
             .await
     }
 
@@ -250,7 +254,7 @@
         _worker: SocketAddr,
         request: WorkerRequest,
     ) -> Result<WorkerAnswer, WorkerError> {
-        self.order(request).await
+        self.handle_call(request).await
     }
 }
 
@@ -260,34 +264,34 @@
         self.token.as_ref()
     }
 
-    async fn answer(&self, head: Parts, body: Bytes, caller: SocketAddr) -> WireResult {
-        if self.blocks(caller.ip()) {
-            return Err(CutConnection);
+    async fn answer(&self, head: Parts, body: Bytes, caller: SocketAddr) -> ResponseResult {
+        if self.is_blocked(caller.ip()) {
+            return Err(CloseConnection);
         }
         if head.uri.path() != WorkerRequest::PATH {
-            return refuse(StatusCode::NOT_FOUND, "no such path");
+            return refused_response(StatusCode::NOT_FOUND, "no such path");
         }
         if head.method != Method::POST {
-            return refuse(StatusCode::METHOD_NOT_ALLOWED, "the path takes POST");
+            return refused_response(StatusCode::METHOD_NOT_ALLOWED, "the path takes POST");
         }
         let Ok(request) = serde_json::from_slice(&body) else {
-            return refuse(StatusCode::BAD_REQUEST, "the body is no worker request");
+            return refused_response(StatusCode::BAD_REQUEST, "the body is no worker request");
         };
         let format = AnswerFormat::from_accept(head.headers.get(ACCEPT));
-        match self.carry_out(request).await {
-            Ok(Ok(answer)) => write_answer(format, &answer),
-            Ok(Err(error)) => json(StatusCode::CONFLICT, &error),
-            Err(kind) => fault(kind),
+        match self.run_with_faults(request).await {
+            Ok(Ok(answer)) => encode_answer(format, &answer),
+            Ok(Err(error)) => json_response(StatusCode::CONFLICT, &error),
+            Err(kind) => fault_response(kind),
         }
     }
 }
 
-fn write_answer(format: AnswerFormat, answer: &WorkerAnswer) -> WireResult {
+fn encode_answer(format: AnswerFormat, answer: &WorkerAnswer) -> ResponseResult {
     if format == AnswerFormat::Json {
-        return json(StatusCode::OK, answer);
+        return json_response(StatusCode::OK, answer);
     }
-    let body = postcard::to_stdvec(answer).map_err(|_| CutConnection)?;
-    let mut response = reply(StatusCode::OK, body.into())?;
+    let body = postcard::to_stdvec(answer).map_err(|_| CloseConnection)?;
+    let mut response = body_response(StatusCode::OK, body.into())?;
     let postcard = HeaderValue::from_static(AnswerFormat::POSTCARD_TYPE);
     response.headers_mut().insert(CONTENT_TYPE, postcard);
     Ok(response)
--- a/crates/standins/src/worker_core.rs
+++ b/crates/standins/src/worker_state.rs
@@ -1,5 +1,5 @@
-//! The state of a stand-in worker. It reads no clock: every call is told the time, and first brings
-//! the runs up to it.
+//! The state of a stand-in worker. It reads no clock: every call takes the current time, and first simulates the runs
+//! up to that time.
 
 use std::{
     sync::Arc,
@@ -35,20 +35,21 @@
     WorkerKnobs,
     ended_runs::EndedRuns,
     run_set::RunSet,
-    usage_lag::UsageLag,
+    usage_queue::UsageQueue,
     worker_lease::WorkerLease,
     worker_run::{
-        FULL_SPEED,
+        FULL_SPEED_MILLIS,
         WorkerRun, //
     }, //
 };
 
-/// How long a run takes to fail on a worker that fails every task.
-const DOOM: Duration = Duration::from_millis(10);
+/// The time after its start at which a run fails on a worker with `fails_every_task`.
+const BROKEN_TASK_FAILURE_DELAY: Duration = Duration::from_millis(10);
 
-/// The state of a stand-in worker.
+/// The state of a stand-in worker: its lease, its runs in progress, and the ended runs that the owner has not
+/// acknowledged.
 #[derive(Debug)]
-pub(crate) struct WorkerCore {
+pub(crate) struct WorkerState {
     pub(crate) name: VmName,
     pub(crate) domain: DomainName,
     pub(crate) capacity: ResourceAmount,
@@ -58,10 +59,10 @@
     lease: WorkerLease,
     running: RunSet,
     ended: EndedRuns,
-    usage: UsageLag,
+    usage: UsageQueue,
 }
 
-impl WorkerCore {
+impl WorkerState {
     pub(crate) fn new(
         name: VmName,
         domain: DomainName,
@@ -79,7 +80,7 @@
             lease: WorkerLease::default(),
             running: RunSet::default(),
             ended: EndedRuns::default(),
-            usage: UsageLag::new(seed),
+            usage: UsageQueue::new(seed),
         }
     }
 
@@ -88,12 +89,12 @@
         now: Duration,
         adoption: EpochAdoption,
     ) -> Result<WorkerInventory, WorkerError> {
-        self.settle(now);
-        let moves = self.lease.moves_to(adoption.shard);
+        self.advance_to(now);
+        let changes_shard = self.lease.changes_shard(adoption.shard);
         self.lease.adopt(now, adoption)?;
-        if moves {
-            // A start of the former shard that comes late may carry the very epoch of this one; it
-            // names the former incarnation.
+        if changes_shard {
+            // A delayed start order of the former shard may carry the same epoch as this shard. It names the former
+            // incarnation, so that changing the incarnation rejects it.
             self.incarnation += 1;
         }
         let running = self.running.runs().map(|run| run.to_task(None));
@@ -110,7 +111,7 @@
         now: Duration,
         renewal: &LeaseRenewal,
     ) -> Result<WorkerReport, WorkerError> {
-        self.settle(now);
+        self.advance_to(now);
         self.lease.renew(now, renewal)?;
         self.ended.acknowledge(&renewal.acknowledged);
         self.running.measure(now, &self.knobs, &mut self.usage);
@@ -125,9 +126,9 @@
 
     fn report_usage(&mut self, now: Duration, limit: u32) -> Vec<TaskUsage> {
         let running = &self.running;
-        self.usage.keep_running(|run| running.contains(run));
+        self.usage.retain_running(|run| running.contains(run));
         // CAST: usize has at least 32 bits here.
-        self.usage.due(now, limit as usize)
+        self.usage.take_due(now, limit as usize)
     }
 
     pub(crate) fn start(
@@ -136,14 +137,14 @@
         epoch: OwnerEpoch,
         order: &TaskOrder,
     ) -> Result<(), WorkerError> {
-        self.settle(now);
+        self.advance_to(now);
         self.lease.check_epoch(epoch)?;
         if self.running.contains(order.attempt) {
             return Ok(());
         }
         self.check_order(now, epoch, order)?;
-        self.check_room(order.reserved)?;
-        self.run(now, order);
+        self.check_capacity(order.reserved)?;
+        self.start_run(now, order);
         Ok(())
     }
 
@@ -154,13 +155,13 @@
         attempt: TaskAttempt,
         speed_millis: u32,
     ) -> Result<(), WorkerError> {
-        self.settle(now);
+        self.advance_to(now);
         self.lease.check_epoch(epoch)?;
         let run = self
             .running
             .get_mut(attempt)
             .ok_or(WorkerError::UnknownRun)?;
-        run.speed_millis = speed_millis.min(FULL_SPEED);
+        run.speed_millis = speed_millis.min(FULL_SPEED_MILLIS);
         Ok(())
     }
 
@@ -170,19 +171,21 @@
         epoch: OwnerEpoch,
         attempt: TaskAttempt,
     ) -> Result<CheckpointId, WorkerError> {
-        self.settle(now);
+        self.advance_to(now);
         self.lease.check_epoch(epoch)?;
-        if let Some(TaskEvent::Checkpointed { checkpoint }) = self.ended.end_of(attempt) {
+        if let Some(TaskEvent::Checkpointed { checkpoint }) = self.ended.event_of(attempt) {
             return Ok(checkpoint.clone());
         }
         if !self.running.contains(attempt) {
             return Err(WorkerError::UnknownRun);
         }
-        let checkpoint = self.keep(attempt).ok_or(WorkerError::CheckpointFailed)?;
+        let checkpoint = self
+            .save_checkpoint(attempt)
+            .ok_or(WorkerError::CheckpointFailed)?;
         let event = TaskEvent::Checkpointed {
             checkpoint: checkpoint.clone(),
         };
-        self.end(now, attempt, event);
+        self.end_run(now, attempt, event);
         Ok(checkpoint)
     }
 
@@ -192,19 +195,19 @@
         epoch: OwnerEpoch,
         attempt: TaskAttempt,
     ) -> Result<(), WorkerError> {
-        self.settle(now);
+        self.advance_to(now);
         self.lease.check_epoch(epoch)?;
-        self.end(now, attempt, TaskEvent::Stopped);
-        self.ended.mark(attempt);
+        self.end_run(now, attempt, TaskEvent::Stopped);
+        self.ended.record_ended(attempt);
         Ok(())
     }
 
-    /// Restarts: everything is forgotten.
+    /// Restarts the worker: its runs vanish, its state and lease are lost, and its incarnation increases.
     pub(crate) fn restart(&mut self, now: Duration) {
-        self.settle(now);
+        self.advance_to(now);
         for run in self.running.runs() {
             self.ledger
-                .end(run.ledger_place, now, RunEnd::Vanished, None);
+                .record_end(run.ledger_index, now, RunEnd::Vanished, None);
         }
         self.running.clear();
         self.ended = EndedRuns::default();
@@ -213,13 +216,14 @@
         self.incarnation += 1;
     }
 
-    /// Brings the runs up to `now`, one end after another: each changes the others' speed.
-    pub(crate) fn settle(&mut self, now: Duration) {
-        while let Some((at, attempt)) = self.next_end().filter(|(at, _)| *at <= now) {
+    /// Simulates the runs up to `now`, in the order of their completions, because each completion changes the speed of
+    /// the remaining runs.
+    pub(crate) fn advance_to(&mut self, now: Duration) {
+        while let Some((at, attempt)) = self.next_event().filter(|(at, _)| *at <= now) {
             self.running.advance(at, &self.knobs);
             match attempt {
-                Some(attempt) => self.end_by_itself(at, attempt),
-                None => self.lapse(at),
+                Some(attempt) => self.complete_run(at, attempt),
+                None => self.lapse_lease(at),
             }
         }
         self.running.advance(now, &self.knobs);
@@ -229,9 +233,9 @@
         self.running.runs().map(|run| run.to_task(None)).collect()
     }
 
-    /// Guards against starts that come late: their sender has meanwhile taken the task for not
-    /// started, and may run it elsewhere. Such an order belongs to an epoch that was not adopted
-    /// here, or to a run that ended, or its time since the last renewal is over.
+    /// Rejects delayed start orders: their sender may meanwhile have considered the task not started and have started
+    /// it elsewhere. An order is late if its epoch or incarnation is not the current one, if the lease was last
+    /// renewed longer than `valid_for` ago, or if this run or a later one of the task is in progress or has ended.
     fn check_order(
         &self,
         now: Duration,
@@ -239,31 +243,33 @@
         order: &TaskOrder,
     ) -> Result<(), WorkerError> {
         self.lease.check_order(now, epoch, order.valid_for)?;
-        let other = |meant| meant != self.incarnation;
-        if order.incarnation.is_some_and(other) {
+        let differs = |named| named != self.incarnation;
+        if order.incarnation.is_some_and(differs) {
             return Err(WorkerError::OutOfDate);
         }
-        let ended = self.ended.rules_out(order.attempt);
-        let runs = self.running.has_task(order.attempt);
-        if !ended && !runs {
+        let has_ended = self.ended.has_ended(order.attempt);
+        let is_running = self.running.has_task(order.attempt);
+        if !has_ended && !is_running {
             return Ok(());
         }
         Err(WorkerError::OutOfDate)
     }
 
-    fn check_room(&self, reserved: ResourceAmount) -> Result<(), WorkerError> {
+    fn check_capacity(&self, reserved: ResourceAmount) -> Result<(), WorkerError> {
         let left = self.capacity.saturating_sub(self.running.reserved());
         if reserved.fits_in(left) {
             return Ok(());
         }
-        self.ledger.note_over_capacity();
+        self.ledger.count_over_capacity();
         Err(WorkerError::NoRoom)
     }
 
-    fn run(&mut self, now: Duration, order: &TaskOrder) {
+    fn start_run(&mut self, now: Duration, order: &TaskOrder) {
         let resumed = order.checkpoint.as_ref();
-        let done_seconds = resumed.map_or(0.0, |checkpoint| self.ledger.resume(checkpoint));
-        let place = self.ledger.start(RunRecord {
+        let done_seconds = resumed.map_or(0.0, |checkpoint| {
+            self.ledger.checkpoint_work_seconds(checkpoint)
+        });
+        let ledger_index = self.ledger.record_start(RunRecord {
             attempt: order.attempt,
             class: order.class.clone(),
             kind: order.kind,
@@ -274,66 +280,76 @@
             ended: None,
             kept: None,
         });
-        let doomed = self.knobs.fails_every_task.then_some(now + DOOM);
-        let run = WorkerRun::new(order, now, done_seconds, place).with_doom(doomed);
+        let fails_at = self
+            .knobs
+            .fails_every_task
+            .then_some(now + BROKEN_TASK_FAILURE_DELAY);
+        let run = WorkerRun::new(order, now, done_seconds, ledger_index).with_failure_at(fails_at);
         self.running.insert(run);
         self.ledger
-            .note_reserved(&self.name, self.running.reserved(), self.capacity);
+            .record_reserved(&self.name, self.running.reserved(), self.capacity);
     }
 
-    fn end_by_itself(&mut self, now: Duration, attempt: TaskAttempt) {
-        if let Some(event) = self.running.get(attempt).map(WorkerRun::own_end) {
-            self.end(now, attempt, event);
+    fn complete_run(&mut self, now: Duration, attempt: TaskAttempt) {
+        if let Some(event) = self.running.get(attempt).map(WorkerRun::completion_event) {
+            self.end_run(now, attempt, event);
         }
     }
 
-    fn end(&mut self, now: Duration, attempt: TaskAttempt, event: TaskEvent) {
+    fn end_run(&mut self, now: Duration, attempt: TaskAttempt, event: TaskEvent) {
         let Some(run) = self.running.remove(attempt) else {
             return;
         };
         let (end, kept) = ledger_end(&event);
-        self.ledger.end(run.ledger_place, now, end, kept);
+        self.ledger.record_end(run.ledger_index, now, end, kept);
         self.ended.insert(run.to_task(Some(event)));
     }
 
-    /// Keeps a run's state, if this worker can.
-    fn keep(&self, attempt: TaskAttempt) -> Option<CheckpointId> {
+    /// Saves a checkpoint of a run. Returns `None` if the run is unknown or checkpoints fail on this worker.
+    fn save_checkpoint(&self, attempt: TaskAttempt) -> Option<CheckpointId> {
         let run = self.running.get(attempt)?;
         let name = format!("{}/{}/{attempt}", self.name, self.incarnation);
         let checkpoint = CheckpointId::from(name);
         match self.knobs.checkpoints {
-            CheckpointMode::Kept => self.ledger.keep(checkpoint.clone(), run.done_seconds),
+            CheckpointMode::Kept => self
+                .ledger
+                .save_checkpoint(checkpoint.clone(), run.done_seconds),
             CheckpointMode::Lost => {}
             CheckpointMode::Fails => return None,
         }
         Some(checkpoint)
     }
 
-    /// The lease lapsed: the owner may by now have started the runs elsewhere.
-    fn lapse(&mut self, now: Duration) {
+    /// Ends every run because the lease lapsed: the owner may meanwhile have started the tasks elsewhere.
+    fn lapse_lease(&mut self, now: Duration) {
         self.lease.lapse();
         let attempts: Vec<_> = self.running.runs().map(|run| run.attempt).collect();
         for attempt in attempts {
-            let checkpoint = self.keep_batch(attempt);
-            self.end(now, attempt, TaskEvent::Lapsed { checkpoint });
+            let checkpoint = self.save_batch_checkpoint(attempt);
+            self.end_run(now, attempt, TaskEvent::Lapsed { checkpoint });
         }
     }
 
-    fn keep_batch(&self, attempt: TaskAttempt) -> Option<CheckpointId> {
+    fn save_batch_checkpoint(&self, attempt: TaskAttempt) -> Option<CheckpointId> {
         let kind = self.running.get(attempt)?.kind;
         match kind {
-            ClassKind::Batch => self.keep(attempt),
+            ClassKind::Batch => self.save_checkpoint(attempt),
             ClassKind::Service => None,
         }
     }
 
-    /// Returns the next end by itself, or the lapse of the lease as one without a run.
-    fn next_end(&self) -> Option<(Duration, Option<TaskAttempt>)> {
+    /// Returns the time and the run of the next completion, or the time at which the lease lapses, without a run.
+    /// Whichever comes first is returned.
+    fn next_event(&self) -> Option<(Duration, Option<TaskAttempt>)> {
         let lapse = self.lease.end().map(|at| (at, None));
-        let end = self.running.next_end(&self.knobs);
-        let end = end.map(|(at, attempt)| (at, Some(attempt)));
-        // A run that ends at the very moment of the lapse has ended.
-        end.into_iter().chain(lapse).min_by_key(|(at, _)| *at)
+        let completion = self.running.next_completion(&self.knobs);
+        let completion = completion.map(|(at, attempt)| (at, Some(attempt)));
+        // A run that completes at the time of the lapse counts as completed, since `min_by_key` returns the first
+        // minimum.
+        completion
+            .into_iter()
+            .chain(lapse)
+            .min_by_key(|(at, _)| *at)
     }
 }
 
