--- a/crates/standins/benches/capacity/main.rs
+++ b/crates/standins/benches/capacity/main.rs
@@ -1,26 +1,23 @@
-//! What the calls of the platform and of the workers cost the daemon that makes them: bytes on the
-//! wire, and processor time of the calling thread, at several sizes each.
+//! Measures the cost of a daemon's calls to the platform's services and to workers, at several sizes each: bytes on
+//! the wire and CPU time of the calling thread.
 //!
-//! The server runs on a thread of its own, so that its time is not counted. The relay that counts
-//! bytes is not in the way while time is measured.
+//! The server runs on its own thread, so that its CPU time is not counted. CPU time is measured without the relay that
+//! counts bytes.
 
-#![expect(
-    clippy::unwrap_used,
-    reason = "a bench that can't run says so by a panic"
-)]
+#![expect(clippy::unwrap_used, reason = "a benchmark that can't run panics")]
 
+mod cpu_time;
 mod peers;
-mod spread;
 mod table;
 mod vm_list;
 mod wire;
 mod workers;
 
 fn main() {
-    workers::codec();
-    workers::renewals();
-    table::reads();
-    table::commits();
-    vm_list::polls();
-    peers::frames();
+    workers::measure_report_codecs();
+    workers::measure_renewals();
+    table::measure_scans();
+    table::measure_commits();
+    vm_list::measure_polls();
+    peers::measure_frames();
 }
--- a/crates/standins/benches/capacity/peers.rs
+++ b/crates/standins/benches/capacity/peers.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat between daemons costs.
+//! Measures the size of a heartbeat between daemons and the CPU time to encode and decode it.
 
 use std::hint::black_box;
 
@@ -15,7 +15,7 @@
     WireBody, //
 };
 
-use crate::spread::spread;
+use crate::cpu_time::cpu_time_per_call;
 
 const SENDER: u64 = 0x5eed_0000_0000_0001;
 const RECIPIENT: u64 = 0x5eed_0000_0000_0002;
@@ -24,7 +24,8 @@
     PeerCodec::new(nonce, KeyRing::new(PeerKey::new([7; 32])))
 }
 
-/// A heartbeat among so many seats, whose daemons have been replaced some hundred times each.
+/// Returns a heartbeat in a cluster of `seats` seats. The numbers are as large as after some hundred replacements of
+/// each seat's daemon, because they are encoded with variable length.
 fn heartbeat(seats: u64) -> WireBody {
     let report = PeerReport {
         seats: (0..seats).map(|seat| 300 + seat).collect(),
@@ -44,7 +45,7 @@
     })
 }
 
-pub(crate) fn frames() {
+pub(crate) fn measure_frames() {
     println!("### A frame between daemons\n");
     println!("| seats | bytes | encode and sign, us | check, decode and encode again, us |");
     println!("|---|---|---|---|");
@@ -52,13 +53,14 @@
         let body = heartbeat(seats);
         let mut sender = codec(SENDER);
         let bytes = sender.encode(RECIPIENT, body.clone()).unwrap().len();
-        let encoding = spread(|| drop(black_box(sender.encode(RECIPIENT, body.clone()))));
+        let encoding =
+            cpu_time_per_call(|| drop(black_box(sender.encode(RECIPIENT, body.clone()))));
         let mut recipient = codec(RECIPIENT);
-        let both = spread(|| {
+        let round_trip = cpu_time_per_call(|| {
             let frame = sender.encode(RECIPIENT, body.clone()).unwrap();
             drop(black_box(recipient.decode(&frame).unwrap()));
         });
-        println!("| {seats} | {bytes} | {encoding} | {both} |");
+        println!("| {seats} | {bytes} | {encoding} | {round_trip} |");
     }
     println!();
 }
--- a/crates/standins/benches/capacity/table.rs
+++ b/crates/standins/benches/capacity/table.rs
@@ -1,4 +1,4 @@
-//! What a poll of the table and a commit cost.
+//! Measures the cost of a poll of the table and of a commit.
 
 use std::{
     hint::black_box,
@@ -15,16 +15,16 @@
 use jasminebend_standins::TableStandIn;
 
 use crate::{
-    spread::spread,
+    cpu_time::cpu_time_per_call,
     wire::{
+        count_wire_bytes,
         runtime,
-        serve_apart,
-        wire_bytes, //
+        serve_on_own_thread, //
     }, //
 };
 
 fn serve_table(rows: usize, bytes: usize) -> SocketAddr {
-    serve_apart(move || async move {
+    serve_on_own_thread(move || async move {
         let table = TableStandIn::new();
         let rows = (0..rows).map(|row| {
             RowChange::put(format!("row/{row:06}"), RowExpectation::Any, vec![7; bytes])
@@ -34,9 +34,9 @@
     })
 }
 
-pub(crate) fn reads() {
+pub(crate) fn measure_scans() {
     println!("### A poll of the table, over HTTP\n");
-    println!("| rows | bytes a row | bytes there | bytes back | time of the reader, us |");
+    println!("| rows | bytes per row | bytes sent | bytes received | reader's CPU time, us |");
     println!("|---|---|---|---|---|");
     let sizes = [
         (1, 100),
@@ -52,18 +52,18 @@
         let poll = async |table: &HttpTable, _| {
             black_box(table.scan(&"row/".into(), None, rows).await.unwrap());
         };
-        let (there, back) = wire_bytes(server, HttpTable::new, poll);
+        let (sent, received) = count_wire_bytes(server, HttpTable::new, poll);
         let table = HttpTable::new(server);
         let runtime = runtime();
-        let time = spread(|| runtime.block_on(poll(&table, server)));
-        println!("| {rows} | {bytes} | {there} | {back} | {time} |");
+        let time = cpu_time_per_call(|| runtime.block_on(poll(&table, server)));
+        println!("| {rows} | {bytes} | {sent} | {received} | {time} |");
     }
     println!();
 }
 
-pub(crate) fn commits() {
+pub(crate) fn measure_commits() {
     println!("### A commit of one row, over HTTP\n");
-    println!("| bytes | bytes there | bytes back | time of the writer, us |");
+    println!("| bytes per row | bytes sent | bytes received | writer's CPU time, us |");
     println!("|---|---|---|---|");
     for bytes in [100, 1_000, 10_000, 100_000] {
         let server = serve_table(0, 0);
@@ -71,11 +71,11 @@
             let change = RowChange::put("row", RowExpectation::Any, vec![7; bytes]);
             black_box(table.commit(WriteId(1), vec![change]).await.unwrap());
         };
-        let (there, back) = wire_bytes(server, HttpTable::new, commit);
+        let (sent, received) = count_wire_bytes(server, HttpTable::new, commit);
         let table = HttpTable::new(server);
         let runtime = runtime();
-        let time = spread(|| runtime.block_on(commit(&table, server)));
-        println!("| {bytes} | {there} | {back} | {time} |");
+        let time = cpu_time_per_call(|| runtime.block_on(commit(&table, server)));
+        println!("| {bytes} | {sent} | {received} | {time} |");
     }
     println!();
 }
--- a/crates/standins/benches/capacity/wire.rs
+++ b/crates/standins/benches/capacity/wire.rs
@@ -1,4 +1,4 @@
-//! Servers apart, and the bytes that go to them and back.
+//! Runs servers on their own threads and counts the bytes of calls to them.
 
 use std::{
     future::Future,
@@ -23,8 +23,8 @@
     Builder::new_current_thread().enable_all().build().unwrap()
 }
 
-/// Serves on a thread of its own until the process ends.
-pub(crate) fn serve_apart<Serve, Served>(serve: Serve) -> SocketAddr
+/// Starts a server on its own thread until the process ends, and returns its address.
+pub(crate) fn serve_on_own_thread<Serve, Served>(serve: Serve) -> SocketAddr
 where
     Serve: FnOnce() -> Served + Send + 'static,
     Served: Future<Output = (SocketAddr, ServerGuard)>,
@@ -40,7 +40,7 @@
     receiver.recv().unwrap()
 }
 
-/// Relays one connection to `server`, and returns the bytes that went there and back.
+/// Relays one connection to `server`, and returns the numbers of bytes sent and received by the client.
 async fn relay(listener: TcpListener, server: SocketAddr) -> (u64, u64) {
     let (mut client, _) = listener.accept().await.unwrap();
     let mut server = TcpStream::connect(server).await.unwrap();
@@ -49,8 +49,8 @@
         .unwrap()
 }
 
-/// Returns the bytes that one call by way of this adapter takes, there and back.
-pub(crate) fn wire_bytes<Adapter, Make, Call>(
+/// Returns the numbers of bytes that one call through an adapter sends and receives.
+pub(crate) fn count_wire_bytes<Adapter, Make, Call>(
     server: SocketAddr,
     make: Make,
     call: Call,
--- a/crates/standins/benches/capacity/workers.rs
+++ b/crates/standins/benches/capacity/workers.rs
@@ -1,4 +1,4 @@
-//! What a worker's report costs its owner.
+//! Measures the cost of a worker's report for its owner.
 
 use std::{
     hint::black_box,
@@ -38,18 +38,18 @@
 };
 
 use crate::{
-    spread::spread,
+    cpu_time::cpu_time_per_call,
     wire::{
+        count_wire_bytes,
         runtime,
-        serve_apart,
-        wire_bytes, //
+        serve_on_own_thread, //
     }, //
 };
 
 const EPOCH: OwnerEpoch = OwnerEpoch(5);
 const LEASE: Duration = Duration::from_secs(15);
 
-fn run(index: u32) -> TaskAttempt {
+fn task_attempt(index: u32) -> TaskAttempt {
     TaskAttempt {
         job: 0x5eed_0000_0000_0007,
         index,
@@ -57,9 +57,9 @@
     }
 }
 
-fn order(index: u32) -> TaskOrder {
+fn start_order(index: u32) -> TaskOrder {
     TaskOrder {
-        attempt: run(index),
+        attempt: task_attempt(index),
         class: "reconciliation".into(),
         kind: ClassKind::Batch,
         reserved: ResourceAmount::new(500, 1_000),
@@ -70,17 +70,17 @@
     }
 }
 
-/// A report with measurements of so many runs, and one end for each ten.
+/// Returns a report with a measurement of each of `runs` runs, and one completion for every ten.
 fn report(runs: u32) -> WorkerReport {
     let usage = (0..runs).map(|index| TaskUsage {
-        attempt: run(index),
+        attempt: task_attempt(index),
         used: ResourceAmount::new(431, 977),
         latency_p99: None,
         progress_millis: Some(431),
         age: Duration::from_millis(12_345),
     });
     let ended = (0..runs / 10).map(|index| WorkerTask {
-        attempt: run(index),
+        attempt: task_attempt(index),
         class: "reconciliation".into(),
         reserved: ResourceAmount::new(500, 1_000),
         speed_millis: 1_000,
@@ -96,7 +96,7 @@
     }
 }
 
-pub(crate) fn codec() {
+pub(crate) fn measure_report_codecs() {
     println!("### A worker's report by codec\n");
     println!("| runs measured | codec | bytes | encode, us | decode, us |");
     println!("|---|---|---|---|---|");
@@ -104,17 +104,17 @@
         let report = report(runs);
         let json = |report: &WorkerReport| serde_json::to_vec(report).unwrap();
         let postcard = |report: &WorkerReport| postcard::to_stdvec(report).unwrap();
-        codec_row(runs, "JSON", &report, json, |bytes| {
+        print_codec_row(runs, "JSON", &report, json, |bytes| {
             serde_json::from_slice(bytes).unwrap()
         });
-        codec_row(runs, "postcard", &report, postcard, |bytes| {
+        print_codec_row(runs, "postcard", &report, postcard, |bytes| {
             postcard::from_bytes(bytes).unwrap()
         });
     }
     println!();
 }
 
-fn codec_row<Message, Encode, Decode>(
+fn print_codec_row<Message, Encode, Decode>(
     runs: u32,
     name: &str,
     message: &Message,
@@ -126,17 +126,17 @@
     Decode: Fn(&[u8]) -> Message,
 {
     let bytes = encode(message);
-    let encoding = spread(|| drop(black_box(encode(message))));
-    let decoding = spread(|| drop(black_box(decode(&bytes))));
+    let encoding = cpu_time_per_call(|| drop(black_box(encode(message))));
+    let decoding = cpu_time_per_call(|| drop(black_box(decode(&bytes))));
     println!(
         "| {runs} | {name} | {} | {encoding} | {decoding} |",
         bytes.len()
     );
 }
 
-/// Serves a worker with so many runs, each measured at every heartbeat.
+/// Serves a worker with `runs` runs, each measured at every lease renewal.
 fn serve_worker(runs: u32) -> SocketAddr {
-    serve_apart(move || async move {
+    serve_on_own_thread(move || async move {
         let clock = Arc::new(ManualClock::new());
         let worker = WorkerStandIn::new(
             "worker-1",
@@ -158,7 +158,7 @@
         };
         worker.adopt(address, adoption).await.unwrap();
         for index in 0..runs {
-            WorkerPort::start(&worker, address, EPOCH, order(index))
+            WorkerPort::start(&worker, address, EPOCH, start_order(index))
                 .await
                 .unwrap();
         }
@@ -177,23 +177,23 @@
     black_box(workers.renew(address, renewal).await.unwrap());
 }
 
-pub(crate) fn renewals() {
-    println!("### A heartbeat to a worker and its report, over HTTP\n");
-    println!("| runs measured | answer | bytes there | bytes back | time of the owner, us |");
+pub(crate) fn measure_renewals() {
+    println!("### A lease renewal of a worker and its report, over HTTP\n");
+    println!("| runs measured | format | bytes sent | bytes received | owner's CPU time, us |");
     println!("|---|---|---|---|---|");
     for runs in [0, 6, 23, 64, 200] {
         let server = serve_worker(runs);
-        renewals_row(server, runs, AnswerFormat::Json);
-        renewals_row(server, runs, AnswerFormat::Postcard);
+        print_renewals_row(server, runs, AnswerFormat::Json);
+        print_renewals_row(server, runs, AnswerFormat::Postcard);
     }
     println!();
 }
 
-fn renewals_row(server: SocketAddr, runs: u32, format: AnswerFormat) {
+fn print_renewals_row(server: SocketAddr, runs: u32, format: AnswerFormat) {
     let make = |_| HttpWorkers::new().with_format(format);
-    let (there, back) = wire_bytes(server, make, renew);
+    let (sent, received) = count_wire_bytes(server, make, renew);
     let workers = make(server);
     let runtime = runtime();
-    let time = spread(|| runtime.block_on(renew(&workers, server)));
-    println!("| {runs} | {format:?} | {there} | {back} | {time} |");
+    let time = cpu_time_per_call(|| runtime.block_on(renew(&workers, server)));
+    println!("| {runs} | {format:?} | {sent} | {received} | {time} |");
 }
--- a/crates/standins/tests/contracts/clock.rs
+++ b/crates/standins/tests/contracts/clock.rs
@@ -1,4 +1,4 @@
-//! What every clock must do. A new adapter is one more line at the end.
+//! Contract tests of clocks.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use jasminebend_standins::ManualClock;
 
-fn never_goes_back<Clock>(clock: &Clock)
+fn check_monotonic<Clock>(clock: &Clock)
 where
     Clock: ClockSource,
 {
@@ -21,17 +21,17 @@
 }
 
 #[test]
-fn the_system_clock_never_goes_back() {
-    never_goes_back(&SystemClock::new());
+fn the_system_clock_is_monotonic() {
+    check_monotonic(&SystemClock::new());
 }
 
 #[test]
-fn the_manual_clock_never_goes_back() {
-    never_goes_back(&ManualClock::new());
+fn the_manual_clock_is_monotonic() {
+    check_monotonic(&ManualClock::new());
 }
 
 #[test]
-fn the_manual_clock_stands_still_until_it_is_moved() {
+fn the_manual_clock_moves_only_when_advanced() {
     let clock = ManualClock::new();
     clock.advance(Duration::from_secs(3));
     assert_eq!(clock.monotonic(), Duration::from_secs(3));
--- a/crates/standins/tests/contracts/endpoint.rs
+++ b/crates/standins/tests/contracts/endpoint.rs
@@ -1,4 +1,4 @@
-//! What the stand-in endpoint does and counts, as its caller's raw bytes show it.
+//! Tests of the stand-in endpoint's behaviour and counts, over raw connections.
 
 use std::{
     net::SocketAddr,
@@ -30,8 +30,8 @@
 };
 
 use crate::harness::{
-    FOREVER,
-    eventually, //
+    ENDLESS_DELAY,
+    wait_until, //
 };
 
 struct EndpointHarness {
@@ -73,46 +73,46 @@
     }
 
     async fn exchange(&self, id: &str) -> String {
-        read_all(self.send(id).await).await
+        read_to_end(self.send(id).await).await
     }
 }
 
-async fn read_all(mut stream: TcpStream) -> String {
+async fn read_to_end(mut stream: TcpStream) -> String {
     let mut answer = Vec::new();
-    // A connection that is reset ends the answer as one that is closed does.
+    // A reset of the connection ends the response like a close.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8(answer).unwrap()
 }
 
-fn body_of(answer: &str) -> &str {
+fn response_body(answer: &str) -> &str {
     answer.split_once("\r\n\r\n").map_or("", |(_, body)| body)
 }
 
 #[tokio::test]
 async fn counts_requests_beyond_its_slots_and_connections() {
-    let endpoint = EndpointHarness::new(2, FOREVER).await;
+    let endpoint = EndpointHarness::new(2, ENDLESS_DELAY).await;
     let mut streams = Vec::new();
     for id in ["a", "b", "c"] {
         streams.push(endpoint.send(id).await);
     }
-    eventually("three arrivals", || endpoint.counts().arrivals == 3).await;
+    wait_until("three arrivals", || endpoint.counts().arrivals == 3).await;
     let counts = endpoint.counts();
     assert_eq!((counts.over_slots, counts.over_connections), (1, 1));
-    eventually("two runs", || endpoint.counts().runs == 2).await;
+    wait_until("two runs", || endpoint.counts().runs == 2).await;
     assert_eq!(endpoint.counts().most_running, 2);
 }
 
-/// An endpoint gets more than it has slots for: its caller took the slot of a request that timed out
-/// for free, while the endpoint still worked on it.
+/// A request that its caller gave up must still occupy its slot while the endpoint processes it. A caller that
+/// considers the slot free sends more requests than the endpoint has slots.
 #[tokio::test]
-async fn a_request_that_was_given_up_keeps_its_slot() {
-    let endpoint = EndpointHarness::new(1, FOREVER).await;
+async fn an_abandoned_request_keeps_its_slot() {
+    let endpoint = EndpointHarness::new(1, ENDLESS_DELAY).await;
     let given_up = endpoint.send("a").await;
-    eventually("the first run", || endpoint.counts().runs == 1).await;
+    wait_until("the first run", || endpoint.counts().runs == 1).await;
     drop(given_up);
-    eventually("the close", || endpoint.counts().open == 0).await;
+    wait_until("the close", || endpoint.counts().open == 0).await;
     let _second = endpoint.send("b").await;
-    eventually("the second arrival", || endpoint.counts().arrivals == 2).await;
+    wait_until("the second arrival", || endpoint.counts().arrivals == 2).await;
     assert_eq!(endpoint.counts().over_slots, 1);
 }
 
@@ -121,7 +121,7 @@
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
     for id in ["a", "b", "a"] {
         let answer = endpoint.exchange(id).await;
-        let checked = EndpointAnswer::check(id, b"body", body_of(&answer).as_bytes());
+        let checked = EndpointAnswer::check(id, b"body", response_body(&answer).as_bytes());
         assert_eq!(checked, Ok(()), "{answer}");
     }
     let ledger = endpoint.stand_in.ledger();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn an_answer_tells_whose_it_is_and_whether_it_is_whole() {
+fn the_endpoint_answer_check_detects_wrong_and_corrupted_answers() {
     let whole = EndpointAnswer::build("a", b"body", 10);
     let longer = [whole.as_ref(), b"."].concat();
     let changed = whole.iter().map(|byte| match byte {
@@ -158,7 +158,7 @@
 }
 
 #[tokio::test]
-async fn does_wrong_as_told_and_counts_what_it_ran() {
+async fn injects_each_fault_and_counts_processed_requests() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\ncontent-length: ";
     let trailing = EndpointFault::TrailingBytes(Bytes::from_static(b"more"));
     let raw = EndpointFault::Raw(Bytes::from_static(b"HTTP/1.1 nonsense\r\n\r\n"));
@@ -181,7 +181,7 @@
         let answer = endpoint.exchange(&id).await;
         assert!(answer.starts_with(start), "{id} gave {answer}");
         assert!(answer.ends_with(end), "{id} gave {answer}");
-        let checked = EndpointAnswer::check(&id, b"body", body_of(&answer).as_bytes());
+        let checked = EndpointAnswer::check(&id, b"body", response_body(&answer).as_bytes());
         let looks_whole = id.starts_with("FailAfterRun");
         assert_eq!(checked.is_ok(), looks_whole, "{id} gave {answer}");
         assert_eq!(endpoint.stand_in.ledger().runs_of(&id), runs, "{id}");
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_endpoint_refuses_and_says_that_nothing_ran() {
+async fn a_leaving_endpoint_refuses_requests_as_not_run() {
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
     endpoint.stand_in.set_knobs(|knobs| knobs.leaving = true);
     let answer = endpoint.exchange("a").await;
@@ -198,13 +198,13 @@
     assert_eq!(endpoint.counts().runs, 0);
 }
 
-/// Requests time out one after another though the endpoint is well: something between the two ends
-/// lost track of the open connections. New connections work.
+/// A NAT or firewall that loses its connection state makes requests on open connections time out although the endpoint
+/// is healthy. New connections work.
 #[tokio::test]
 async fn silenced_connections_stay_open_and_new_ones_work() {
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
     let mut silenced = TcpStream::connect(endpoint.address).await.unwrap();
-    eventually("the connection", || endpoint.counts().open == 1).await;
+    wait_until("the connection", || endpoint.counts().open == 1).await;
     endpoint.stand_in.silence_connections();
     silenced.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     assert!(endpoint.exchange("a").await.starts_with("HTTP/1.1 200"));
--- a/crates/standins/tests/contracts/harness.rs
+++ b/crates/standins/tests/contracts/harness.rs
@@ -1,4 +1,4 @@
-//! The builder of the contract tests: a port, the stand-in behind it, and how it is reached.
+//! Builds the ports under test, each with the stand-in behind it, in memory and over HTTP.
 
 use std::{
     net::SocketAddr,
@@ -29,14 +29,14 @@
     WorkerStandIn, //
 };
 
-/// So long that no case ends by it.
-pub(crate) const PATIENT: Duration = Duration::from_secs(60);
-/// Long enough for a call on an open connection of the loopback interface.
-pub(crate) const IMPATIENT: Duration = Duration::from_millis(500);
-/// Longer than any test runs.
-pub(crate) const FOREVER: Duration = Duration::from_secs(3600);
+/// A timeout that no call reaches.
+pub(crate) const LONG_TIMEOUT: Duration = Duration::from_secs(60);
+/// A timeout for tests of silent servers, long enough for a call on an open loopback connection.
+pub(crate) const SHORT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A delay longer than any test runs.
+pub(crate) const ENDLESS_DELAY: Duration = Duration::from_secs(3600);
 
-/// A port under test.
+/// A port under test, with the stand-in behind it. `guard` is `None` for a port in memory.
 pub(crate) struct Harness<Port, StandIn>
 where
     Port: ?Sized,
@@ -70,8 +70,8 @@
     }
 }
 
-/// Waits until something comes about that must.
-pub(crate) async fn eventually<Check>(what: &str, check: Check)
+/// Waits up to 20,000 sleeps of 1 ms until `check` returns true, and panics otherwise. `what` names the condition.
+pub(crate) async fn wait_until<Check>(what: &str, check: Check)
 where
     Check: Fn() -> bool,
 {
@@ -81,7 +81,7 @@
         }
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    panic!("never came about: {what}");
+    panic!("timed out waiting for {what}");
 }
 
 /// A worker under test, with its clock and ledger.
@@ -142,11 +142,11 @@
     }
 }
 
-/// The size of the largest object under test.
-pub(crate) const LARGEST: usize = 100_000;
+/// The maximum size of an object in the stores under test, in bytes.
+pub(crate) const MAX_OBJECT_BYTES: usize = 100_000;
 
 pub(crate) async fn objects_in_memory(_timeout: Duration) -> ObjectHarness {
-    let stand_in = ObjectStandIn::new().with_largest(LARGEST);
+    let stand_in = ObjectStandIn::new().with_largest(MAX_OBJECT_BYTES);
     Harness {
         port: Arc::new(stand_in.clone()),
         stand_in,
@@ -155,7 +155,7 @@
 }
 
 pub(crate) async fn objects_over_http(timeout: Duration) -> ObjectHarness {
-    let stand_in = ObjectStandIn::new().with_largest(LARGEST);
+    let stand_in = ObjectStandIn::new().with_largest(MAX_OBJECT_BYTES);
     let (address, guard) = stand_in.start().await.unwrap();
     Harness {
         port: Arc::new(HttpObjects::new(address).with_timeout(timeout)),
@@ -164,13 +164,13 @@
     }
 }
 
-/// The lag of the VM list under test, on the returned clock.
-pub(crate) const LAG: Duration = Duration::from_secs(5);
+/// The lag of the VM list under test, on the clock that the builders return.
+pub(crate) const VM_LIST_LAG: Duration = Duration::from_secs(5);
 
 fn make_vm_list() -> (VmListStandIn, Arc<ManualClock>) {
     let clock = Arc::new(ManualClock::new());
     let stand_in = VmListStandIn::new(Vec::new())
-        .with_lag(LAG)
+        .with_lag(VM_LIST_LAG)
         .with_clock(Arc::clone(&clock) as Arc<dyn ClockSource>);
     (stand_in, clock)
 }
--- a/crates/standins/tests/contracts/limits.rs
+++ b/crates/standins/tests/contracts/limits.rs
@@ -1,4 +1,4 @@
-//! How much a call and an answer may hold.
+//! Size limits of requests and responses.
 
 use std::sync::Arc;
 
@@ -16,41 +16,44 @@
     EndpointStandIn, //
 };
 
-use crate::harness::PATIENT;
+use crate::harness::LONG_TIMEOUT;
 
-const OVER_THE_ANSWERS_LIMIT: usize = 33 << 20;
-const OVER_THE_CALLS_LIMIT: usize = 13 << 20;
+/// A size in bytes above the adapters' limit for a response.
+const BYTES_ABOVE_RESPONSE_LIMIT: usize = 33 << 20;
+/// A size in bytes above the adapters' limit for a request.
+const BYTES_ABOVE_REQUEST_LIMIT: usize = 13 << 20;
 
-/// The answer that there is no such row, after so many spaces.
-fn long_answer(spaces: usize) -> Vec<u8> {
+/// Returns the response that a row does not exist, with this number of spaces before the JSON value.
+fn padded_response(spaces: usize) -> Vec<u8> {
     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", spaces + 4);
     [head.into_bytes(), vec![b' '; spaces], b"null".to_vec()].concat()
 }
 
-/// A daemon runs out of memory: a server that went wrong answers without end.
+/// An oversized response of a faulty server must be rejected, or the daemon runs out of memory.
 #[tokio::test]
-async fn an_answer_without_end_is_given_up() {
+async fn a_response_above_the_size_limit_is_rejected() {
     let server = EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1);
     let (address, _guard) = server.start().await.unwrap();
-    let table = HttpTable::new(address).with_timeout(PATIENT);
+    let table = HttpTable::new(address).with_timeout(LONG_TIMEOUT);
     let cases = [
         (1000, Ok(None)),
-        (OVER_THE_ANSWERS_LIMIT, Err(TableError::Malformed)),
+        (BYTES_ABOVE_RESPONSE_LIMIT, Err(TableError::Malformed)),
     ];
     for (spaces, expected) in cases {
-        server.once(EndpointFault::Raw(long_answer(spaces).into()));
+        server.once(EndpointFault::Raw(padded_response(spaces).into()));
         assert_eq!(table.read(&"a".into()).await, expected, "{spaces}");
     }
 }
 
-/// A writer tries a commit without end: the server refused its size, but closed before it had read
-/// it all, so that its answer was lost and the outcome looked unknown.
+/// A request above the size limit must be rejected before it is sent. If it were sent, the server would close the
+/// connection before it had read everything, its refusal would be lost, and the writer would repeat the commit forever
+/// because the outcome looked unknown.
 #[tokio::test]
-async fn a_call_that_is_too_large_is_not_sent() {
+async fn a_request_above_the_size_limit_is_not_sent() {
     let server = EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1);
     let (address, _guard) = server.start().await.unwrap();
-    let table = HttpTable::new(address).with_timeout(PATIENT);
-    let value = vec![7; OVER_THE_CALLS_LIMIT];
+    let table = HttpTable::new(address).with_timeout(LONG_TIMEOUT);
+    let value = vec![7; BYTES_ABOVE_REQUEST_LIMIT];
     let change = RowChange::put("a", RowExpectation::Any, value);
     let answer = table.commit(WriteId(1), vec![change]).await;
     assert_eq!(answer, Err(TableError::TooLarge));
--- a/crates/standins/tests/contracts/main.rs
+++ b/crates/standins/tests/contracts/main.rs
@@ -1,11 +1,11 @@
-//! The contract of each port, run against each adapter.
+//! Contract tests of each port, run against each of its adapters.
 
 #![expect(
     clippy::unwrap_used,
     reason = "a test's helpers panic as the test does"
 )]
 
-/// Runs each case of a suite against each adapter. A new adapter is one more line.
+/// Defines a test for each pair of a case and an adapter. A new adapter is one more line at the end of the call.
 macro_rules! contract {
     ($cases:tt, $($adapter:ident => $make:path),* $(,)?) => {$(
         contract!(@adapter $adapter, $make, $cases);
@@ -15,7 +15,7 @@
             $(
                 #[tokio::test]
                 async fn $case() {
-                    super::$case($make(crate::harness::PATIENT).await).await;
+                    super::$case($make(crate::harness::LONG_TIMEOUT).await).await;
                 }
             )*
         }
--- a/crates/standins/tests/contracts/objects.rs
+++ b/crates/standins/tests/contracts/objects.rs
@@ -1,4 +1,4 @@
-//! What every adapter of the object store must do. A new adapter is one more line at the end.
+//! Contract tests of the object store.
 
 use std::time::Duration;
 
@@ -15,18 +15,18 @@
 
 use crate::harness::{
     self,
-    FOREVER,
-    IMPATIENT,
-    LARGEST,
-    ObjectHarness, //
+    ENDLESS_DELAY,
+    MAX_OBJECT_BYTES,
+    ObjectHarness,
+    SHORT_TIMEOUT, //
 };
 
 fn key(text: &str) -> ObjectKey {
     ObjectKey::from(text)
 }
 
-async fn keeps_any_bytes_under_any_key(objects: ObjectHarness) {
-    let bodies = [Bytes::new(), Bytes::from(vec![0xff; LARGEST])];
+async fn stores_any_bytes_under_any_key(objects: ObjectHarness) {
+    let bodies = [Bytes::new(), Bytes::from(vec![0xff; MAX_OBJECT_BYTES])];
     for name in ["a", "a/b", "a b?c#d%2F", "über/..", "a//b"] {
         for body in &bodies {
             objects.port.put(&key(name), body.clone()).await.unwrap();
@@ -41,14 +41,14 @@
     }
 }
 
-async fn refuses_what_is_too_large(objects: ObjectHarness) {
-    let body = Bytes::from(vec![0; LARGEST + 1]);
+async fn refuses_objects_above_the_size_limit(objects: ObjectHarness) {
+    let body = Bytes::from(vec![0; MAX_OBJECT_BYTES + 1]);
     let answer = objects.port.put(&key("a"), body).await;
     assert_eq!(answer, Err(ObjectError::TooLarge));
     assert_eq!(objects.stand_in.keys(), []);
 }
 
-async fn tells_the_truth_about_a_failed_write(objects: ObjectHarness) {
+async fn a_failed_write_reports_whether_it_may_have_run(objects: ObjectHarness) {
     let cases = [
         (FaultKind::LoseRequest, ObjectError::Unknown, false),
         (FaultKind::LoseAnswer, ObjectError::Unknown, true),
@@ -65,7 +65,7 @@
     }
 }
 
-/// An object is damaged: its write was delivered a second time, late. The same bytes change nothing.
+/// A write that is delivered again must not corrupt the object or create another one.
 async fn a_write_delivered_twice_is_one_object(objects: ObjectHarness) {
     let twice = FaultKind::Duplicate(Duration::from_millis(10));
     objects.stand_in.faults().once(CallKind::Put, twice);
@@ -76,8 +76,8 @@
     assert_eq!(objects.stand_in.keys().len(), 1);
 }
 
-/// A snapshot that exists is taken for absent, and the state starts over: an outage's refusal was
-/// read as "no such object".
+/// An outage must not look like an absent object. Otherwise an existing snapshot is taken for absent, and a daemon
+/// starts from empty state.
 async fn an_outage_is_never_an_absent_object(objects: ObjectHarness) {
     let body = Bytes::from_static(b"1");
     objects.port.put(&key("a"), body).await.unwrap();
@@ -96,9 +96,9 @@
 
 contract!(
     [
-        keeps_any_bytes_under_any_key,
-        refuses_what_is_too_large,
-        tells_the_truth_about_a_failed_write,
+        stores_any_bytes_under_any_key,
+        refuses_objects_above_the_size_limit,
+        a_failed_write_reports_whether_it_may_have_run,
         a_write_delivered_twice_is_one_object,
         an_outage_is_never_an_absent_object,
     ],
@@ -107,12 +107,12 @@
 );
 
 #[tokio::test]
-async fn a_silent_store_gives_an_unknown_outcome_in_time() {
+async fn a_silent_store_times_out_with_an_unknown_outcome() {
     for (fault, effect) in [
-        (FaultKind::Slow(FOREVER), None),
-        (FaultKind::SlowAnswer(FOREVER), Some(Bytes::new())),
+        (FaultKind::Slow(ENDLESS_DELAY), None),
+        (FaultKind::SlowAnswer(ENDLESS_DELAY), Some(Bytes::new())),
     ] {
-        let objects = harness::objects_over_http(IMPATIENT).await;
+        let objects = harness::objects_over_http(SHORT_TIMEOUT).await;
         objects.port.get(&key("a")).await.unwrap();
         objects.stand_in.faults().once(CallKind::Put, fault);
         let answer = objects.port.put(&key("a"), Bytes::new()).await;
--- a/crates/standins/tests/contracts/table.rs
+++ b/crates/standins/tests/contracts/table.rs
@@ -1,4 +1,4 @@
-//! What every adapter of the table service must do. A new adapter is one more line at the end.
+//! Contract tests of the table service.
 
 use std::time::Duration;
 
@@ -19,11 +19,11 @@
 
 use crate::harness::{
     self,
-    FOREVER,
-    IMPATIENT,
-    PATIENT,
+    ENDLESS_DELAY,
+    LONG_TIMEOUT,
+    SHORT_TIMEOUT,
     TableHarness,
-    eventually, //
+    wait_until, //
 };
 
 const WRITE: WriteId = WriteId(0xfeed_f00d_dead_beef);
@@ -72,7 +72,7 @@
     }
 }
 
-async fn tells_version_and_write_of_a_row(table: TableHarness) {
+async fn reads_return_the_version_and_write_of_a_row(table: TableHarness) {
     let values: [&[u8]; 3] = [b"", b"\0\xff not text", &[7; 100_000]];
     let mut last = 0.into();
     for value in values {
@@ -89,7 +89,7 @@
     assert_eq!(table.port.read(&key("a/b c?%")).await.unwrap(), None);
 }
 
-async fn scans_in_order_behind_a_key(table: TableHarness) {
+async fn scans_in_key_order_after_a_key(table: TableHarness) {
     let rows = ["a", "job/1", "job/10", "job/2", "job/3", "jobs", "k"];
     let changes = rows.map(|row| put(row, RowExpectation::Any, row));
     table.port.commit(WRITE, changes.to_vec()).await.unwrap();
@@ -113,7 +113,7 @@
     }
 }
 
-/// What a commit under a fault may say, and whether it takes effect.
+/// The errors that a commit with a fault may return, and whether it takes effect.
 struct FaultCase {
     fault: FaultKind,
     errors: &'static [TableError],
@@ -153,7 +153,7 @@
     },
 ];
 
-async fn tells_the_truth_about_a_failed_commit(table: TableHarness) {
+async fn a_failed_commit_reports_whether_it_may_have_run(table: TableHarness) {
     for case in FAULT_CASES {
         let fault = case.fault;
         let row = format!("{fault:?}");
@@ -167,8 +167,8 @@
     }
 }
 
-/// A caller sees a read fail though the service works again: the pooled connection was closed while
-/// it lay idle. A read may be repeated, so that the caller doesn't notice.
+/// A pooled connection may be closed while it is idle, so that a read on it fails although the service works. The
+/// adapter may repeat the read, and the next one must succeed.
 async fn reads_survive_one_lost_connection(table: TableHarness) {
     table.port.read(&key("a")).await.unwrap();
     table
@@ -180,8 +180,7 @@
     assert_eq!(table.port.read(&key("a")).await, Ok(None));
 }
 
-/// A writer repeats a commit by itself and it runs twice: the connection broke, and the adapter
-/// sent the commit again.
+/// The adapter must not repeat a commit when its connection breaks. Otherwise the commit can run twice.
 async fn sends_a_commit_once(table: TableHarness) {
     table.port.read(&key("a")).await.unwrap();
     for fault in [FaultKind::LoseAnswer, FaultKind::LoseRequest] {
@@ -194,9 +193,9 @@
     }
 }
 
-/// A commit timed out, a read shows nothing, and yet the row appears afterwards: the service was
-/// still at work. Only a compare-and-set of the writer's own shuts the commit out.
-async fn a_late_commit_is_shut_out_by_compare_and_set(table: TableHarness) {
+/// A commit that timed out can take effect later, after a read that showed no row. Only a compare-and-set by the same
+/// writer prevents it.
+async fn a_delayed_commit_fails_its_compare_and_set(table: TableHarness) {
     let late = FaultKind::LateEffect(Duration::from_millis(20));
     table.stand_in.faults().once(CallKind::Commit, late);
     let change = put("a", RowExpectation::Absent, "late");
@@ -207,13 +206,12 @@
     table.stand_in.faults().once(CallKind::Commit, late);
     let change = put("b", RowExpectation::Absent, "late");
     table.port.commit(WRITE, vec![change]).await.unwrap_err();
-    eventually("the late commit", || !table.stand_in.rows("a").is_empty()).await;
+    wait_until("the late commit", || !table.stand_in.rows("a").is_empty()).await;
     tokio::time::sleep(Duration::from_millis(40)).await;
     assert_eq!(table.stand_in.rows("b")[0].value, b"first");
 }
 
-/// A row falls back to an older value: a commit was delivered twice, the second time late. With an
-/// expectation the second delivery changes nothing.
+/// A delayed second delivery of a commit must not restore an older value of a row. An expected version prevents it.
 async fn a_commit_delivered_twice_takes_effect_once(table: TableHarness) {
     let twice = FaultKind::Duplicate(Duration::from_millis(20));
     table.stand_in.faults().once(CallKind::Commit, twice);
@@ -228,7 +226,7 @@
     assert_eq!(table.stand_in.rows("a")[0].value, b"2");
 }
 
-async fn outages_refuse_what_they_should(table: TableHarness) {
+async fn outages_fail_only_the_affected_calls(table: TableHarness) {
     let refuse = FaultKind::Refuse;
     let cases = [
         (OutageState::Up, true, true),
@@ -246,8 +244,8 @@
     }
 }
 
-/// Increments lost or counted twice: answers are lost now and then, and the writer either gives up
-/// on a commit that took effect or repeats it. The write's identity in the row settles each one.
+/// Lost responses must not lose or repeat increments. The write ID in the row shows the writer whether its commit took
+/// effect, so that it neither repeats it nor gives it up.
 async fn increments_survive_a_mix_of_faults(table: TableHarness) {
     table.stand_in.faults().mix([
         (FaultKind::LoseAnswer, 150),
@@ -276,7 +274,7 @@
             RowExpectation::Version(row.version)
         });
         let change = put("n", expected, &(count + 1).to_string());
-        // The next reading tells what became of it.
+        // The next read shows whether the commit took effect.
         let _ = table.commit(write, vec![change]).await;
     }
 }
@@ -284,29 +282,29 @@
 contract!(
     [
         commits_all_changes_or_none,
-        tells_version_and_write_of_a_row,
-        scans_in_order_behind_a_key,
-        tells_the_truth_about_a_failed_commit,
+        reads_return_the_version_and_write_of_a_row,
+        scans_in_key_order_after_a_key,
+        a_failed_commit_reports_whether_it_may_have_run,
         reads_survive_one_lost_connection,
         sends_a_commit_once,
-        a_late_commit_is_shut_out_by_compare_and_set,
+        a_delayed_commit_fails_its_compare_and_set,
         a_commit_delivered_twice_takes_effect_once,
-        outages_refuse_what_they_should,
+        outages_fail_only_the_affected_calls,
         increments_survive_a_mix_of_faults,
     ],
     in_memory => crate::harness::table_in_memory,
     over_http => crate::harness::table_over_http,
 );
 
-/// A commit waits for ever: the service went silent before or after the effect. The adapter gives up
-/// in time and says that the outcome is unknown; its next call takes a fresh connection.
+/// If the service becomes silent before or after the effect, the commit must time out with an unknown outcome, and the
+/// next call must use a new connection.
 #[tokio::test]
-async fn a_silent_service_gives_an_unknown_outcome_in_time() {
+async fn a_silent_service_times_out_with_an_unknown_outcome() {
     for (fault, effect) in [
-        (FaultKind::Slow(FOREVER), false),
-        (FaultKind::SlowAnswer(FOREVER), true),
+        (FaultKind::Slow(ENDLESS_DELAY), false),
+        (FaultKind::SlowAnswer(ENDLESS_DELAY), true),
     ] {
-        let table = harness::table_over_http(IMPATIENT).await;
+        let table = harness::table_over_http(SHORT_TIMEOUT).await;
         table.port.read(&key("a")).await.unwrap();
         table.stand_in.faults().once(CallKind::Commit, fault);
         let change = put("a", RowExpectation::Absent, "1");
@@ -318,24 +316,24 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_says_surely_not_run() {
-    let mut table = harness::table_over_http(PATIENT).await;
+async fn a_refused_connection_returns_surely_not_run() {
+    let mut table = harness::table_over_http(LONG_TIMEOUT).await;
     table.port.read(&key("a")).await.unwrap();
     drop(table.guard.take());
     let probe = || table.port.commit(WRITE, Vec::new());
-    // The server's task ends soon after its guard; a call that it still met is lost.
+    // The server's task ends shortly after its guard is dropped. A call that it still accepts is lost.
     while probe().await != Err(TableError::Unreachable) {
         tokio::task::yield_now().await;
     }
 }
 
-/// Every call times out though the service is well: something between the two ends lost track of the
-/// open connections. One timeout is enough to give up all of them.
+/// A NAT or firewall that loses its connection state makes calls on all open connections time out although the service
+/// works. One timeout must make the adapter drop all of them.
 #[tokio::test]
 async fn one_timeout_gives_up_the_silent_connections() {
-    let table = harness::table_over_http(IMPATIENT).await;
+    let table = harness::table_over_http(SHORT_TIMEOUT).await;
     let row = key("a");
-    // Several connections at once, which then lie idle in the pool.
+    // Concurrent calls open several connections, which are then idle in the pool.
     let read = || table.port.read(&row);
     let calls = tokio::join!(read(), read(), read(), read());
     assert_eq!(calls, (Ok(None), Ok(None), Ok(None), Ok(None)));
--- a/crates/standins/tests/contracts/token.rs
+++ b/crates/standins/tests/contracts/token.rs
@@ -1,4 +1,4 @@
-//! Who may call the platform's services and the workers.
+//! Access tokens of the platform's services.
 
 use jasminebend_ports::{
     AccessToken,
@@ -19,7 +19,7 @@
 };
 
 #[tokio::test]
-async fn a_wrong_token_is_refused_and_a_replaced_one_taken() {
+async fn a_wrong_token_is_refused_and_a_replaced_one_accepted() {
     let table = TableStandIn::new().with_token(AccessToken::new("right"));
     let (address, _guard) = table.start().await.unwrap();
     let open = HttpTable::new(address);
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn every_service_asks_for_its_token() {
+async fn every_service_requires_its_token() {
     let token = AccessToken::new("right");
     let objects = ObjectStandIn::new().with_token(token.clone());
     let (address, _objects) = objects.start().await.unwrap();
--- a/crates/standins/tests/contracts/vm_list.rs
+++ b/crates/standins/tests/contracts/vm_list.rs
@@ -1,4 +1,4 @@
-//! What every adapter of the VM list must do. A new adapter is one more line at the end.
+//! Contract tests of the VM list.
 
 use std::{
     sync::Arc,
@@ -19,10 +19,10 @@
 };
 
 use crate::harness::{
-    FOREVER,
-    IMPATIENT,
-    LAG,
-    PATIENT,
+    ENDLESS_DELAY,
+    LONG_TIMEOUT,
+    SHORT_TIMEOUT,
+    VM_LIST_LAG,
     VmListHarness, //
 };
 
@@ -47,28 +47,28 @@
     let before = list.port.read().await.unwrap();
     list.stand_in.add(vm("a"));
     list.stand_in.add(vm("b"));
-    clock.advance(LAG - Duration::from_millis(1));
+    clock.advance(VM_LIST_LAG - Duration::from_millis(1));
     assert_eq!(list.port.read().await, Ok(before.clone()));
     list.stand_in.leave("a");
     clock.advance(Duration::from_millis(1));
     let added = list.port.read().await.unwrap();
     assert_eq!(added.vms, [vm("a"), vm("b")]);
     assert!(added.revision > before.revision);
-    clock.advance(LAG);
+    clock.advance(VM_LIST_LAG);
     let left = list.port.read().await.unwrap();
     assert_eq!(left.vms[0].state, VmState::Leaving);
     list.stand_in.remove("a");
-    clock.advance(LAG);
+    clock.advance(VM_LIST_LAG);
     let removed = list.port.read().await.unwrap();
     assert_eq!(removed.vms, [vm("b")]);
     assert!(removed.revision > left.revision && left.revision > added.revision);
 }
 
-/// A VM that left comes back in a reader's eyes: two servers of the list answer in turn, and one is
-/// behind. The older answer shows by its revision.
-async fn a_stale_reading_has_an_older_revision((list, clock): Fixture) {
+/// A stale response must have an older revision, so that a reader can ignore it. Otherwise a VM that left reappears
+/// when two servers respond in turn and one of them lags.
+async fn a_stale_response_has_an_older_revision((list, clock): Fixture) {
     list.stand_in.add(vm("a"));
-    clock.advance(LAG);
+    clock.advance(VM_LIST_LAG);
     let fresh = list.port.read().await.unwrap();
     list.stand_in
         .faults()
@@ -95,34 +95,37 @@
 contract!(
     [
         shows_changes_after_its_lag,
-        a_stale_reading_has_an_older_revision,
+        a_stale_response_has_an_older_revision,
         an_outage_is_never_an_empty_list,
     ],
     in_memory => crate::harness::vm_list_in_memory,
     over_http => crate::harness::vm_list_over_http,
 );
 
-/// The daemons' polls of the list take more of the network than all their other control: a list of
-/// thousands of VMs was sent each time, though it changes every few minutes.
+/// An unchanged list must not be sent again. A list of thousands of VMs changes every few minutes; sent on each poll,
+/// it takes more network bandwidth than all other control traffic.
 #[tokio::test]
 async fn an_unchanged_list_is_not_sent_again() {
-    let (list, clock) = crate::harness::vm_list_over_http(PATIENT).await;
+    let (list, clock) = crate::harness::vm_list_over_http(LONG_TIMEOUT).await;
     list.stand_in.add(vm("a"));
-    clock.advance(LAG);
+    clock.advance(VM_LIST_LAG);
     let first = list.port.read().await.unwrap();
     let sent = list.stand_in.faults().counts().bytes;
     assert_eq!(list.port.read().await, Ok(first));
     assert_eq!(list.stand_in.faults().counts().bytes, sent);
     list.stand_in.remove("a");
-    clock.advance(LAG);
+    clock.advance(VM_LIST_LAG);
     assert_eq!(list.port.read().await.unwrap().vms, []);
     assert!(list.stand_in.faults().counts().bytes > sent);
 }
 
 #[tokio::test]
-async fn a_silent_list_is_given_up_in_time() {
-    let (list, _clock) = crate::harness::vm_list_over_http(IMPATIENT).await;
-    for fault in [FaultKind::Slow(FOREVER), FaultKind::SlowAnswer(FOREVER)] {
+async fn a_silent_list_times_out() {
+    let (list, _clock) = crate::harness::vm_list_over_http(SHORT_TIMEOUT).await;
+    for fault in [
+        FaultKind::Slow(ENDLESS_DELAY),
+        FaultKind::SlowAnswer(ENDLESS_DELAY),
+    ] {
         list.stand_in.faults().once(CallKind::Read, fault);
         let answer = list.port.read().await;
         assert_eq!(answer, Err(VmListError::Unavailable), "{fault:?}");
--- a/crates/standins/tests/contracts/worker_calls.rs
+++ b/crates/standins/tests/contracts/worker_calls.rs
@@ -1,4 +1,4 @@
-//! Short forms of a worker's calls, for its suites.
+//! Helpers for calls to a worker under test.
 
 use std::time::Duration;
 
@@ -79,10 +79,10 @@
         &self,
         acknowledged: &[TaskAttempt],
     ) -> Result<WorkerReport, WorkerError> {
-        self.renew_within(acknowledged, u32::MAX).await
+        self.renew_with_usage_limit(acknowledged, u32::MAX).await
     }
 
-    pub(crate) async fn renew_within(
+    pub(crate) async fn renew_with_usage_limit(
         &self,
         acknowledged: &[TaskAttempt],
         usage_limit: u32,
@@ -112,7 +112,7 @@
         self.port.checkpoint(self.address, EPOCH, attempt).await
     }
 
-    pub(crate) async fn ends(&self) -> Vec<(TaskAttempt, Option<TaskEvent>)> {
+    pub(crate) async fn completions(&self) -> Vec<(TaskAttempt, Option<TaskEvent>)> {
         let report = self.renew(&[]).await.unwrap();
         let ended = report.ended.into_iter();
         ended.map(|task| (task.attempt, task.ended)).collect()
--- a/crates/standins/tests/contracts/worker_orders.rs
+++ b/crates/standins/tests/contracts/worker_orders.rs
@@ -1,4 +1,4 @@
-//! What every adapter of the workers must do with orders. A new adapter is one more line.
+//! Contract tests of a worker's orders: epochs, delayed and repeated orders, capacity and faults.
 
 use std::time::Duration;
 
@@ -23,9 +23,9 @@
 use crate::{
     harness::{
         self,
-        FOREVER,
-        IMPATIENT,
-        PATIENT,
+        ENDLESS_DELAY,
+        LONG_TIMEOUT,
+        SHORT_TIMEOUT,
         WorkerHarness, //
     },
     worker_calls::{
@@ -38,7 +38,7 @@
     }, //
 };
 
-async fn follows_the_newest_epoch_alone(worker: WorkerHarness) {
+async fn obeys_only_the_newest_epoch(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     let inventory = worker.adopt(EPOCH.next()).await.unwrap();
@@ -56,10 +56,10 @@
     assert_eq!(worker.stand_in.running().len(), 1);
 }
 
-// The number of shards changes and a worker comes to a shard with a lower epoch. Compared with the
-// former shard's, that epoch would shut its owner out for good; a higher one would take over runs that
-// the former owner still answers for.
-async fn follows_another_shard_once_the_former_lease_lapsed(worker: WorkerHarness) {
+// When the number of shards changes, a worker may move to a shard whose epoch is lower. Epochs of different shards
+// must not be compared: a lower epoch would lock the new owner out permanently, and a higher one would take over runs
+// for which the former owner is still responsible.
+async fn adopts_another_shard_once_the_former_lease_lapsed(worker: WorkerHarness) {
     for epoch in [OwnerEpoch(EPOCH.0 - 1), EPOCH, EPOCH.next()] {
         worker.stand_in.restart();
         let before = worker.adopt_for(1, EPOCH).await.unwrap().incarnation;
@@ -79,7 +79,7 @@
         let inventory = worker.adopt_for(2, epoch).await.unwrap();
         assert_eq!(worker.stand_in.running(), [], "{epoch}");
         assert_ne!(inventory.incarnation, before, "{epoch}");
-        // What the former owner sent comes late, also under the same epoch.
+        // Delayed orders of the former owner are refused, also if the epoch is the same.
         assert!(worker.renew(&[]).await.is_err(), "{epoch}");
         assert!(worker.start(order(2)).await.is_err(), "{epoch}");
         let back = worker.adopt_for(1, EPOCH).await;
@@ -102,7 +102,7 @@
     assert_eq!(worker.ledger.summary().evictions, 1);
 }
 
-async fn reports_an_end_until_it_is_acknowledged(worker: WorkerHarness) {
+async fn reports_a_completion_until_it_is_acknowledged(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     worker.clock.advance(4 * SECOND);
@@ -110,17 +110,20 @@
         result: "done 7/1".to_owned(),
     };
     for _ in 0..2 {
-        assert_eq!(worker.ends().await, [(run(1, 1), Some(finished.clone()))]);
+        assert_eq!(
+            worker.completions().await,
+            [(run(1, 1), Some(finished.clone()))]
+        );
     }
     assert_eq!(worker.renew(&[run(1, 1)]).await.unwrap().ended, []);
-    // The acknowledged run stays shut out.
+    // The acknowledged run still can't be started again.
     let again = worker.start(batch(1, 1)).await;
     assert_eq!(again, Err(WorkerError::OutOfDate));
 }
 
-/// A task runs in two places: its start came late, when its sender had given it up and started it
-/// elsewhere. Whatever shows that an order is late shuts it out.
-async fn late_starts_are_refused(worker: WorkerHarness) {
+/// A delayed start order must be refused. Otherwise a task runs in two places, because the sender has meanwhile given
+/// up the order and started the task elsewhere.
+async fn delayed_starts_are_refused(worker: WorkerHarness) {
     let refused = Err(WorkerError::OutOfDate);
     assert_eq!(worker.start(batch(1, 1)).await, refused, "no lease");
     worker.adopt(EPOCH).await.unwrap();
@@ -141,8 +144,8 @@
     assert_eq!(worker.ledger.overlaps(), []);
 }
 
-/// A task runs in two places: a renewal and a start were both stuck on their way, until their sender
-/// had given the run up and started it elsewhere. The renewal must not revive the lease.
+/// A delayed renewal must not restore a lapsed lease. Otherwise a delayed start order after it would be accepted, and
+/// a task runs in two places, because the sender has meanwhile given up the order and started the task elsewhere.
 async fn a_lapsed_lease_is_not_renewed(worker: WorkerHarness) {
     let refused = Some(WorkerError::OutOfDate);
     assert_eq!(worker.renew(&[]).await.err(), refused, "never adopted");
@@ -158,7 +161,7 @@
     assert_eq!(worker.ledger.summary().starts, 0);
 }
 
-async fn never_holds_more_than_it_can(worker: WorkerHarness) {
+async fn refuses_orders_beyond_its_capacity(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     let cases = [
         (ResourceAmount::new(8_001, 1), false),
@@ -185,7 +188,7 @@
     assert_eq!(peak.reserved, peak.capacity);
 }
 
-async fn tells_the_truth_about_a_failed_start(worker: WorkerHarness) {
+async fn a_failed_start_reports_whether_it_may_have_run(worker: WorkerHarness) {
     let cases = [
         (FaultKind::LoseRequest, false, false),
         (FaultKind::LoseAnswer, false, true),
@@ -205,13 +208,13 @@
         assert_eq!(error, expected, "{fault:?}");
         let ledger = &worker.ledger;
         if starts {
-            harness::eventually("the start", || ledger.runs_of(7, index).len() == 1).await;
+            harness::wait_until("the start", || ledger.runs_of(7, index).len() == 1).await;
         }
         assert_eq!(ledger.runs_of(7, index).len(), usize::from(starts));
     }
 }
 
-/// A start is delivered a second time after its run was stopped: the run must not come back.
+/// A start order that is delivered again after its run was stopped must not start the run again.
 async fn a_start_delivered_twice_runs_once(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     let twice = FaultKind::Duplicate(Duration::from_millis(10));
@@ -225,14 +228,14 @@
 
 contract!(
     [
-        follows_the_newest_epoch_alone,
-        follows_another_shard_once_the_former_lease_lapsed,
+        obeys_only_the_newest_epoch,
+        adopts_another_shard_once_the_former_lease_lapsed,
         repeated_orders_change_nothing,
-        reports_an_end_until_it_is_acknowledged,
-        late_starts_are_refused,
+        reports_a_completion_until_it_is_acknowledged,
+        delayed_starts_are_refused,
         a_lapsed_lease_is_not_renewed,
-        never_holds_more_than_it_can,
-        tells_the_truth_about_a_failed_start,
+        refuses_orders_beyond_its_capacity,
+        a_failed_start_reports_whether_it_may_have_run,
         a_start_delivered_twice_runs_once,
     ],
     in_memory => crate::harness::worker_in_memory,
@@ -241,12 +244,12 @@
 );
 
 #[tokio::test]
-async fn a_silent_worker_gives_an_unknown_outcome_in_time() {
+async fn a_silent_worker_times_out_with_an_unknown_outcome() {
     for (fault, runs) in [
-        (FaultKind::Slow(FOREVER), 0),
-        (FaultKind::SlowAnswer(FOREVER), 1),
+        (FaultKind::Slow(ENDLESS_DELAY), 0),
+        (FaultKind::SlowAnswer(ENDLESS_DELAY), 1),
     ] {
-        let worker = harness::worker_over_http(IMPATIENT).await;
+        let worker = harness::worker_over_http(SHORT_TIMEOUT).await;
         worker.adopt(EPOCH).await.unwrap();
         worker.stand_in.faults().once(CallKind::Start, fault);
         let answer = worker.start(batch(1, 1)).await;
@@ -256,10 +259,10 @@
     }
 }
 
-/// A worker is reached by one planner and not by the other: the network between them is broken.
+/// A worker can be partitioned from one planner while another reaches it.
 #[tokio::test]
-async fn a_worker_may_be_cut_off_from_one_caller() {
-    let worker = harness::worker_over_http(PATIENT).await;
+async fn a_worker_can_be_partitioned_from_one_caller() {
+    let worker = harness::worker_over_http(LONG_TIMEOUT).await;
     let cut_off = [127, 0, 0, 2].into();
     worker.stand_in.block_caller(cut_off);
     let adoption = EpochAdoption {
@@ -274,11 +277,11 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_says_unreachable() {
-    let mut worker = harness::worker_over_http(PATIENT).await;
+async fn a_refused_connection_returns_unreachable() {
+    let mut worker = harness::worker_over_http(LONG_TIMEOUT).await;
     worker.adopt(EPOCH).await.unwrap();
     drop(worker.guard.take());
-    // The server's task ends soon after its guard; a call that it still met is lost.
+    // The server's task ends shortly after its guard is dropped. A call that it still accepts is lost.
     while worker.renew(&[]).await != Err(WorkerError::Unreachable) {
         tokio::task::yield_now().await;
     }
--- a/crates/standins/tests/contracts/worker_runs.rs
+++ b/crates/standins/tests/contracts/worker_runs.rs
@@ -1,4 +1,4 @@
-//! What every adapter of the workers must tell of their runs. A new adapter is one more line.
+//! Contract tests of runs on a worker: leases, checkpoints, throttling and reports.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
     }, //
 };
 
-/// A task runs in two places: its owner fell silent, a successor waited out the lease and started
-/// the task elsewhere, and the worker went on. A worker stops by itself when its lease lapses.
+/// A worker must end its runs when its lease lapses. Otherwise a task runs in two places: its owner terminated, and
+/// the new owner waited for the lapse of the lease and started the task elsewhere.
 async fn a_lapsed_lease_ends_every_run(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     worker.start(service(1)).await.unwrap();
@@ -89,7 +89,7 @@
     assert_eq!(unknown, Err(WorkerError::UnknownRun));
 }
 
-async fn throttles_and_neighbours_slow_a_run(worker: WorkerHarness) {
+async fn throttling_and_interference_slow_a_run(worker: WorkerHarness) {
     let model = InterferenceModel::new().with_pair("sync", "cart", 1_000);
     worker
         .stand_in
@@ -110,7 +110,7 @@
     assert_eq!(unknown.await, Err(WorkerError::UnknownRun));
 }
 
-async fn reports_usage_late_and_once(worker: WorkerHarness) {
+async fn reports_each_measurement_once_after_its_lag(worker: WorkerHarness) {
     worker.stand_in.set_knobs(|knobs| {
         knobs.usage_period = 2 * SECOND;
         knobs.usage_lag = (3 * SECOND, 3 * SECOND);
@@ -135,9 +135,10 @@
     assert_eq!(usage.progress_millis, Some(250));
 }
 
-// At 2,600 workers the use of every run in every report costs a daemon more than control may cost. The
-// owner bounds it; a run beyond the bound must not stay unseen, and no end may wait for its turn.
-async fn bounded_reports_name_all_runs_in_turn_and_ends_at_once(worker: WorkerHarness) {
+// At 2,600 workers, reporting the usage of every run in every report would exceed a daemon's budget for control
+// traffic. So the owner limits the number of measurements in a report. Every run must still be reported in turn, and
+// completions must not be delayed.
+async fn limited_reports_rotate_over_all_runs_and_include_all_completions(worker: WorkerHarness) {
     worker.stand_in.set_knobs(|knobs| {
         knobs.usage_period = SECOND;
         knobs.usage_lag = (Duration::ZERO, Duration::ZERO);
@@ -154,33 +155,33 @@
     let mut reported = Vec::new();
     for _ in 0..12 {
         worker.clock.advance(SECOND);
-        let report = worker.renew_within(&[], 2).await.unwrap();
+        let report = worker.renew_with_usage_limit(&[], 2).await.unwrap();
         assert_eq!(report.usage.len(), 2);
         let fresh = report.usage.iter().all(|usage| usage.age.is_zero());
         assert!(fresh, "{:?}", report.usage);
         reported.push([0, 1].map(|place| report.usage[place].attempt));
     }
-    // Seven runs, two at a time: any four reports in a row name each.
+    // Seven runs, two in each report: any four consecutive reports include every run.
     for round in reported.windows(4) {
         for index in 0..7 {
             let named = round.as_flattened().contains(&run(index, 1));
             assert!(named, "{index}: {round:?}");
         }
     }
-    // A run that begins was never reported, and goes before those left over from earlier reports.
+    // A new run was never reported, so that it precedes the runs left over from earlier reports.
     worker.start(batch(7, 1)).await.unwrap();
     worker.clock.advance(SECOND);
-    let first = worker.renew_within(&[], 2).await.unwrap().usage;
+    let first = worker.renew_with_usage_limit(&[], 2).await.unwrap().usage;
     assert_eq!(first[0].attempt, run(7, 1));
     for index in 0..3 {
         worker.stop(run(index, 1)).await.unwrap();
     }
-    let ended = worker.renew_within(&[], 1).await.unwrap().ended;
+    let ended = worker.renew_with_usage_limit(&[], 1).await.unwrap().ended;
     assert_eq!(ended.len(), 3);
 }
 
-// A report that leaves out a slow service would have the owner lift its throttle.
-async fn a_bounded_report_names_services_first(worker: WorkerHarness) {
+// If a limited report omitted a slow service, the owner would end the throttling of the tasks that slow it down.
+async fn a_limited_report_lists_services_first(worker: WorkerHarness) {
     worker.stand_in.set_knobs(|knobs| {
         knobs.usage_period = SECOND;
         knobs.usage_lag = (Duration::ZERO, Duration::ZERO);
@@ -192,13 +193,13 @@
     worker.start(service(4)).await.unwrap();
     for _ in 0..3 {
         worker.clock.advance(SECOND);
-        let usage = worker.renew_within(&[], 2).await.unwrap().usage;
+        let usage = worker.renew_with_usage_limit(&[], 2).await.unwrap().usage;
         assert_eq!(usage.len(), 2);
         assert_eq!(usage[0].attempt, run(4, 1));
     }
 }
 
-async fn a_restarted_worker_says_so(worker: WorkerHarness) {
+async fn a_restarted_worker_has_a_new_incarnation(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     let before = worker.renew(&[]).await.unwrap().incarnation;
@@ -218,18 +219,18 @@
     worker.start(batch(1, 1)).await.unwrap();
     worker.clock.advance(SECOND);
     let failed = TaskEvent::Failed { code: 1 };
-    assert_eq!(worker.ends().await, [(run(1, 1), Some(failed))]);
+    assert_eq!(worker.completions().await, [(run(1, 1), Some(failed))]);
 }
 
 contract!(
     [
         a_lapsed_lease_ends_every_run,
         a_checkpoint_may_fail_or_be_lost,
-        throttles_and_neighbours_slow_a_run,
-        reports_usage_late_and_once,
-        bounded_reports_name_all_runs_in_turn_and_ends_at_once,
-        a_bounded_report_names_services_first,
-        a_restarted_worker_says_so,
+        throttling_and_interference_slow_a_run,
+        reports_each_measurement_once_after_its_lag,
+        limited_reports_rotate_over_all_runs_and_include_all_completions,
+        a_limited_report_lists_services_first,
+        a_restarted_worker_has_a_new_incarnation,
         a_broken_worker_fails_every_task,
     ],
     in_memory => crate::harness::worker_in_memory,
--- a/crates/standins/tests/fuzz/adapters.rs
+++ b/crates/standins/tests/fuzz/adapters.rs
@@ -1,4 +1,4 @@
-//! Arbitrary answers to the adapters.
+//! Corrupted and foreign responses to the HTTP adapters.
 
 use std::{
     sync::Arc,
@@ -37,14 +37,14 @@
 use tokio::runtime::Runtime;
 
 use crate::mutation::{
-    mutate,
+    mutate_input,
     with_fixed_seeds, //
 };
 
-/// An answer that never ends is given up after this.
-const TIMEOUT: Duration = Duration::from_millis(200);
+/// The adapters' timeout, after which they give up on an incomplete response.
+const CALL_TIMEOUT: Duration = Duration::from_millis(200);
 
-fn answers() -> Vec<Vec<u8>> {
+fn commit_responses() -> Vec<Vec<u8>> {
     let committed = serde_json::to_string(&CommitOutcome::Committed(7.into())).unwrap();
     let length = committed.len();
     [
@@ -57,7 +57,7 @@
     .to_vec()
 }
 
-fn server() -> EndpointStandIn {
+fn instant_endpoint() -> EndpointStandIn {
     let knobs = EndpointKnobs {
         service_time: ServiceTime::Fixed(Duration::ZERO),
         ..EndpointKnobs::default()
@@ -65,39 +65,39 @@
     EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1).with_knobs(knobs)
 }
 
-/// A writer believes that its commit did not run, or ran, because the answer was damaged on its way.
-/// Only an undamaged answer may say so.
+/// A corrupted response must not be taken for the report that a commit had no effect or met a conflict: the writer
+/// would repeat or drop a commit that may have taken effect.
 #[test]
-fn a_damaged_answer_never_says_that_a_commit_did_not_run() {
+fn a_corrupted_response_never_means_that_a_commit_did_not_run() {
     let runtime = Runtime::new().unwrap();
-    let server = server();
+    let server = instant_endpoint();
     let (address, _guard) = runtime.block_on(server.start()).unwrap();
-    let valid = answers();
+    let valid = commit_responses();
     with_fixed_seeds(|source| {
-        let answer = mutate(source, &valid)?;
+        let answer = mutate_input(source, &valid)?;
         let refuses = answer.starts_with(b"HTTP/1.1 4");
         server.once(EndpointFault::Raw(answer.clone().into()));
-        let table = HttpTable::new(address).with_timeout(TIMEOUT);
+        let table = HttpTable::new(address).with_timeout(CALL_TIMEOUT);
         let outcome = runtime.block_on(table.commit(WriteId(1), Vec::new()));
-        let damaged = match outcome {
+        let contradicts = match outcome {
             Ok(CommitOutcome::Committed(_)) => false,
             Ok(CommitOutcome::Conflict { .. }) => true,
             Err(error) => error.surely_not_run() && !refuses,
         };
-        assert!(!damaged, "{outcome:?} for {}", answer.escape_ascii());
+        assert!(!contradicts, "{outcome:?} for {}", answer.escape_ascii());
         Ok(())
     });
 }
 
 #[test]
-fn a_foreign_answer_is_no_answer() {
+fn a_response_in_another_format_is_rejected() {
     let runtime = Runtime::new().unwrap();
-    let server = server();
+    let server = instant_endpoint();
     let (address, _guard) = runtime.block_on(server.start()).unwrap();
     let renewal = LeaseRenewal {
         shard: 1,
         epoch: OwnerEpoch(1),
-        lease: TIMEOUT,
+        lease: CALL_TIMEOUT,
         acknowledged: Vec::new(),
         usage_limit: 1000,
     };
@@ -111,29 +111,29 @@
     });
 }
 
-/// An owner believes that a worker was never reached, and starts its tasks elsewhere: the worker's
-/// report was damaged on its way. Whatever came back, the worker was reached.
+/// A corrupted report must not be taken for an unreachable worker: the owner would start the worker's tasks elsewhere
+/// although the worker received the renewal.
 #[test]
-fn a_damaged_report_never_says_that_a_worker_was_not_reached() {
+fn a_corrupted_report_never_means_that_a_worker_was_unreachable() {
     let runtime = Runtime::new().unwrap();
-    let server = server();
+    let server = instant_endpoint();
     let (address, _guard) = runtime.block_on(server.start()).unwrap();
     let valid = [
-        report_in(AnswerFormat::Json),
-        report_in(AnswerFormat::Postcard),
+        report_response(AnswerFormat::Json),
+        report_response(AnswerFormat::Postcard),
     ];
     with_fixed_seeds(|source| {
-        let answer = mutate(source, &valid)?;
+        let answer = mutate_input(source, &valid)?;
         let refuses = answer.starts_with(b"HTTP/1.1 4");
         server.once(EndpointFault::Raw(answer.clone().into()));
         let renewal = LeaseRenewal {
             shard: 1,
             epoch: OwnerEpoch(1),
-            lease: TIMEOUT,
+            lease: CALL_TIMEOUT,
             acknowledged: Vec::new(),
             usage_limit: 1000,
         };
-        let workers = HttpWorkers::new().with_timeout(TIMEOUT);
+        let workers = HttpWorkers::new().with_timeout(CALL_TIMEOUT);
         let report = runtime.block_on(workers.renew(address, renewal));
         let unreached = report == Err(WorkerError::Unreachable);
         assert!(!unreached || refuses, "{}", answer.escape_ascii());
@@ -142,32 +142,32 @@
 }
 
 #[test]
-fn a_report_with_bytes_after_its_end_is_none() {
+fn a_report_with_trailing_bytes_is_rejected() {
     let runtime = Runtime::new().unwrap();
-    let server = server();
+    let server = instant_endpoint();
     let (address, _guard) = runtime.block_on(server.start()).unwrap();
     for format in [AnswerFormat::Json, AnswerFormat::Postcard] {
-        for (extra, is_report) in [("", true), ("0", false)] {
-            let answer = report_and(format, extra);
+        for (suffix, is_report) in [("", true), ("0", false)] {
+            let answer = report_response_with_suffix(format, suffix);
             server.once(EndpointFault::Raw(answer.into()));
             let renewal = LeaseRenewal {
                 shard: 1,
                 epoch: OwnerEpoch(1),
-                lease: TIMEOUT,
+                lease: CALL_TIMEOUT,
                 acknowledged: Vec::new(),
                 usage_limit: 1000,
             };
             let report = runtime.block_on(HttpWorkers::new().renew(address, renewal));
-            assert_eq!(report.is_ok(), is_report, "{format:?} {extra}");
+            assert_eq!(report.is_ok(), is_report, "{format:?} {suffix}");
         }
     }
 }
 
-fn report_in(format: AnswerFormat) -> Vec<u8> {
-    report_and(format, "")
+fn report_response(format: AnswerFormat) -> Vec<u8> {
+    report_response_with_suffix(format, "")
 }
 
-fn report_and(format: AnswerFormat, extra: &str) -> Vec<u8> {
+fn report_response_with_suffix(format: AnswerFormat, suffix: &str) -> Vec<u8> {
     let usage = TaskUsage {
         attempt: TaskAttempt {
             job: 7,
@@ -192,7 +192,7 @@
             postcard::to_stdvec(&answer).unwrap(),
         ),
     };
-    body.extend(extra.as_bytes());
+    body.extend(suffix.as_bytes());
     let length = body.len();
     let head =
         format!("HTTP/1.1 200 OK\r\ncontent-type: {kind}\r\ncontent-length: {length}\r\n\r\n");
--- a/crates/standins/tests/fuzz/configuration.rs
+++ b/crates/standins/tests/fuzz/configuration.rs
@@ -1,9 +1,9 @@
-//! Arbitrary configuration documents.
+//! Mutated configuration documents.
 
 use jasminebend_base::Configuration;
 
 use crate::mutation::{
-    mutate,
+    mutate_input,
     with_fixed_seeds, //
 };
 
@@ -43,17 +43,17 @@
 }
 
 #[test]
-fn a_document_is_refused_or_survives_a_round_trip() {
+fn a_document_is_rejected_or_survives_a_round_trip() {
     let valid = [DOCUMENT.as_bytes().to_vec()];
     let mut accepted = 0;
     with_fixed_seeds(|source| {
-        let bytes = mutate(source, &valid)?;
+        let bytes = mutate_input(source, &valid)?;
         let text = String::from_utf8_lossy(&bytes);
         let Ok(document) = serde_saphyr::from_str::<Configuration>(&text) else {
             return Ok(());
         };
         accepted += 1;
-        // Whatever it says, checking it ends; what is kept of it is read back as the same.
+        // The check of any document terminates, and the stored form of the document is read back unchanged.
         let checked = document.check();
         let kept = serde_json::to_vec(&document).unwrap();
         let again: Configuration = serde_json::from_slice(&kept).unwrap();
--- a/crates/standins/tests/fuzz/main.rs
+++ b/crates/standins/tests/fuzz/main.rs
@@ -1,5 +1,5 @@
-//! Arbitrary input from outside, with fixed seeds: it never panics, is refused clearly, and changes
-//! nothing.
+//! Fuzz tests with fixed seeds. Malformed input from other processes must never cause a panic, must be rejected with an
+//! error, and must change no state.
 
 #![expect(
     clippy::unwrap_used,
--- a/crates/standins/tests/fuzz/servers.rs
+++ b/crates/standins/tests/fuzz/servers.rs
@@ -1,4 +1,4 @@
-//! Arbitrary bodies and bytes sent to the servers.
+//! Mutated request bodies and raw bytes sent to the stand-ins' servers.
 
 use std::{
     net::SocketAddr,
@@ -41,20 +41,20 @@
 };
 
 use crate::mutation::{
-    mutate,
+    mutate_input,
     with_fixed_seeds, //
 };
 
 const EPOCH: OwnerEpoch = OwnerEpoch(5);
 
-fn json<Message>(message: &Message) -> Vec<u8>
+fn to_json<Message>(message: &Message) -> Vec<u8>
 where
     Message: Serialize,
 {
     serde_json::to_vec(message).unwrap()
 }
 
-fn post(path: &str, body: &[u8]) -> Vec<u8> {
+fn post_request(path: &str, body: &[u8]) -> Vec<u8> {
     let length = body.len();
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: a\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n"
@@ -62,8 +62,8 @@
     [head.as_bytes(), body].concat()
 }
 
-/// Sends bytes and returns the status of the answer, if there is one.
-async fn send(address: SocketAddr, bytes: &[u8]) -> Option<u16> {
+/// Sends bytes and returns the status of the response, or `None` without a valid one.
+async fn send_request(address: SocketAddr, bytes: &[u8]) -> Option<u16> {
     let mut stream = TcpStream::connect(address).await.unwrap();
     stream.write_all(bytes).await.unwrap();
     let mut answer = Vec::new();
@@ -72,10 +72,10 @@
     std::str::from_utf8(status).ok()?.parse().ok()
 }
 
-/// Sends bytes that may be no whole request, and waits until the server has closed.
-async fn send_and_close(address: SocketAddr, bytes: &[u8]) {
+/// Sends bytes that may be an incomplete request, and waits until the server closes the connection.
+async fn send_raw_bytes(address: SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // The server may refuse and close before it has read everything.
+    // The server may refuse the request and close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let _ = stream.read_to_end(&mut Vec::new()).await;
@@ -99,11 +99,11 @@
         TableRequest::Commit { write, changes },
     ]
     .iter()
-    .map(json)
+    .map(to_json)
     .collect()
 }
 
-fn seeded_table() -> TableStandIn {
+fn table_with_rows() -> TableStandIn {
     let table = TableStandIn::new();
     let rows = ["row/1", "row/2"];
     let rows = rows.map(|key| RowChange::put(key, RowExpectation::Any, b"old".to_vec()));
@@ -112,16 +112,16 @@
 }
 
 #[test]
-fn the_table_refuses_what_is_no_request() {
+fn the_table_refuses_malformed_requests() {
     let runtime = Runtime::new().unwrap();
     let valid = table_requests();
     with_fixed_seeds(|source| {
-        let table = seeded_table();
+        let table = table_with_rows();
         let before = table.rows("");
-        let body = mutate(source, &valid)?;
+        let body = mutate_input(source, &valid)?;
         let status = runtime.block_on(async {
             let (address, _guard) = table.start().await.unwrap();
-            send(address, &post(TableRequest::PATH, &body)).await
+            send_request(address, &post_request(TableRequest::PATH, &body)).await
         });
         let parsed = serde_json::from_slice::<TableRequest>(&body);
         let expected = if parsed.is_ok() { 200 } else { 400 };
@@ -133,7 +133,7 @@
     });
 }
 
-fn run(index: u32) -> TaskAttempt {
+fn task_attempt(index: u32) -> TaskAttempt {
     TaskAttempt {
         job: 7,
         index,
@@ -141,9 +141,9 @@
     }
 }
 
-fn order(index: u32) -> TaskOrder {
+fn start_order(index: u32) -> TaskOrder {
     TaskOrder {
-        attempt: run(index),
+        attempt: task_attempt(index),
         class: "sync".into(),
         kind: ClassKind::Batch,
         reserved: ResourceAmount::new(1_000, 1_000),
@@ -166,33 +166,33 @@
             shard: 1,
             epoch: EPOCH,
             lease,
-            acknowledged: vec![run(3)],
+            acknowledged: vec![task_attempt(3)],
             usage_limit: 1000,
         }),
         WorkerRequest::Start {
             epoch: EPOCH,
-            order: order(2),
+            order: start_order(2),
         },
         WorkerRequest::Throttle {
             epoch: EPOCH,
-            attempt: run(1),
+            attempt: task_attempt(1),
             speed_millis: 500,
         },
         WorkerRequest::Checkpoint {
             epoch: EPOCH,
-            attempt: run(1),
+            attempt: task_attempt(1),
         },
         WorkerRequest::Stop {
             epoch: EPOCH,
-            attempt: run(1),
+            attempt: task_attempt(1),
         },
     ]
     .iter()
-    .map(json)
+    .map(to_json)
     .collect()
 }
 
-fn seeded_worker(ledger: &Arc<RunLedger>) -> WorkerStandIn {
+fn worker_with_ledger(ledger: &Arc<RunLedger>) -> WorkerStandIn {
     WorkerStandIn::new(
         "vm-1",
         "north",
@@ -204,25 +204,25 @@
 }
 
 #[test]
-fn a_worker_refuses_what_is_no_request() {
+fn a_worker_refuses_malformed_requests() {
     let runtime = Runtime::new().unwrap();
     let valid = worker_requests();
     with_fixed_seeds(|source| {
         let ledger = Arc::new(RunLedger::new());
-        let worker = seeded_worker(&ledger);
-        let body = mutate(source, &valid)?;
+        let worker = worker_with_ledger(&ledger);
+        let body = mutate_input(source, &valid)?;
         let (before, after, status) = runtime.block_on(async {
             let (address, _guard) = worker.start_server().await.unwrap();
             let start = WorkerRequest::Start {
                 epoch: EPOCH,
-                order: order(1),
+                order: start_order(1),
             };
-            for body in [valid[0].clone(), json(&start)] {
-                let status = send(address, &post(WorkerRequest::PATH, &body)).await;
+            for body in [valid[0].clone(), to_json(&start)] {
+                let status = send_request(address, &post_request(WorkerRequest::PATH, &body)).await;
                 assert_eq!(status, Some(200));
             }
             let before = (worker.running(), ledger.runs());
-            let status = send(address, &post(WorkerRequest::PATH, &body)).await;
+            let status = send_request(address, &post_request(WorkerRequest::PATH, &body)).await;
             (before, (worker.running(), ledger.runs()), status)
         });
         if serde_json::from_slice::<WorkerRequest>(&body).is_ok() {
@@ -235,20 +235,20 @@
     });
 }
 
-/// A caller's broken bytes end the server for all: its next caller gets no answer.
+/// Bytes that are not HTTP must not stop the server for other callers.
 #[test]
-fn a_server_outlives_bytes_that_are_no_http() {
+fn a_server_survives_bytes_that_are_not_http() {
     let runtime = Runtime::new().unwrap();
-    let table = seeded_table();
+    let table = table_with_rows();
     let (address, _guard) = runtime.block_on(table.start()).unwrap();
     let before = table.rows("");
     let requests = table_requests();
-    let read = post(TableRequest::PATH, &requests[0]);
+    let read = post_request(TableRequest::PATH, &requests[0]);
     with_fixed_seeds(|source: &mut Unstructured<'_>| {
-        let bytes = mutate(source, std::slice::from_ref(&read))?;
+        let bytes = mutate_input(source, std::slice::from_ref(&read))?;
         runtime.block_on(async {
-            send_and_close(address, &bytes).await;
-            assert_eq!(send(address, &read).await, Some(200));
+            send_raw_bytes(address, &bytes).await;
+            assert_eq!(send_request(address, &read).await, Some(200));
         });
         Ok(())
     });
--- a/crates/standins/tests/proof_map.rs
+++ b/crates/standins/tests/proof_map.rs
@@ -1,4 +1,4 @@
-//! The map from properties to tests names only what exists.
+//! Checks that every file and test that `tests/README.md` names exists.
 
 #![expect(
     clippy::unwrap_used,
@@ -13,30 +13,30 @@
     },
 };
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn read_all(directory: &Path, text: &mut String) {
+fn append_sources(directory: &Path, text: &mut String) {
     for entry in fs::read_dir(directory).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            read_all(&path, text);
+            append_sources(&path, text);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             text.push_str(&fs::read_to_string(path).unwrap());
         }
     }
 }
 
-fn all_tests() -> String {
+fn read_all_tests() -> String {
     let mut text = String::new();
-    for entry in fs::read_dir(root().join("crates")).unwrap() {
+    for entry in fs::read_dir(repository_root().join("crates")).unwrap() {
         let tests = entry.unwrap().path().join("tests");
         if tests.is_dir() {
-            read_all(&tests, &mut text);
+            append_sources(&tests, &mut text);
         }
     }
-    read_all(&root().join("platform/tests"), &mut text);
+    append_sources(&repository_root().join("platform/tests"), &mut text);
     text
 }
 
@@ -46,17 +46,17 @@
 }
 
 #[test]
-fn every_file_and_test_of_the_map_exists() {
-    let map = fs::read_to_string(root().join("tests/README.md")).unwrap();
-    let tests = all_tests();
+fn every_file_and_test_in_the_readme_exists() {
+    let map = fs::read_to_string(repository_root().join("tests/README.md")).unwrap();
+    let tests = read_all_tests();
     let words = map.split('`').skip(1).step_by(2);
     let mut missing = Vec::new();
-    let mut named = 0;
+    let mut named_tests = 0;
     for word in words {
         let exists = if word.ends_with(".rs") {
-            root().join(word).is_file()
+            repository_root().join(word).is_file()
         } else if is_test_name(word) {
-            named += 1;
+            named_tests += 1;
             tests.contains(&format!("fn {word}("))
         } else {
             true
@@ -66,5 +66,8 @@
         }
     }
     assert!(missing.is_empty(), "{missing:#?}");
-    assert!(named > 50, "the map's form has changed");
+    assert!(
+        named_tests > 50,
+        "the format of tests/README.md has changed"
+    );
 }
