--- a/crates/standins/src/endpoint_answer.rs
+++ b/crates/standins/src/endpoint_answer.rs
@@ -13,25 +13,25 @@
 };
 
 /// The padding byte.
-const FILLER: u8 = b'.';
+const PADDING_BYTE: u8 = b'.';
 /// The number of lines in a response body: the padding counts as one.
-const FIELDS: usize = 4;
+const LINE_COUNT: usize = 4;
 
 /// Why a body is not the complete response to a request.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum AnswerFault {
     /// It doesn't have the format of a stand-in endpoint's response.
     #[display("the response is not in an endpoint's format")]
-    Foreign,
+    UnknownFormat,
     /// It is the response to another request.
     #[display("the response belongs to another request")]
     OtherRequest,
     /// Its padding is shorter or longer than the length in its second line.
     #[display("the response has the wrong length")]
-    NotWhole,
+    WrongLength,
     /// Its bytes, or those of the request's body, were corrupted in transit.
     #[display("the response's checksum is wrong")]
-    Changed,
+    WrongChecksum,
 }
 
 /// Builds and verifies the response bodies of stand-in endpoints. A body has four lines: the request's ID, the length
@@ -41,10 +41,10 @@
 
 impl EndpointAnswer {
     /// Returns the body of the response to a request, with this number of padding bytes.
-    pub fn build(id: &str, request: &[u8], filler: usize) -> Bytes {
-        let sum = checksum(id, request, filler);
-        let mut answer = format!("{id}\n{filler}\n{sum:016x}\n").into_bytes();
-        answer.resize(answer.len() + filler, FILLER);
+    pub fn build(id: &str, request: &[u8], padding: usize) -> Bytes {
+        let sum = checksum(id, request, padding);
+        let mut answer = format!("{id}\n{padding}\n{sum:016x}\n").into_bytes();
+        answer.resize(answer.len() + padding, PADDING_BYTE);
         answer.into()
     }
 
@@ -54,25 +54,25 @@
     ///
     /// Returns the first [`AnswerFault`] found.
     pub fn check(id: &str, request: &[u8], answer: &[u8]) -> Result<(), AnswerFault> {
-        let mut lines = answer.splitn(FIELDS, |byte| *byte == b'\n');
-        let mut next = || lines.next().ok_or(AnswerFault::Foreign);
-        let (found, length, sum, filler) = (next()?, next()?, next()?, next()?);
+        let mut lines = answer.splitn(LINE_COUNT, |byte| *byte == b'\n');
+        let mut next = || lines.next().ok_or(AnswerFault::UnknownFormat);
+        let (found, length, sum, padding) = (next()?, next()?, next()?, next()?);
         if found != id.as_bytes() {
             return Err(AnswerFault::OtherRequest);
         }
-        if length != filler.len().to_string().as_bytes() {
-            return Err(AnswerFault::NotWhole);
+        if length != padding.len().to_string().as_bytes() {
+            return Err(AnswerFault::WrongLength);
         }
-        let expected = format!("{:016x}", checksum(id, request, filler.len()));
-        if sum != expected.as_bytes() || filler.iter().any(|byte| *byte != FILLER) {
-            return Err(AnswerFault::Changed);
+        let expected = format!("{:016x}", checksum(id, request, padding.len()));
+        if sum != expected.as_bytes() || padding.iter().any(|byte| *byte != PADDING_BYTE) {
+            return Err(AnswerFault::WrongChecksum);
         }
         Ok(())
     }
 }
 
-fn checksum(id: &str, request: &[u8], filler: usize) -> u64 {
+fn checksum(id: &str, request: &[u8], padding: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (id, request, filler).hash(&mut hasher);
+    (id, request, padding).hash(&mut hasher);
     hasher.finish()
 }
--- a/crates/standins/src/endpoint_fault.rs
+++ b/crates/standins/src/endpoint_fault.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum EndpointFault {
     /// Closes the connection without processing the request.
-    CloseUnrun,
+    CloseBeforeRun,
     /// Processes the request and closes the connection before the response.
     CloseBeforeAnswer,
     /// Processes the request and closes the connection after the response's head.
@@ -17,9 +17,9 @@
     /// Processes the request and closes the connection after half of the response's body.
     CloseMidBody,
     /// Makes the connection silent for the rest of its life, without processing the request.
-    GoSilent,
+    SilenceBeforeRun,
     /// Processes the request and makes the connection silent for the rest of its life.
-    GoSilentAfterRun,
+    SilenceAfterRun,
     /// Responds with this status at once without processing the request. The response lacks the header that says so.
     FailFast(StatusCode),
     /// Processes the request and responds with this status.
--- a/crates/standins/src/endpoint_ledger.rs
+++ b/crates/standins/src/endpoint_ledger.rs
@@ -22,11 +22,11 @@
     /// The number of requests that arrived while every slot was busy. A correct caller leaves it at zero.
     pub over_slots: u64,
     /// The maximum number of requests that were processed at the same time.
-    pub most_running: u64,
+    pub max_running: u64,
     /// The number of connections that are open now.
-    pub open: u64,
+    pub open_connections: u64,
     /// The maximum number of connections that were open at the same time.
-    pub most_open: u64,
+    pub max_open_connections: u64,
     /// The number of connections that were opened beyond the limit. A correct caller leaves it at zero.
     pub over_connections: u64,
     /// When the last request arrived, on the endpoint's clock; `None` before the first.
@@ -94,14 +94,14 @@
 
     pub(crate) fn record_open(&self, endpoint: &VmName, limit: u16) {
         self.update(endpoint, |counts| {
-            counts.open += 1;
-            counts.most_open = counts.most_open.max(counts.open);
-            counts.over_connections += u64::from(counts.open > u64::from(limit));
+            counts.open_connections += 1;
+            counts.max_open_connections = counts.max_open_connections.max(counts.open_connections);
+            counts.over_connections += u64::from(counts.open_connections > u64::from(limit));
         });
     }
 
     pub(crate) fn record_close(&self, endpoint: &VmName) {
-        self.update(endpoint, |counts| counts.open -= 1);
+        self.update(endpoint, |counts| counts.open_connections -= 1);
     }
 
     pub(crate) fn record_arrival(&self, endpoint: &VmName, now: Duration, over_slots: bool) {
@@ -116,7 +116,7 @@
         self.update(endpoint, |counts| {
             counts.runs += 1;
             counts.running += 1;
-            counts.most_running = counts.most_running.max(counts.running);
+            counts.max_running = counts.max_running.max(counts.running);
             counts.last_start = Some(now);
         });
         if let Some(id) = id {
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -108,8 +108,8 @@
         .record_arrival(&state.name, state.clock.monotonic(), slot.is_none());
     let fault = state.plan().next_fault();
     match &fault {
-        Some(EndpointFault::CloseUnrun) => return Err(CloseConnection),
-        Some(EndpointFault::GoSilent) => return go_silent(&state, &control).await,
+        Some(EndpointFault::CloseBeforeRun) => return Err(CloseConnection),
+        Some(EndpointFault::SilenceBeforeRun) => return go_silent(&state, &control).await,
         Some(EndpointFault::FailFast(status)) => return body_response(*status, Bytes::new()),
         Some(EndpointFault::Refuse) => return refuse_leaving(),
         _ => {}
@@ -178,7 +178,7 @@
 ) -> ResponseResult {
     match fault {
         Some(EndpointFault::CloseBeforeAnswer) => return Err(CloseConnection),
-        Some(EndpointFault::GoSilentAfterRun) => return go_silent(state, control).await,
+        Some(EndpointFault::SilenceAfterRun) => return go_silent(state, control).await,
         Some(EndpointFault::FailAfterRun(status)) => return body_response(status, body),
         Some(EndpointFault::CloseAfterHead) => control.replace_response(response_head(&body), true),
         Some(EndpointFault::CloseMidBody) => {
--- a/crates/standins/src/object_stand_in.rs
+++ b/crates/standins/src/object_stand_in.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sets the maximum size of an object, in bytes; at most that of a call's body.
-    pub fn with_largest(mut self, largest: usize) -> Self {
+    pub fn with_max_object_bytes(mut self, largest: usize) -> Self {
         self.max_object_bytes = largest.min(MAX_CALL_BYTES);
         self
     }
--- a/crates/standins/tests/contracts/endpoint.rs
+++ b/crates/standins/tests/contracts/endpoint.rs
@@ -99,7 +99,7 @@
     let counts = endpoint.counts();
     assert_eq!((counts.over_slots, counts.over_connections), (1, 1));
     wait_until("two runs", || endpoint.counts().runs == 2).await;
-    assert_eq!(endpoint.counts().most_running, 2);
+    assert_eq!(endpoint.counts().max_running, 2);
 }
 
 /// A request that its caller gave up must still occupy its slot while the endpoint processes it. A caller that
@@ -110,7 +110,7 @@
     let given_up = endpoint.send("a").await;
     wait_until("the first run", || endpoint.counts().runs == 1).await;
     drop(given_up);
-    wait_until("the close", || endpoint.counts().open == 0).await;
+    wait_until("the close", || endpoint.counts().open_connections == 0).await;
     let _second = endpoint.send("b").await;
     wait_until("the second arrival", || endpoint.counts().arrivals == 2).await;
     assert_eq!(endpoint.counts().over_slots, 1);
@@ -140,16 +140,21 @@
     let cases = [
         ("a", "body", whole.to_vec(), Ok(())),
         ("b", "body", whole.to_vec(), Err(AnswerFault::OtherRequest)),
-        ("a", "bodi", whole.to_vec(), Err(AnswerFault::Changed)),
-        ("a", "body", changed.collect(), Err(AnswerFault::Changed)),
-        ("a", "body", longer, Err(AnswerFault::NotWhole)),
+        ("a", "bodi", whole.to_vec(), Err(AnswerFault::WrongChecksum)),
+        (
+            "a",
+            "body",
+            changed.collect(),
+            Err(AnswerFault::WrongChecksum),
+        ),
+        ("a", "body", longer, Err(AnswerFault::WrongLength)),
         (
             "a",
             "body",
             whole[..whole.len() - 1].to_vec(),
-            Err(AnswerFault::NotWhole),
+            Err(AnswerFault::WrongLength),
         ),
-        ("a", "body", b"a".to_vec(), Err(AnswerFault::Foreign)),
+        ("a", "body", b"a".to_vec(), Err(AnswerFault::UnknownFormat)),
     ];
     for (id, request, answer, expected) in cases {
         let checked = EndpointAnswer::check(id, request.as_bytes(), &answer);
@@ -164,7 +169,7 @@
     let raw = EndpointFault::Raw(Bytes::from_static(b"HTTP/1.1 nonsense\r\n\r\n"));
     let error = StatusCode::INTERNAL_SERVER_ERROR;
     let cases = [
-        (EndpointFault::CloseUnrun, "", "", 0),
+        (EndpointFault::CloseBeforeRun, "", "", 0),
         (EndpointFault::CloseBeforeAnswer, "", "", 1),
         (EndpointFault::CloseAfterHead, HEAD, "\r\n\r\n", 1),
         (EndpointFault::CloseMidBody, HEAD, "", 1),
@@ -204,7 +209,7 @@
 async fn silenced_connections_stay_open_and_new_ones_work() {
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
     let mut silenced = TcpStream::connect(endpoint.address).await.unwrap();
-    wait_until("the connection", || endpoint.counts().open == 1).await;
+    wait_until("the connection", || endpoint.counts().open_connections == 1).await;
     endpoint.stand_in.silence_connections();
     silenced.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     assert!(endpoint.exchange("a").await.starts_with("HTTP/1.1 200"));
--- a/crates/standins/tests/contracts/harness.rs
+++ b/crates/standins/tests/contracts/harness.rs
@@ -146,7 +146,7 @@
 pub(crate) const MAX_OBJECT_BYTES: usize = 100_000;
 
 pub(crate) async fn objects_in_memory(_timeout: Duration) -> ObjectHarness {
-    let stand_in = ObjectStandIn::new().with_largest(MAX_OBJECT_BYTES);
+    let stand_in = ObjectStandIn::new().with_max_object_bytes(MAX_OBJECT_BYTES);
     Harness {
         port: Arc::new(stand_in.clone()),
         stand_in,
@@ -155,7 +155,7 @@
 }
 
 pub(crate) async fn objects_over_http(timeout: Duration) -> ObjectHarness {
-    let stand_in = ObjectStandIn::new().with_largest(MAX_OBJECT_BYTES);
+    let stand_in = ObjectStandIn::new().with_max_object_bytes(MAX_OBJECT_BYTES);
     let (address, guard) = stand_in.start().await.unwrap();
     Harness {
         port: Arc::new(HttpObjects::new(address).with_timeout(timeout)),
