--- a/crates/standins/tests/contracts/worker_runs.rs
+++ b/crates/standins/tests/contracts/worker_runs.rs
@@ -27,8 +27,8 @@
     }, //
 };
 
-/// A worker must end its runs when its lease lapses. Otherwise a task runs in two places: its owner terminated, and
-/// the new owner waited for the lapse of the lease and started the task elsewhere.
+/// A worker must end its runs when its lease lapses. Otherwise a task runs in two places: its owner became
+/// unreachable, and the new owner waited for the lapse of the lease and started the task elsewhere.
 async fn a_lapsed_lease_ends_every_run(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     worker.start(service(1)).await.unwrap();
