--- a/crates/standins/src/endpoint_answer.rs
+++ b/crates/standins/src/endpoint_answer.rs
@@ -1,4 +1,4 @@
-//! The answer of a stand-in endpoint, which its caller can check.
+//! The response body of a stand-in endpoint, which a caller can verify.
 
 use std::hash::{
     DefaultHasher,
@@ -12,65 +12,67 @@
     Error, //
 };
 
-const FILLER: u8 = b'.';
-const FIELDS: usize = 4;
+/// The padding byte.
+const PADDING_BYTE: u8 = b'.';
+/// The number of lines in a response body: the padding counts as one.
+const LINE_COUNT: usize = 4;
 
-/// Why an answer is not the whole one to a request.
+/// Why a body is not the complete response to a request.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum AnswerFault {
-    /// It doesn't begin as an endpoint's answer does.
-    #[display("the answer is none of an endpoint's")]
-    Foreign,
-    /// It answers another request.
-    #[display("the answer is that to another request")]
+    /// It doesn't have the format of a stand-in endpoint's response.
+    #[display("the response is not in an endpoint's format")]
+    UnknownFormat,
+    /// It is the response to another request.
+    #[display("the response belongs to another request")]
     OtherRequest,
-    /// It is shorter or longer than it says.
-    #[display("the answer is not whole")]
-    NotWhole,
-    /// Its bytes, or those of the request's body, were changed on their way.
-    #[display("the answer's checksum is wrong")]
-    Changed,
+    /// Its padding is shorter or longer than the length in its second line.
+    #[display("the response has the wrong length")]
+    WrongLength,
+    /// Its bytes, or those of the request's body, were corrupted in transit.
+    #[display("the response's checksum is wrong")]
+    WrongChecksum,
 }
 
-/// The answer of a stand-in endpoint: the request's identity, the filler's length, the checksum of
-/// all that with the request's body, and the filler, a line each.
+/// Builds and verifies the response bodies of stand-in endpoints. A body has four lines: the request's ID, the length
+/// of the padding, the checksum of both and of the request's body, and the padding.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointAnswer;
 
 impl EndpointAnswer {
-    /// Builds the answer to a request.
-    pub fn build(id: &str, request: &[u8], filler: usize) -> Bytes {
-        let sum = checksum(id, request, filler);
-        let mut answer = format!("{id}\n{filler}\n{sum:016x}\n").into_bytes();
-        answer.resize(answer.len() + filler, FILLER);
+    /// Returns the body of the response to a request, with this number of padding bytes.
+    pub fn build(id: &str, request: &[u8], padding: usize) -> Bytes {
+        let sum = checksum(id, request, padding);
+        let mut answer = format!("{id}\n{padding}\n{sum:016x}\n").into_bytes();
+        answer.resize(answer.len() + padding, PADDING_BYTE);
         answer.into()
     }
 
-    /// Checks that this is the whole answer to that request.
+    /// Checks that `answer` is the complete response to the request.
     ///
     /// # Errors
     ///
-    /// The [`AnswerFault`] found.
+    /// Returns the first [`AnswerFault`] found.
     pub fn check(id: &str, request: &[u8], answer: &[u8]) -> Result<(), AnswerFault> {
-        let mut lines = answer.splitn(FIELDS, |byte| *byte == b'\n');
-        let mut next = || lines.next().ok_or(AnswerFault::Foreign);
-        let (found, length, sum, filler) = (next()?, next()?, next()?, next()?);
+        let mut lines = answer.splitn(LINE_COUNT, |byte| *byte == b'\n');
+        let mut next = || lines.next().ok_or(AnswerFault::UnknownFormat);
+        let (found, length, sum, padding) = (next()?, next()?, next()?, next()?);
         if found != id.as_bytes() {
             return Err(AnswerFault::OtherRequest);
         }
-        if length != filler.len().to_string().as_bytes() {
-            return Err(AnswerFault::NotWhole);
+        if length != padding.len().to_string().as_bytes() {
+            return Err(AnswerFault::WrongLength);
         }
-        let expected = format!("{:016x}", checksum(id, request, filler.len()));
-        if sum != expected.as_bytes() || filler.iter().any(|byte| *byte != FILLER) {
-            return Err(AnswerFault::Changed);
+        let expected = format!("{:016x}", checksum(id, request, padding.len()));
+        if sum != expected.as_bytes() || padding.iter().any(|byte| *byte != PADDING_BYTE) {
+            return Err(AnswerFault::WrongChecksum);
         }
         Ok(())
     }
 }
 
-fn checksum(id: &str, request: &[u8], filler: usize) -> u64 {
+fn checksum(id: &str, request: &[u8], padding: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
-    (id, request, filler).hash(&mut hasher);
+    (id, request, padding).hash(&mut hasher);
     hasher.finish()
 }
