--- a/crates/jasminebend/src/access_error.rs
+++ b/crates/jasminebend/src/access_error.rs
@@ -1,4 +1,4 @@
-//! Why keys are refused.
+//! Errors of loading the administration API's certificate and tokens.
 
 use derive_more::{
     Display,
@@ -11,13 +11,13 @@
     TokenError, //
 };
 
-/// Why keys are refused.
+/// Error of loading the administration API's certificate or tokens.
 #[derive(Clone, Debug, Display, Eq, Error, From, PartialEq)]
 pub enum AccessError {
-    /// The certificate.
+    /// The certificate or its private key cannot be used.
     #[display("{_0}")]
     Tls(TlsError),
-    /// The tokens.
+    /// The tokens file cannot be used.
     #[display("{_0}")]
     Tokens(TokenError),
 }
--- a/crates/jasminebend/src/access_keys.rs
+++ b/crates/jasminebend/src/access_keys.rs
@@ -1,4 +1,4 @@
-//! Who may come in: the certificate and the tokens in force, replaced without a restart.
+//! The administration API's certificate and operator tokens, which can be replaced without a restart.
 
 use std::{
     fs,
@@ -30,7 +30,7 @@
     TokenTable, //
 };
 
-/// Who may come in: the certificate and the tokens in force.
+/// The administration API's TLS configuration and operator tokens, with the files they come from.
 #[derive(Debug)]
 pub struct AccessKeys {
     tls: Option<TlsSettings>,
@@ -45,11 +45,11 @@
 }
 
 impl AccessKeys {
-    /// Reads the keys that the settings name.
+    /// Reads the certificate, private key and tokens from the files that the settings name.
     ///
     /// # Errors
     ///
-    /// Any [`AccessError`].
+    /// Returns an [`AccessError`] if a file cannot be read or used.
     pub fn load(settings: &DaemonSettings) -> Result<Self, AccessError> {
         let tls = settings.tls.clone();
         let tokens_file = settings.tokens_file.clone();
@@ -61,23 +61,25 @@
         })
     }
 
-    /// Reads the keys again; those in force stay if the new ones are of no use.
+    /// Reads the files again and replaces the current keys if all files are valid.
     ///
     /// # Errors
     ///
-    /// Any [`AccessError`].
+    /// Returns an [`AccessError`] if a file cannot be read or used; the current keys then stay.
     pub fn reload(&self) -> Result<(), AccessError> {
         let loaded = read_keys(self.tls.as_ref(), self.tokens_file.as_deref())?;
         *self.current.write().unwrap_or_else(PoisonError::into_inner) = loaded;
         Ok(())
     }
 
-    /// Returns the TLS configuration for the next connection; `None` without a certificate.
+    /// Returns the current TLS configuration, or `None` if no certificate is set.
     pub fn tls(&self) -> Option<Arc<ServerConfig>> {
         self.loaded().tls
     }
 
-    /// Finds who sends a request that carries this bearer token, or none.
+    /// Returns the operator whom a bearer token belongs to, or `None` if the token is missing or unknown.
+    ///
+    /// Without a tokens file every request is anonymous and may do everything.
     pub fn identify(&self, token: Option<&str>) -> Option<OperatorIdentity> {
         match self.loaded().tokens {
             None => Some(OperatorIdentity::anonymous()),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Lists the files that the keys come from.
+    /// Lists the files that the certificate, private key and tokens are read from.
     pub fn files(&self) -> Vec<PathBuf> {
         let tls = self.tls.iter();
         let tls = tls.flat_map(|tls| [&tls.cert_file, &tls.key_file]);
--- a/crates/jasminebend/src/access_role.rs
+++ b/crates/jasminebend/src/access_role.rs
@@ -1,16 +1,16 @@
-//! What an operator may do.
+//! Roles of operators.
 
 use derive_more::Display;
 use serde::Deserialize;
 
-/// What an operator may do; a later role includes the earlier ones.
+/// The role of an operator; a later role includes the earlier ones.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd)]
 #[serde(rename_all = "lowercase")]
 pub enum AccessRole {
-    /// Look at everything.
+    /// May read everything.
     #[display("read")]
     Read,
-    /// Change everything.
+    /// May also change everything.
     #[display("operate")]
     Operate,
 }
--- a/crates/jasminebend/src/admin_change.rs
+++ b/crates/jasminebend/src/admin_change.rs
@@ -1,4 +1,4 @@
-//! A change that an operator asks for, and the line that the log keeps of it.
+//! Changes that operators request, and their audit log lines.
 
 use bytes::Bytes;
 use jasminebend_base::{
@@ -20,7 +20,7 @@
     OperatorIdentity, //
 };
 
-/// A change that an operator asks for.
+/// A change that an operator requests.
 #[derive(Clone, Debug)]
 pub(crate) enum AdminChange {
     Replace {
@@ -37,6 +37,7 @@
 }
 
 impl AdminChange {
+    /// Parses and validates the configuration in a request body.
     pub(crate) fn replace(
         body: &[u8],
         expected: ConfigurationVersion,
@@ -53,23 +54,23 @@
         })
     }
 
-    /// Carries the change out, and logs who asked for what, and what stood before and stands after.
+    /// Applies the change and logs the operator, the change, the outcome, and the values before and after.
     pub(crate) async fn run(
         self,
         control: &dyn ControlPort,
         operator: &OperatorIdentity,
     ) -> Result<ChangeOutcome, ControlError> {
-        let subject = self.subject();
+        let description = self.description();
         let before = control.configuration();
         let details = self.details(&before);
         let outcome = self.apply(control).await;
         match &outcome {
-            Ok(_) => info!("[administration] {operator} {subject}: accepted.{details}"),
+            Ok(_) => info!("[administration] {operator} {description}: accepted.{details}"),
             Err(error @ ControlError::Unknown { .. }) => {
-                warn!("[administration] {operator} {subject}: unknown, {error}.{details}");
+                warn!("[administration] {operator} {description}: unknown, {error}.{details}");
             }
             Err(error) => {
-                warn!("[administration] {operator} {subject}: not accepted, {error}.{details}");
+                warn!("[administration] {operator} {description}: not accepted, {error}.{details}");
             }
         }
         outcome
@@ -93,13 +94,14 @@
         }
     }
 
-    fn subject(&self) -> String {
+    /// Describes the change for the log, such as `cancelled the job ...`.
+    fn description(&self) -> String {
         match self {
             Self::Replace { expected, .. } => {
                 format!("replaced the configuration of version {expected}")
             }
             Self::SetDomain { name, state, force } => {
-                let force = if *force { " by force" } else { "" };
+                let force = if *force { " with force=true" } else { "" };
                 format!("took the failure domain {name} {state}{force}")
             }
             Self::SubmitJob(body) => format!("submitted a job of {} bytes", body.len()),
@@ -107,6 +109,7 @@
         }
     }
 
+    /// Describes what the change replaces in the configuration `before`; empty for jobs.
     fn details(&self, before: &Configuration) -> String {
         match self {
             Self::Replace { configuration, .. } => {
--- a/crates/jasminebend/src/admin_error.rs
+++ b/crates/jasminebend/src/admin_error.rs
@@ -1,4 +1,4 @@
-//! Why an administration request was not carried out, and the status that says so.
+//! Errors of administration requests, with their HTTP statuses.
 
 use derive_more::{
     Display,
@@ -13,7 +13,7 @@
     ControlError, //
 };
 
-/// Why an administration request was not carried out.
+/// Error that fails an administration request.
 #[derive(Clone, Debug, Display, Error, From)]
 pub(crate) enum AdminError {
     #[display("there is nothing at `{path}`")]
@@ -30,7 +30,7 @@
     #[display("send a bearer token that the tokens file lists")]
     Unidentified,
     #[display("too many tokens from this address were nobody's; try again in a second")]
-    TooManyTries,
+    TooManyAttempts,
     #[from(ignore)]
     #[display("`{name}` has no role `{role}`")]
     Forbidden { name: String, role: AccessRole },
@@ -49,13 +49,14 @@
 }
 
 impl AdminError {
+    /// Returns the HTTP status of the response.
     pub(crate) fn status(&self) -> StatusCode {
         match self {
             Self::NoSuchPath { .. } => StatusCode::NOT_FOUND,
             Self::WrongMethod { .. } => StatusCode::METHOD_NOT_ALLOWED,
             Self::BadQuery { .. } | Self::BadPage { .. } | Self::BodyCut => StatusCode::BAD_REQUEST,
             Self::Unidentified => StatusCode::UNAUTHORIZED,
-            Self::TooManyTries => StatusCode::TOO_MANY_REQUESTS,
+            Self::TooManyAttempts => StatusCode::TOO_MANY_REQUESTS,
             Self::Forbidden { .. } => StatusCode::FORBIDDEN,
             Self::BodyTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
             Self::SlowRequest => StatusCode::REQUEST_TIMEOUT,
@@ -64,6 +65,7 @@
         }
     }
 
+    /// Returns the response body: unknown if the change may still take effect, else not accepted.
     pub(crate) fn outcome(&self) -> ChangeOutcome {
         match self {
             Self::Control(ControlError::Unknown { find_out }) => ChangeOutcome::Unknown {
--- a/crates/jasminebend/src/admin_guard.rs
+++ b/crates/jasminebend/src/admin_handle.rs
@@ -1,4 +1,4 @@
-//! The administration API at work.
+//! Handle of the running administration API.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
     task::JoinSet, //
 };
 
-/// The administration API at work. Dropping it ends its tasks.
+/// Handle of the running administration API. Dropping it aborts the API's tasks.
 #[derive(Debug)]
-pub struct AdminGuard {
+pub struct AdminHandle {
     stop: watch::Sender<()>,
     tasks: JoinSet<()>,
     address: SocketAddr,
     health: Option<SocketAddr>,
 }
 
-impl AdminGuard {
+impl AdminHandle {
     pub(crate) fn new(
         stop: watch::Sender<()>,
         tasks: JoinSet<()>,
@@ -31,17 +31,17 @@
         }
     }
 
-    /// Returns where the API listens.
+    /// Returns the address that the API listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns where health, readiness and metrics are served in plain HTTP, if anywhere.
+    /// Returns the address of the separate plain HTTP listener for health, readiness and metrics, if there is one.
     pub fn health_address(&self) -> Option<SocketAddr> {
         self.health
     }
 
-    /// Stops to listen, and waits until the requests in progress are answered.
+    /// Stops accepting connections, and waits until the requests in progress are answered.
     pub async fn stop(self) {
         let Self {
             stop, mut tasks, ..
--- a/crates/jasminebend/src/admin_front.rs
+++ b/crates/jasminebend/src/admin_listeners.rs
@@ -1,4 +1,4 @@
-//! The administration API's listeners.
+//! The listeners of the administration API.
 
 use std::{
     net::SocketAddr,
@@ -14,41 +14,42 @@
 
 use crate::{
     AccessKeys,
-    AdminGuard,
+    AdminHandle,
     ControlPort,
     DaemonError,
     DaemonSettings,
     LimitSettings,
-    MetricsHub,
+    MetricsExporter,
+    access_key_watcher::AccessKeyWatcher, //
     admin_server::AdminServer,
     admin_service::AdminService,
-    key_watch::KeyWatch, //
 };
 
 /// The administration API's listeners, bound but not yet served.
 #[derive(Debug)]
-pub struct AdminFront {
+pub struct AdminListeners {
     keys: Arc<AccessKeys>,
-    watch: KeyWatch,
+    watch: AccessKeyWatcher,
     limits: LimitSettings,
     main: TcpListener,
     health: Option<TcpListener>,
 }
 
-impl AdminFront {
-    /// Reads the keys and binds the addresses.
+impl AdminListeners {
+    /// Reads the certificate and tokens, and binds the addresses.
     ///
     /// # Errors
     ///
-    /// [`DaemonError`] if the keys are of no use, an address is taken, or the API would be open to
-    /// the network without the settings saying so.
+    /// Returns a [`DaemonError`] if the certificate or tokens cannot be used, an address cannot be bound, or
+    /// the API would be reachable off loopback without TLS and tokens and the settings do not allow that.
     pub async fn bind(settings: &DaemonSettings) -> Result<Self, DaemonError> {
-        if !settings.administration_guarded() {
+        if !settings.is_administration_protected() {
             return Err(DaemonError::OpenAdministration);
         }
         let keys = Arc::new(AccessKeys::load(settings)?);
-        let watch = KeyWatch::new(Arc::clone(&keys));
-        // A file replaced between the first reading and the watch's would go unnoticed.
+        let watch = AccessKeyWatcher::new(Arc::clone(&keys));
+        // The watcher would not notice a file that was replaced between the first read and the
+        // creation of the watcher, so the files are read again.
         keys.reload()?;
         let listen = &settings.listen;
         let main = bind("listen.administration", listen.administration).await?;
@@ -65,26 +66,26 @@
         })
     }
 
-    /// Returns where the API listens.
+    /// Returns the address that the API listens on.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Listen`] if the socket does not tell.
+    /// Returns [`DaemonError::Listen`] if the socket's address cannot be read.
     pub fn address(&self) -> Result<SocketAddr, DaemonError> {
         local_address("listen.administration", &self.main)
     }
 
-    /// Serves the API for `control`; how fast tokens may be tried goes by `clock`.
+    /// Starts serving the API, which drives `control`; `clock` measures the rate of failed tokens.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::Listen`] if a socket does not tell its address.
+    /// Returns [`DaemonError::Listen`] if a socket's address cannot be read.
     pub fn serve(
         self,
         control: Arc<dyn ControlPort>,
-        metrics: MetricsHub,
+        metrics: MetricsExporter,
         clock: Arc<dyn ClockSource>,
-    ) -> Result<AdminGuard, DaemonError> {
+    ) -> Result<AdminHandle, DaemonError> {
         let address = self.address()?;
         let health = self.health.as_ref();
         let health = health.map(|socket| local_address("listen.health", socket));
@@ -100,10 +101,11 @@
         tasks.spawn(self.watch.run(stopped.clone()));
         let server = AdminServer::new(service, self.keys, self.limits);
         tasks.spawn(server.serve(self.main, stopped));
-        Ok(AdminGuard::new(stop, tasks, address, health.transpose()?))
+        Ok(AdminHandle::new(stop, tasks, address, health.transpose()?))
     }
 }
 
+/// Binds a listener; `key` is the settings key that an error names.
 pub(crate) async fn bind(
     key: &'static str,
     address: SocketAddr,
@@ -116,6 +118,7 @@
     })
 }
 
+/// Returns the address that a listener is bound to; `key` is the settings key that an error names.
 pub(crate) fn local_address(
     key: &'static str,
     listener: &TcpListener,
--- a/crates/jasminebend/src/admin_route.rs
+++ b/crates/jasminebend/src/admin_route.rs
@@ -1,4 +1,4 @@
-//! What an administration request asks for.
+//! Routes of the administration API.
 
 use http::Method;
 use jasminebend_base::{
@@ -12,7 +12,7 @@
     job_page::JobPage, //
 };
 
-/// What an administration request asks for.
+/// The operation that an administration request asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum AdminRoute {
     Health,
@@ -34,6 +34,7 @@
 }
 
 impl AdminRoute {
+    /// Maps a request's method, path and query to a route.
     pub(crate) fn parse(
         method: &Method,
         path: &str,
@@ -41,23 +42,23 @@
     ) -> Result<Self, AdminError> {
         let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match segments.as_slice() {
-            ["healthz"] => only(method, Method::GET, Self::Health),
-            ["readyz"] => only(method, Method::GET, Self::Readiness),
-            ["metrics"] => only(method, Method::GET, Self::Metrics),
-            ["v1", "status"] => only(method, Method::GET, Self::Status),
-            ["v1", "configuration"] => configuration(method),
-            ["v1", "domains", name, "out"] => domain(method, name, DomainState::Out, query),
-            ["v1", "domains", name, "in"] => domain(method, name, DomainState::In, query),
-            ["v1", "classes"] => only(method, Method::GET, Self::ListClasses),
-            ["v1", "jobs"] => jobs(method, query),
-            ["v1", "jobs", job] => one_job(method, job),
+            ["healthz"] => require_method(method, Method::GET, Self::Health),
+            ["readyz"] => require_method(method, Method::GET, Self::Readiness),
+            ["metrics"] => require_method(method, Method::GET, Self::Metrics),
+            ["v1", "status"] => require_method(method, Method::GET, Self::Status),
+            ["v1", "configuration"] => configuration_route(method),
+            ["v1", "domains", name, "out"] => domain_route(method, name, DomainState::Out, query),
+            ["v1", "domains", name, "in"] => domain_route(method, name, DomainState::In, query),
+            ["v1", "classes"] => require_method(method, Method::GET, Self::ListClasses),
+            ["v1", "jobs"] => jobs_route(method, query),
+            ["v1", "jobs", job] => job_route(method, job),
             _ => Err(AdminError::NoSuchPath {
                 path: path.to_owned(),
             }),
         }
     }
 
-    /// Returns the role that it takes; `None` if anybody may ask.
+    /// Returns the least role that the route requires; `None` if it needs no token.
     pub(crate) fn role(&self) -> Option<AccessRole> {
         match self {
             Self::Health | Self::Readiness => None,
@@ -70,7 +71,11 @@
     }
 }
 
-fn only(method: &Method, allowed: Method, route: AdminRoute) -> Result<AdminRoute, AdminError> {
+fn require_method(
+    method: &Method,
+    allowed: Method,
+    route: AdminRoute,
+) -> Result<AdminRoute, AdminError> {
     if *method == allowed {
         return Ok(route);
     }
@@ -82,7 +87,7 @@
     })
 }
 
-fn configuration(method: &Method) -> Result<AdminRoute, AdminError> {
+fn configuration_route(method: &Method) -> Result<AdminRoute, AdminError> {
     match *method {
         Method::GET => Ok(AdminRoute::ReadConfiguration),
         Method::PUT => Ok(AdminRoute::ReplaceConfiguration),
@@ -92,7 +97,7 @@
     }
 }
 
-fn domain(
+fn domain_route(
     method: &Method,
     name: &str,
     state: DomainState,
@@ -112,10 +117,10 @@
         state,
         force,
     };
-    only(method, Method::POST, route)
+    require_method(method, Method::POST, route)
 }
 
-fn jobs(method: &Method, query: Option<&str>) -> Result<AdminRoute, AdminError> {
+fn jobs_route(method: &Method, query: Option<&str>) -> Result<AdminRoute, AdminError> {
     match *method {
         Method::GET => JobPage::parse(query).map(AdminRoute::ListJobs),
         Method::POST => Ok(AdminRoute::SubmitJob),
@@ -125,7 +130,7 @@
     }
 }
 
-fn one_job(method: &Method, job: &str) -> Result<AdminRoute, AdminError> {
+fn job_route(method: &Method, job: &str) -> Result<AdminRoute, AdminError> {
     match *method {
         Method::GET => Ok(AdminRoute::ReadJob(job.to_owned())),
         Method::DELETE => Ok(AdminRoute::CancelJob(job.to_owned())),
--- a/crates/jasminebend/src/admin_server.rs
+++ b/crates/jasminebend/src/admin_server.rs
@@ -1,4 +1,4 @@
-//! Listens for operators, the balancer and the scraper.
+//! The HTTP server of the administration API.
 
 use std::{
     convert::Infallible,
@@ -49,19 +49,21 @@
     admin_service::AdminService, //
 };
 
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, so that a lasting error does not use a whole core.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Listens for operators, the balancer and the scraper.
+/// The HTTP server of the administration API, for operators, the balancer and the metrics scraper.
 pub(crate) struct AdminServer {
     service: Arc<AdminService>,
+    /// `None` serves only health, readiness and metrics, in plain HTTP.
     keys: Option<Arc<AccessKeys>>,
     limits: LimitSettings,
 }
 
 impl AdminServer {
-    /// Serves the whole API, over TLS if there is a certificate.
+    /// Creates a server of the whole API, over TLS if a certificate is set.
     pub(crate) fn new(
         service: Arc<AdminService>,
         keys: Arc<AccessKeys>,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Serves health, readiness and metrics only, in plain HTTP.
+    /// Creates a plain HTTP server of health, readiness and metrics only.
     pub(crate) fn health_only(service: Arc<AdminService>, limits: LimitSettings) -> Self {
         Self {
             service,
@@ -83,51 +85,53 @@
         }
     }
 
-    /// Serves until the sender of `stop` is dropped; requests in progress are finished.
+    /// Serves until the sender of `stop` is dropped, then finishes the requests in progress.
     pub(crate) async fn serve(self, listener: TcpListener, stop: watch::Receiver<()>) {
         let server = Arc::new(self);
-        let places = Arc::new(Semaphore::new(server.limits.administration_connections));
+        let connection_permits = Arc::new(Semaphore::new(server.limits.administration_connections));
         let mut connections = JoinSet::new();
         let mut stopped = stop.clone();
         loop {
-            // A full house leaves the next connection in the backlog.
-            let place = Arc::clone(&places).acquire_owned();
+            // At the connection limit, further connections wait in the listen backlog.
+            let permit = Arc::clone(&connection_permits).acquire_owned();
             let accepted = tokio::select! {
                 biased;
                 _ = stopped.changed() => break,
                 Some(_) = connections.join_next() => continue,
-                accepted = async { (place.await, listener.accept().await) } => accepted,
+                accepted = async { (permit.await, listener.accept().await) } => accepted,
             };
-            let (Ok(place), Ok((stream, peer))) = accepted else {
+            let (Ok(permit), Ok((stream, peer))) = accepted else {
                 warn!("[administration] A connection could not be accepted.");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             debug!("[administration] {peer} connected.");
             let server = Arc::clone(&server);
             let stop = stop.clone();
             connections.spawn(async move {
-                server.connect(stream, peer.ip(), stop).await;
-                drop(place);
+                server.handle_connection(stream, peer.ip(), stop).await;
+                drop(permit);
             });
         }
         drop(listener);
         while connections.join_next().await.is_some() {}
     }
 
-    async fn connect(&self, stream: TcpStream, peer: IpAddr, stop: watch::Receiver<()>) {
+    /// Performs the TLS handshake if a certificate is set, and serves the connection.
+    async fn handle_connection(&self, stream: TcpStream, peer: IpAddr, stop: watch::Receiver<()>) {
         let Some(tls) = self.keys.as_ref().and_then(|keys| keys.tls()) else {
-            return self.converse(stream, peer, stop).await;
+            return self.serve_http(stream, peer, stop).await;
         };
         let handshake = TlsAcceptor::from(tls).accept(stream);
         match timeout(HANDSHAKE_TIMEOUT, handshake).await {
-            Ok(Ok(stream)) => self.converse(stream, peer, stop).await,
+            Ok(Ok(stream)) => self.serve_http(stream, peer, stop).await,
             Ok(Err(error)) => debug!("[administration] A TLS handshake failed: {error}."),
-            Err(_) => debug!("[administration] A TLS handshake took too long."),
+            Err(_) => debug!("[administration] A TLS handshake timed out."),
         }
     }
 
-    async fn converse<Stream>(&self, stream: Stream, peer: IpAddr, mut stop: watch::Receiver<()>)
+    /// Serves HTTP requests on a connection until it closes or `stop` fires.
+    async fn serve_http<Stream>(&self, stream: Stream, peer: IpAddr, mut stop: watch::Receiver<()>)
     where
         Stream: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     {
@@ -139,7 +143,7 @@
         stream.set_write_timeout(Some(self.limits.administration_timeout));
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(HEAD_TIMEOUT.min(self.limits.administration_timeout))
+            .header_read_timeout(REQUEST_HEAD_TIMEOUT.min(self.limits.administration_timeout))
             .max_buf_size(self.limits.headers)
             .serve_connection(TokioIo::new(Box::pin(stream)), service);
         let mut connection = std::pin::pin!(connection);
--- a/crates/jasminebend/src/admin_service.rs
+++ b/crates/jasminebend/src/admin_service.rs
@@ -1,4 +1,4 @@
-//! Answers administration requests.
+//! The request handler of the administration API.
 
 use std::{
     net::IpAddr,
@@ -33,35 +33,36 @@
     ControlError,
     ControlPort,
     LimitSettings,
-    MetricsHub,
+    MetricsExporter,
     OperatorIdentity,
-    TokenTries,
-    TryOutcome,
+    TokenAttemptLimiter,
+    TokenAttemptOutcome,
     admin_change::AdminChange,
     admin_error::AdminError,
     admin_response::{
         AdminResponse,
+        error_response,
         json,
-        refuse,
         text, //
     },
     admin_route::AdminRoute,
     admin_trace::change_context, //
 };
 
-const REQUESTS: &str = "jasminebend_administration_requests_total";
-const FAILED_TOKENS: &str = "jasminebend_administration_failed_tokens_total";
-const FIND_OUT: &str =
+const REQUESTS_METRIC: &str = "jasminebend_administration_requests_total";
+const FAILED_TOKENS_METRIC: &str = "jasminebend_administration_failed_tokens_total";
+const TIMEOUT_ADVICE: &str =
     "the answer took too long; read the configuration or the job and compare before trying again";
 
-/// Answers administration requests.
+/// Handles administration requests: authenticates them, dispatches them to the control port and limits their
+/// size, time and rate of failed tokens.
 pub(crate) struct AdminService {
     control: Arc<dyn ControlPort>,
     keys: Arc<AccessKeys>,
     limits: LimitSettings,
-    metrics: MetricsHub,
+    metrics: MetricsExporter,
     clock: Arc<dyn ClockSource>,
-    tries: Mutex<TokenTries>,
+    token_attempts: Mutex<TokenAttemptLimiter>,
 }
 
 impl AdminService {
@@ -69,7 +70,7 @@
         control: Arc<dyn ControlPort>,
         keys: Arc<AccessKeys>,
         limits: LimitSettings,
-        metrics: MetricsHub,
+        metrics: MetricsExporter,
         clock: Arc<dyn ClockSource>,
     ) -> Self {
         Self {
@@ -78,12 +79,11 @@
             limits,
             metrics,
             clock,
-            tries: Mutex::new(TokenTries::new()),
+            token_attempts: Mutex::new(TokenAttemptLimiter::new()),
         }
     }
 
-    /// Answers one request; `health_only` serves what the balancer and the scraper need, and
-    /// nothing else.
+    /// Answers one request. With `health_only`, serves only health, readiness and metrics, without a token.
     pub(crate) async fn answer<Content>(
         &self,
         request: Request<Content>,
@@ -96,9 +96,9 @@
         Content::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
         let answer = self.try_answer(request, peer, health_only).await;
-        let answer = answer.unwrap_or_else(|error| refuse(&error));
+        let answer = answer.unwrap_or_else(|error| error_response(&error));
         let status = answer.status().as_str().to_owned();
-        metrics::counter!(REQUESTS, "status" => status).increment(1);
+        metrics::counter!(REQUESTS_METRIC, "status" => status).increment(1);
         answer
     }
 
@@ -116,51 +116,55 @@
         let (head, body) = request.into_parts();
         let route = AdminRoute::parse(&head.method, head.uri.path(), head.uri.query())?;
         if health_only {
-            return self.answer_health(route, head.uri.path());
+            return self.answer_health_request(route, head.uri.path());
         }
-        let operator = self.admit(&route, &head.headers, peer)?;
+        let operator = self.authorize(&route, &head.headers, peer)?;
         let limit = self.limits.administration_body;
         let body = timeout(self.limits.administration_timeout, read_body(body, limit));
         let body = body.await.map_err(|_| AdminError::SlowRequest)??;
         match route {
             AdminRoute::Health => Ok(text("alive\n".to_owned())),
-            AdminRoute::Readiness => Ok(self.readiness()),
+            AdminRoute::Readiness => Ok(self.readiness_response()),
             AdminRoute::Metrics => Ok(text(self.metrics.render())),
             AdminRoute::Status => Ok(json(StatusCode::OK, &self.control.status())),
-            AdminRoute::ReadConfiguration => Ok(self.configuration()),
+            AdminRoute::ReadConfiguration => Ok(self.configuration_response()),
             AdminRoute::ListClasses => {
                 let classes = &self.control.configuration().classes;
                 Ok(json(StatusCode::OK, classes))
             }
             AdminRoute::ListJobs(page) => {
                 let jobs = self.control.jobs().await?;
-                Ok(json(StatusCode::OK, &page.cut(jobs)))
+                Ok(json(StatusCode::OK, &page.select(jobs)))
             }
             AdminRoute::ReadJob(job) => Ok(json(StatusCode::OK, &self.control.job(&job).await?)),
             AdminRoute::ReplaceConfiguration => {
                 let expected = expected_version(&head.headers)?;
                 let change = AdminChange::replace(&body, expected)?;
-                self.change(change, operator, &head.headers).await
+                self.apply_change(change, operator, &head.headers).await
             }
             AdminRoute::SetDomain { name, state, force } => {
                 let change = AdminChange::SetDomain { name, state, force };
-                self.change(change, operator, &head.headers).await
+                self.apply_change(change, operator, &head.headers).await
             }
             AdminRoute::SubmitJob => {
                 let change = AdminChange::SubmitJob(body);
-                self.change(change, operator, &head.headers).await
+                self.apply_change(change, operator, &head.headers).await
             }
             AdminRoute::CancelJob(job) => {
                 let change = AdminChange::CancelJob(job);
-                self.change(change, operator, &head.headers).await
+                self.apply_change(change, operator, &head.headers).await
             }
         }
     }
 
-    fn answer_health(&self, route: AdminRoute, path: &str) -> Result<AdminResponse, AdminError> {
+    fn answer_health_request(
+        &self,
+        route: AdminRoute,
+        path: &str,
+    ) -> Result<AdminResponse, AdminError> {
         match route {
             AdminRoute::Health => Ok(text("alive\n".to_owned())),
-            AdminRoute::Readiness => Ok(self.readiness()),
+            AdminRoute::Readiness => Ok(self.readiness_response()),
             AdminRoute::Metrics => Ok(text(self.metrics.render())),
             _ => Err(AdminError::NoSuchPath {
                 path: path.to_owned(),
@@ -168,7 +172,8 @@
         }
     }
 
-    fn admit(
+    /// Returns the operator who sent a request if their role allows the route.
+    fn authorize(
         &self,
         route: &AdminRoute,
         headers: &HeaderMap,
@@ -177,45 +182,54 @@
         let Some(role) = route.role() else {
             return Ok(OperatorIdentity::anonymous());
         };
-        let operator = self.identify(bearer(headers), peer)?;
+        let operator = self.identify(bearer_token(headers), peer)?;
         if operator.role >= role {
             return Ok(operator);
         }
-        warn!("[administration] {operator} was refused: the request takes the role {role}.");
+        warn!(
+            "[administration] {operator} was denied access: the request requires the role {role}."
+        );
         Err(AdminError::Forbidden {
             name: operator.name,
             role,
         })
     }
 
-    /// A request without a token tries none, so that it costs its address nothing.
+    /// Returns the operator whom `token` belongs to, and limits failed attempts by address.
+    ///
+    /// A request without a token does not count as a failed attempt.
     fn identify(&self, token: Option<&str>, peer: IpAddr) -> Result<OperatorIdentity, AdminError> {
         let find = || self.keys.identify(token);
         if token.is_none() {
             return find().ok_or(AdminError::Unidentified);
         }
-        let mut tries = self.tries.lock().unwrap_or_else(PoisonError::into_inner);
-        let outcome = tries.attempt(peer, self.clock.monotonic(), find);
-        drop(tries);
+        let mut token_attempts = self
+            .token_attempts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let outcome = token_attempts.attempt(peer, self.clock.monotonic(), find);
+        drop(token_attempts);
         match outcome {
-            TryOutcome::Found(operator) => Ok(operator),
-            TryOutcome::Unknown => {
-                metrics::counter!(FAILED_TOKENS, "answer" => "unknown").increment(1);
+            TokenAttemptOutcome::Found(operator) => Ok(operator),
+            TokenAttemptOutcome::Unknown => {
+                metrics::counter!(FAILED_TOKENS_METRIC, "answer" => "unknown").increment(1);
                 Err(AdminError::Unidentified)
             }
-            TryOutcome::TooFast { log } => {
-                metrics::counter!(FAILED_TOKENS, "answer" => "too_fast").increment(1);
+            TokenAttemptOutcome::TooFast { log } => {
+                metrics::counter!(FAILED_TOKENS_METRIC, "answer" => "too_fast").increment(1);
                 if log {
-                    warn!("[administration] {peer} tries tokens too fast and is refused.");
+                    warn!(
+                        "[administration] {peer} sent too many failed tokens and is rate-limited."
+                    );
                 }
-                Err(AdminError::TooManyTries)
+                Err(AdminError::TooManyAttempts)
             }
         }
     }
 
-    /// Carries out a change on a task of its own: an operator who hangs up must not cut it off
-    /// between its intent and its commit, and the log must say what became of it.
-    async fn change(
+    /// Applies a change in a separate task, so that an operator's disconnect cannot abort it between its intent and
+    /// its commit, and its outcome is always logged.
+    async fn apply_change(
         &self,
         change: AdminChange,
         operator: OperatorIdentity,
@@ -228,13 +242,13 @@
         let limit = self.limits.administration_timeout;
         let Ok(Ok(outcome)) = timeout(limit, run).await else {
             return Err(AdminError::Control(ControlError::Unknown {
-                find_out: FIND_OUT.to_owned(),
+                find_out: TIMEOUT_ADVICE.to_owned(),
             }));
         };
         Ok(json(StatusCode::OK, &outcome?))
     }
 
-    fn readiness(&self) -> AdminResponse {
+    fn readiness_response(&self) -> AdminResponse {
         if self.control.ready() {
             return text("ready\n".to_owned());
         }
@@ -243,7 +257,8 @@
         response
     }
 
-    fn configuration(&self) -> AdminResponse {
+    /// Returns the configuration, with its version as the entity tag.
+    fn configuration_response(&self) -> AdminResponse {
         let configuration = self.control.configuration();
         let mut response = json(StatusCode::OK, configuration.as_ref());
         let tag = format!("\"{}\"", configuration.version);
@@ -267,12 +282,13 @@
     Ok(body.to_bytes())
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     let (scheme, token) = value.split_once(' ')?;
     scheme.eq_ignore_ascii_case("bearer").then_some(token)
 }
 
+/// Parses the configuration version in the `If-Match` header.
 fn expected_version(headers: &HeaderMap) -> Result<ConfigurationVersion, AdminError> {
     let value = headers.get(header::IF_MATCH);
     let value = value.and_then(|value| value.to_str().ok());
--- a/crates/jasminebend/src/collector_client.rs
+++ b/crates/jasminebend/src/collector_client.rs
@@ -1,4 +1,4 @@
-//! Sends spans to the collector from the exporter's own thread.
+//! The HTTP client that sends spans to the trace collector.
 
 use std::time::Duration;
 
@@ -16,12 +16,12 @@
 };
 use tokio::runtime::Handle;
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+const EXPORT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Sends spans to the collector.
+/// The HTTP client that sends spans to the trace collector.
 ///
-/// The batch processor exports from a thread of its own, without a runtime, on which hyper cannot
-/// work: each request therefore runs on the daemon's runtime.
+/// The batch processor exports from its own thread, which has no Tokio runtime. Hyper needs one, so each request
+/// runs on the daemon's runtime.
 #[derive(Debug)]
 pub(crate) struct CollectorClient {
     runtime: Handle,
@@ -30,7 +30,7 @@
 
 impl CollectorClient {
     pub(crate) fn new(runtime: Handle) -> Self {
-        let client = HyperClient::with_default_connector(TIMEOUT, None);
+        let client = HyperClient::with_default_connector(EXPORT_TIMEOUT, None);
         Self {
             runtime,
             client: std::sync::Arc::new(client),
@@ -42,9 +42,9 @@
 impl HttpClient for CollectorClient {
     async fn send_bytes(&self, request: Request<Bytes>) -> Result<Response<Bytes>, HttpError> {
         let client = std::sync::Arc::clone(&self.client);
-        let sent = self
+        let request_task = self
             .runtime
             .spawn(async move { client.send_bytes(request).await });
-        sent.await?
+        request_task.await?
     }
 }
--- a/crates/jasminebend/src/command_line.rs
+++ b/crates/jasminebend/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of `jasminebend`.
+//! Parses the command line of `jasminebend`.
 
 use std::{
     ffi::OsString,
@@ -41,16 +41,16 @@
 Exit codes: 0 done, 1 failed, 2 wrong usage or settings.
 ";
 
-/// What `jasminebend` is asked to do.
+/// The command that `jasminebend` runs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommandLine {
-    /// Run the daemon by this settings file.
+    /// Run the daemon with this settings file.
     Run(PathBuf),
-    /// Run the daemon on the users' platform, without these parts of the policy.
+    /// Run the fleet daemon, with these parts of the policy switched on or off.
     Fleet(PolicySwitches),
-    /// Check this settings file.
+    /// Check this settings file and the files that it names.
     Check(PathBuf),
-    /// Run the demonstration.
+    /// Run the demonstration with these options.
     Demo(DemoOptions),
     /// Print the help.
     Help,
@@ -59,11 +59,11 @@
 }
 
 impl CommandLine {
-    /// Reads the arguments after the program's name.
+    /// Parses the arguments after the program's name.
     ///
     /// # Errors
     ///
-    /// Any [`UsageError`].
+    /// Returns a [`UsageError`] if the arguments are not a valid command.
     pub fn parse<Arguments>(arguments: Arguments) -> Result<Self, UsageError>
     where
         Arguments: IntoIterator<Item = OsString>,
@@ -75,9 +75,9 @@
             Some(Arg::Long("help") | Arg::Short('h')) => return Ok(Self::Help),
             Some(Arg::Long("version") | Arg::Short('V')) => return Ok(Self::Version),
             Some(Arg::Long("settings")) => Self::Run(parser.value()?.into()),
-            Some(Arg::Value(name)) if name == "fleet" => return fleet(&mut parser),
-            Some(Arg::Value(name)) if name == "check" => Self::Check(file(&mut parser)?),
-            Some(Arg::Value(name)) if name == "demo" => return demo(&mut parser),
+            Some(Arg::Value(name)) if name == "fleet" => return parse_fleet(&mut parser),
+            Some(Arg::Value(name)) if name == "check" => Self::Check(parse_file(&mut parser)?),
+            Some(Arg::Value(name)) if name == "demo" => return parse_demo(&mut parser),
             Some(Arg::Value(name)) => {
                 return Err(UsageError::UnknownCommand {
                     name: name.to_string_lossy().into_owned(),
@@ -92,7 +92,7 @@
     }
 }
 
-fn file(parser: &mut Parser) -> Result<PathBuf, UsageError> {
+fn parse_file(parser: &mut Parser) -> Result<PathBuf, UsageError> {
     match parser.next()? {
         Some(Arg::Value(path)) => Ok(path.into()),
         Some(other) => Err(other.unexpected().into()),
@@ -100,7 +100,7 @@
     }
 }
 
-fn fleet(parser: &mut Parser) -> Result<CommandLine, UsageError> {
+fn parse_fleet(parser: &mut Parser) -> Result<CommandLine, UsageError> {
     let mut switches = PolicySwitches::default();
     while let Some(argument) = parser.next()? {
         match argument {
@@ -114,7 +114,7 @@
     Ok(CommandLine::Fleet(switches))
 }
 
-fn demo(parser: &mut Parser) -> Result<CommandLine, UsageError> {
+fn parse_demo(parser: &mut Parser) -> Result<CommandLine, UsageError> {
     let mut options = DemoOptions::new();
     while let Some(argument) = parser.next()? {
         match argument {
--- a/crates/jasminebend/src/configuration_diff.rs
+++ b/crates/jasminebend/src/configuration_diff.rs
@@ -1,37 +1,39 @@
-//! What a change of the configuration changed, item by item.
+//! Differences between two configurations.
 
 use derive_more::Display;
 use jasminebend_base::Configuration;
 use serde::Serialize;
 
-/// One item that a change of the configuration changed.
+/// One item that differs between two configurations.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{kind} `{name}`: {before} -> {after}")]
 pub struct ConfigurationDiff {
-    /// Class, failure domain or team.
+    /// The item's kind: `class`, `failure domain` or `team`.
     pub kind: &'static str,
     /// The item's name.
     pub name: String,
     /// The item before, in JSON; `none` if it did not exist.
     pub before: String,
-    /// The item after, in JSON; `none` if it was taken away.
+    /// The item after, in JSON; `none` if it was removed.
     pub after: String,
 }
 
 impl ConfigurationDiff {
-    /// Lists what differs between two configurations.
+    /// Lists the names_and_json that differ between two configurations.
     pub fn between(before: &Configuration, after: &Configuration) -> Vec<Self> {
-        let domain = |list: &Configuration| items(&list.domains, |item| item.name.to_string());
-        let class = |list: &Configuration| items(&list.classes, |item| item.name.to_string());
-        let team = |list: &Configuration| items(&list.teams, |item| item.name.to_string());
-        let mut differences = compare("failure domain", domain(before), domain(after));
-        differences.extend(compare("class", class(before), class(after)));
-        differences.extend(compare("team", team(before), team(after)));
+        let domain =
+            |list: &Configuration| names_and_json(&list.domains, |item| item.name.to_string());
+        let class =
+            |list: &Configuration| names_and_json(&list.classes, |item| item.name.to_string());
+        let team = |list: &Configuration| names_and_json(&list.teams, |item| item.name.to_string());
+        let mut differences = diff_items("failure domain", domain(before), domain(after));
+        differences.extend(diff_items("class", class(before), class(after)));
+        differences.extend(diff_items("team", team(before), team(after)));
         differences
     }
 }
 
-fn items<Item, Name>(list: &[Item], name: Name) -> Vec<(String, String)>
+fn names_and_json<Item, Name>(list: &[Item], name: Name) -> Vec<(String, String)>
 where
     Item: Serialize,
     Name: Fn(&Item) -> String,
@@ -40,20 +42,20 @@
     list.iter().map(|item| (name(item), text(item))).collect()
 }
 
-fn compare(
+fn diff_items(
     kind: &'static str,
     before: Vec<(String, String)>,
     after: Vec<(String, String)>,
 ) -> Vec<ConfigurationDiff> {
-    let gone = before
+    let removed = before
         .iter()
-        .filter(|(name, _)| find(&after, name).is_none());
-    let names = after.iter().chain(gone).map(|(name, _)| name);
+        .filter(|(name, _)| find_json(&after, name).is_none());
+    let names = after.iter().chain(removed).map(|(name, _)| name);
     let diff = |name: &String| ConfigurationDiff {
         kind,
         name: name.clone(),
-        before: find(&before, name).unwrap_or("none").to_owned(),
-        after: find(&after, name).unwrap_or("none").to_owned(),
+        before: find_json(&before, name).unwrap_or("none").to_owned(),
+        after: find_json(&after, name).unwrap_or("none").to_owned(),
     };
     names
         .map(diff)
@@ -61,7 +63,8 @@
         .collect()
 }
 
-fn find<'a>(list: &'a [(String, String)], name: &str) -> Option<&'a str> {
+/// Returns the JSON of the item with this name.
+fn find_json<'a>(list: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = list.iter().find(|(other, _)| other == name);
     found.map(|(_, text)| text.as_str())
 }
--- a/crates/jasminebend/src/control_error.rs
+++ b/crates/jasminebend/src/control_error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's request was not carried out.
+//! Errors of the control port.
 
 use derive_more::{
     Display,
@@ -6,45 +6,45 @@
 };
 use jasminebend_base::ConfigurationVersion;
 
-/// Why an operator's request was not carried out.
+/// Error that fails an operator's request.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum ControlError {
-    /// The request does not say something that could be done.
+    /// The request is malformed.
     #[display("the request does not fit: {reason}")]
     Malformed {
-        /// What is wrong.
+        /// What is malformed.
         reason: String,
     },
-    /// The configuration was changed in between; nothing was changed by this request.
+    /// The configuration has another version than the request expected; nothing was changed.
     #[display("the configuration is at version {found} by now; read it and try again")]
     Stale {
-        /// The version in force.
+        /// The current version.
         found: ConfigurationVersion,
     },
-    /// A rule speaks against it; nothing was changed.
+    /// A rule rejects the request; nothing was changed.
     #[display("{reason}")]
     Refused {
-        /// The rule.
+        /// The rule that was violated.
         reason: String,
     },
-    /// There is no such thing; nothing was changed.
+    /// The named object does not exist; nothing was changed.
     #[display("there is no {kind} `{name}`")]
     NotFound {
-        /// What was looked for.
+        /// The kind of object, such as `job`.
         kind: &'static str,
-        /// Its name.
+        /// The name of the object.
         name: String,
     },
-    /// The daemon cannot do it now; nothing was changed.
+    /// The daemon cannot carry out the request now; nothing was changed.
     #[display("{reason}; nothing was changed")]
     Unavailable {
-        /// What is missing.
+        /// Why the daemon cannot carry it out.
         reason: String,
     },
-    /// The outcome is not known.
+    /// The request may or may not have taken effect.
     #[display("the outcome is not known: {find_out}")]
     Unknown {
-        /// How to find out.
+        /// How the operator can find out.
         find_out: String,
     },
 }
--- a/crates/jasminebend/src/control_port.rs
+++ b/crates/jasminebend/src/control_port.rs
@@ -1,4 +1,4 @@
-//! The port that the administration API drives.
+//! The interface between the administration API and the daemon.
 
 use std::sync::Arc;
 
@@ -15,34 +15,35 @@
     DaemonStatus, //
 };
 
-/// The port that the administration API drives: what operators can ask of a daemon.
+/// The operations of a daemon that the administration API calls.
 #[async_trait]
 pub trait ControlPort: Send + Sync {
-    /// Tells what the daemon knows of itself.
+    /// Returns the daemon's status.
     fn status(&self) -> DaemonStatus;
 
-    /// Tells whether the balancer may send callers here.
+    /// Returns whether the balancer may send callers to this daemon.
     fn ready(&self) -> bool;
 
-    /// Returns the configuration that the daemon follows.
+    /// Returns the configuration that the daemon currently applies.
     fn configuration(&self) -> Arc<Configuration>;
 
-    /// Replaces the configuration if its version is still `expected`.
+    /// Replaces the configuration if its version is still `expected`, and returns the new version.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the change was not accepted or its outcome is unknown.
     async fn replace(
         &self,
         configuration: Configuration,
         expected: ConfigurationVersion,
     ) -> Result<ConfigurationVersion, ControlError>;
 
-    /// Takes a failure domain out or in; `force` takes out the last one.
+    /// Sets the state of a failure domain and returns the new configuration version; `force` allows the last failure
+    /// domain to be taken out.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the change was not accepted or its outcome is unknown.
     async fn set_domain(
         &self,
         name: DomainName,
@@ -50,31 +51,31 @@
         force: bool,
     ) -> Result<ConfigurationVersion, ControlError>;
 
-    /// Submits a job that is described in JSON, and returns its identity.
+    /// Submits a job specification in JSON, and returns the job's identifier.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the job was not accepted or the outcome is unknown.
     async fn submit(&self, job: &[u8]) -> Result<String, ControlError>;
 
     /// Cancels a job.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the cancellation was not accepted or its outcome is unknown.
     async fn cancel(&self, job: &str) -> Result<(), ControlError>;
 
-    /// Tells how a job stands, in JSON.
+    /// Returns the status of a job, in JSON.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the job does not exist or its status cannot be read.
     async fn job(&self, job: &str) -> Result<serde_json::Value, ControlError>;
 
-    /// Tells how all jobs stand, in JSON, in any order.
+    /// Returns the status of every job, in JSON, in any order.
     ///
     /// # Errors
     ///
-    /// Any [`ControlError`].
+    /// Returns a [`ControlError`] if the jobs cannot be read.
     async fn jobs(&self) -> Result<Vec<serde_json::Value>, ControlError>;
 }
--- a/crates/jasminebend/src/daemon_error.rs
+++ b/crates/jasminebend/src/daemon_error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon does not start.
+//! Errors of starting a daemon.
 
 use std::{
     io,
@@ -22,61 +22,61 @@
     TraceError, //
 };
 
-/// Why a daemon does not start.
+/// Error of starting a daemon.
 #[derive(Debug, Display, Error, From)]
 pub enum DaemonError {
-    /// The settings.
+    /// The settings are invalid.
     #[display("{_0}")]
     Settings(SettingsError),
-    /// The log.
+    /// The log cannot be set up.
     #[display("{_0}")]
     Log(LogError),
-    /// The traces.
+    /// The trace export cannot be set up.
     #[display("{_0}")]
     Traces(TraceError),
-    /// The certificate or the tokens.
+    /// The certificate or the tokens cannot be used.
     #[display("{_0}")]
     Access(AccessError),
-    /// An address cannot be listened on.
+    /// A listener cannot be bound.
     #[from(ignore)]
     #[display("`{key}` cannot listen on {address}: {source}")]
     Listen {
-        /// The key of the settings.
+        /// The settings key of the address.
         key: &'static str,
-        /// The address.
+        /// The address that cannot be bound.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// A file that holds a secret cannot be read.
     #[from(ignore)]
     #[display("the secret in {} cannot be read: {source}", path.display())]
     Secret {
-        /// The file.
+        /// The file that cannot be read.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The key that daemons share is of no use.
+    /// The key that daemons share cannot be used.
     #[display("`peers.key_file`: {_0}")]
     PeerKey(PeerKeyError),
-    /// The cluster part does not start.
+    /// The cluster part cannot be started.
     #[display("{_0}")]
     Cluster(ClusterError),
-    /// The signals cannot be caught.
+    /// The signal handlers cannot be installed.
     #[from(ignore)]
     #[display("the signals cannot be caught: {source}")]
     Signals {
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The administration API would be open to the network.
+    /// The administration API would be reachable off loopback without TLS and tokens.
     #[display(
         "the administration API is off loopback; set `tls` and `tokens_file`, or, to let anyone \
          in, `allow_open_administration: true`"
     )]
     OpenAdministration,
-    /// The settings name no platform.
+    /// The settings have no `platform` section.
     #[display("the settings name no platform; give the section `platform`")]
     NoPlatform,
 }
--- a/crates/jasminebend/src/daemon_edges.rs
+++ b/crates/jasminebend/src/daemon_ports.rs
@@ -1,4 +1,4 @@
-//! What a daemon reaches outside its process.
+//! The ports of a daemon.
 
 use std::sync::Arc;
 
@@ -10,19 +10,19 @@
     WorkerPort, //
 };
 
-/// What a daemon reaches outside its process.
+/// The ports of a daemon: its interfaces to the platform and the workers.
 #[derive(Clone)]
-pub struct DaemonEdges {
+pub struct DaemonPorts {
     /// The platform's table service.
     pub table: Arc<dyn TableService>,
     /// The platform's object store.
     pub objects: Arc<dyn ObjectStore>,
     /// The platform's VM list.
     pub vm_list: Arc<dyn VmList>,
-    /// The workers.
+    /// The interface to the workers.
     pub workers: Arc<dyn WorkerPort>,
-    /// The clock.
+    /// The source of monotonic and wall-clock time.
     pub clock: Arc<dyn ClockSource>,
-    /// What every draw starts from; differs between daemons and between their restarts.
+    /// The seed of the random number generators; must differ between daemons and between restarts.
     pub seed: u64,
 }
--- a/crates/jasminebend/src/service.rs
+++ b/crates/jasminebend/src/daemon_runner.rs
@@ -1,4 +1,4 @@
-//! Runs one daemon until a signal.
+//! Runs a daemon in this process until a signal stops it.
 
 use jasminebend_ports::AccessToken;
 use tokio::{
@@ -14,43 +14,44 @@
     EntryDaemon,
     TraceExport,
     peer_keys::PeerKeys,
-    platform_edges::PlatformEdges,
+    platform_ports::PlatformPorts,
     set_up_log,
     stop_signals::StopSignals, //
 };
 
-/// Reads the certificate, the tokens and the keys that the settings name, as a start would.
+/// Checks the certificate, the tokens and the peer keys that the settings name, as starting a daemon does.
 pub(crate) fn check_keys(settings: &DaemonSettings) -> Result<(), DaemonError> {
     AccessKeys::load(settings)?;
     PeerKeys::read(&settings.peer_key)?;
     Ok(())
 }
 
-/// Runs one daemon until SIGTERM or SIGINT, and stops it gracefully.
+/// Runs a daemon until SIGTERM or SIGINT, and stops it gracefully.
 pub(crate) async fn run(settings: DaemonSettings) -> Result<(), DaemonError> {
     let _log = set_up_log(settings.log)?;
     let mut signals = StopSignals::new()?;
     let platform = settings.platform.clone().ok_or(DaemonError::NoPlatform)?;
-    let reached = PlatformEdges::new(&platform, rand::random())?;
+    let platform_ports = PlatformPorts::new(&platform, rand::random())?;
     let traces = settings.traces;
     let traces = TraceExport::install(traces, settings.domain.as_str(), Handle::current())?;
-    let (background, ended) = watch::channel(());
-    if let Some((token, watch)) = reached.token {
-        tokio::spawn(watch.run(replace(token), ended));
+    let (watcher_stop, stop_receiver) = watch::channel(());
+    if let Some((token, watcher)) = platform_ports.token {
+        tokio::spawn(watcher.run(replace_token(token), stop_receiver));
     }
-    let daemon = EntryDaemon::start(settings, reached.edges).await?;
-    signals.first().await;
+    let daemon = EntryDaemon::start(settings, platform_ports.ports).await?;
+    signals.wait_for_stop().await;
     tokio::select! {
         () = daemon.stop() => {}
-        () = signals.ignore() => {}
+        () = signals.ignore_further() => {}
     }
-    drop(background);
-    // The exporter's thread is waited for off the runtime, which it needs for its last request.
+    drop(watcher_stop);
+    // The exporter's thread needs the runtime for its last request, so waiting for the thread must not block the runtime.
     drop(spawn_blocking(move || traces.finish()).await);
     Ok(())
 }
 
-fn replace(token: AccessToken) -> impl Fn(&str) -> Result<(), DaemonError> {
+/// Returns a function that replaces the platform's bearer token.
+fn replace_token(token: AccessToken) -> impl Fn(&str) -> Result<(), DaemonError> {
     move |text| {
         token.replace(text.trim());
         Ok(())
--- a/crates/jasminebend/src/daemon_settings.rs
+++ b/crates/jasminebend/src/daemon_settings.rs
@@ -1,4 +1,4 @@
-//! What a daemon is told when it starts.
+//! Settings of a daemon.
 
 use std::{
     path::PathBuf,
@@ -20,58 +20,59 @@
     TraceSettings, //
 };
 
-/// The seats by default.
+/// The default number of seats.
 pub const DEFAULT_SEATS: u8 = 7;
-/// The slot shares by default: about ten for each seat.
+/// The default number of slot shares: about ten for each seat.
 pub const DEFAULT_SLOT_SHARES: u16 = 70;
-/// The shards by default: one carries today's sizes, and quotas are divided among shards.
+/// The default number of shards: one handles today's sizes, and quotas are divided among shards.
 pub const DEFAULT_SHARDS: u16 = 1;
-/// The balancer's lag by default.
+/// The default time that the balancer may take to react to readiness.
 pub const DEFAULT_BALANCER_LAG: Duration = Duration::from_secs(5);
-/// How long a stop waits for the table service by default.
+/// The default time that a stop waits for the table service.
 pub const DEFAULT_LEAVE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a daemon is told when it starts.
+/// Settings of a daemon, read once when it starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DaemonSettings {
-    /// Where it listens.
+    /// The addresses to listen on.
     pub listen: ListenSettings,
-    /// The failure domain that it runs in.
+    /// The failure domain that the daemon runs in.
     pub domain: DomainName,
-    /// The VM that it runs on, as the VM list names it.
+    /// The VM that the daemon runs on, as the VM list names it; `None` if it is not known.
     pub vm: Option<VmName>,
-    /// The region that it runs in.
+    /// The region that the daemon runs in.
     pub region: String,
-    /// How many daemons there can be at once; the same for all of them.
+    /// The greatest number of daemons at a time; must be the same for all daemons.
     pub seats: u8,
-    /// Into how many shares the endpoints' slots are divided; the same for all daemons.
+    /// The number of shares that the endpoints' slots are divided into; must be the same for all daemons.
     pub slot_shares: u16,
-    /// Into how many shards the jobs are divided; the same for all daemons.
+    /// The number of shards that the jobs are divided into; must be the same for all daemons.
     pub shards: u16,
-    /// The key that daemons share.
+    /// The source of the key that daemons share.
     pub peer_key: PeerKeySource,
-    /// How the platform is reached; `None` when its ports are handed in.
+    /// The addresses of the platform's services; `None` if the ports are passed to [`crate::EntryDaemon::start`]
+    /// directly.
     pub platform: Option<PlatformSettings>,
-    /// The administration API's certificate; without one it speaks plain HTTP.
+    /// The administration API's certificate; `None` serves plain HTTP.
     pub tls: Option<TlsSettings>,
-    /// The file of the operators' tokens; without one anybody may come in.
+    /// The file with the operators' token digests; `None` allows everything without a token.
     pub tokens_file: Option<PathBuf>,
-    /// Whether an administration API off loopback may be open.
+    /// Whether the administration API may listen off loopback without TLS and tokens.
     pub allow_open_administration: bool,
-    /// What is logged, and how.
+    /// The format and level of the log.
     pub log: LogSettings,
-    /// Where spans go; `None` keeps none.
+    /// The trace collector; `None` exports no spans.
     pub traces: Option<TraceSettings>,
-    /// The limits on what callers and operators may send.
+    /// Limits on callers' and operators' requests.
     pub limits: LimitSettings,
-    /// How long the balancer may go on sending callers here after `/readyz` says no.
+    /// How long the balancer may go on sending callers after `/readyz` fails.
     pub balancer_lag: Duration,
-    /// How long a stop waits for the table service to take back what this daemon holds.
+    /// How long a stop waits until this daemon's resources are released in the table service.
     pub leave_timeout: Duration,
 }
 
 impl DaemonSettings {
-    /// Creates settings with every default, for a daemon whose platform is handed in.
+    /// Creates settings with every default, for a daemon whose ports are passed in directly.
     pub fn new(listen: ListenSettings, domain: DomainName, peer_key: PeerKeySource) -> Self {
         Self {
             listen,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Sets the VM that it runs on, as the VM list names it.
+    /// Sets the VM that the daemon runs on, as the VM list names it.
     pub fn with_vm(mut self, vm: VmName) -> Self {
         self.vm = Some(vm);
         self
@@ -118,7 +119,7 @@
         self
     }
 
-    /// Sets the balancer's lag.
+    /// Sets how long the balancer may go on sending callers after `/readyz` fails.
     pub fn with_balancer_lag(mut self, lag: Duration) -> Self {
         self.balancer_lag = lag;
         self
@@ -142,16 +143,16 @@
         self
     }
 
-    /// Sets where spans go.
+    /// Sets the trace collector.
     pub fn with_traces(mut self, traces: TraceSettings) -> Self {
         self.traces = Some(traces);
         self
     }
 
-    /// Tells whether nobody unknown can reach the administration API, or the settings allow it.
-    pub fn administration_guarded(&self) -> bool {
-        let guarded = self.tls.is_some() && self.tokens_file.is_some();
+    /// Returns whether the administration API is on loopback, has TLS and tokens, or is explicitly allowed to be open.
+    pub fn is_administration_protected(&self) -> bool {
+        let authenticated = self.tls.is_some() && self.tokens_file.is_some();
         let loopback = self.listen.administration.ip().is_loopback();
-        guarded || loopback || self.allow_open_administration
+        authenticated || loopback || self.allow_open_administration
     }
 }
--- a/crates/jasminebend/src/daemon_status.rs
+++ b/crates/jasminebend/src/daemon_status.rs
@@ -1,4 +1,4 @@
-//! What a daemon tells of itself.
+//! Status of a daemon.
 
 use jasminebend_base::{
     ConfigurationVersion,
@@ -6,21 +6,21 @@
 };
 use serde::Serialize;
 
-/// What a daemon tells of itself.
+/// Status of a daemon, as the administration API returns it.
 #[derive(Clone, Debug, Serialize)]
 pub struct DaemonStatus {
-    /// The version of the program.
+    /// The program's version.
     pub program: &'static str,
-    /// The failure domain that it runs in.
+    /// The failure domain that the daemon runs in.
     pub failure_domain: DomainName,
-    /// The region that it runs in.
+    /// The region that the daemon runs in.
     pub region: String,
-    /// Whether the balancer may send callers here.
+    /// Whether the balancer may send callers to this daemon.
     pub ready: bool,
-    /// Whether it is on its way to stop.
+    /// Whether a graceful stop has begun.
     pub stopping: bool,
-    /// The configuration that it follows.
+    /// The version of the configuration that the daemon applies.
     pub configuration: ConfigurationVersion,
-    /// What it holds and whom it knows, as the cluster part tells it.
+    /// The cluster part's status: the resources that the daemon owns and the members that it knows.
     pub cluster: serde_json::Value,
 }
--- a/crates/jasminebend/src/demo.rs
+++ b/crates/jasminebend/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demonstration: everything in one process, on loopback, under faults.
+//! The demonstration: a whole system in one process, on loopback, with injected faults.
 
 use std::{
     sync::Arc,
@@ -16,23 +16,26 @@
     demo_client::DemoClient,
     demo_configuration::configuration,
     demo_daemons::DemoDaemons,
+    demo_environment::DemoEnvironment,
     demo_faults::run_faults,
     demo_jobs::DemoJobs,
     demo_operator::DemoOperator,
-    demo_site::DemoSite,
-    demo_verdict::report,
+    demo_verification::build_report,
     set_up_log,
     stop_signals::StopSignals, //
 };
 
-const LONGEST_FINISH: Duration = Duration::from_secs(60);
-const SETTLE: Duration = Duration::from_secs(2);
+/// How long accepted jobs may take to finish after the last submission.
+const JOB_FINISH_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long the daemons are given to apply the first configuration.
+const CONFIGURATION_SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Runs the demonstration.
+/// Runs the demonstration and prints its report.
 ///
 /// # Errors
 ///
-/// Any [`DemoError`]; [`DemoError::Violated`] if a count that must be zero is not.
+/// Returns [`DemoError::Violated`] if a count that must be zero is not, and another [`DemoError`] if a part of the
+/// demonstration fails.
 pub async fn run(options: DemoOptions) -> Result<(), DemoError> {
     let _log = set_up_log(LogSettings {
         level: LogLevel::Error,
@@ -40,26 +43,35 @@
     })?;
     let client = DemoClient::new();
     let operator = DemoOperator::new(client.clone());
-    let site = DemoSite::start(options.seed).await?;
-    let mut daemons = DemoDaemons::start(&site, operator.clone(), options.seed).await?;
+    let environment = DemoEnvironment::start(options.seed).await?;
+    let mut daemons = DemoDaemons::start(&environment, operator.clone(), options.seed).await?;
     configure(&operator, &daemons).await?;
     println!("Three daemons, six endpoints and six workers are up; faults follow.");
     let callers = DemoCallers::new(client, daemons.balancer.clone(), options.seed)?;
     let callers = Arc::new(callers);
     let jobs = DemoJobs::new(operator.clone(), daemons.balancer.clone(), options.seed);
     let jobs = Arc::new(jobs);
-    let mut calls = callers.start();
-    let submissions = tokio::spawn(Arc::clone(&jobs).submit_until_ended());
-    let late = run_faults(&site, &operator, &mut daemons, &callers, options.seconds).await?;
-    callers.end();
-    jobs.end();
-    while let Some(ended) = calls.join_next().await {
-        ended?;
+    let mut caller_tasks = callers.start();
+    let submission_task = tokio::spawn(Arc::clone(&jobs).submit_until_stopped());
+    let late_starts = run_faults(
+        &environment,
+        &operator,
+        &mut daemons,
+        &callers,
+        options.seconds,
+    )
+    .await?;
+    callers.stop();
+    jobs.stop();
+    while let Some(joined) = caller_tasks.join_next().await {
+        joined?;
     }
-    submissions.await?;
-    jobs.settle_unknown().await;
-    let unfinished = jobs.wait_finished(&site.runs, LONGEST_FINISH).await;
-    let report = report(&site, &callers, &jobs, late, unfinished);
+    submission_task.await?;
+    jobs.resubmit_unknown().await;
+    let unfinished = jobs
+        .wait_finished(&environment.runs, JOB_FINISH_TIMEOUT)
+        .await;
+    let report = build_report(&environment, &callers, &jobs, late_starts, unfinished);
     println!("\n{report}");
     if options.keep_running {
         serve_until_signal(&daemons).await?;
@@ -76,7 +88,7 @@
     operator
         .configure(daemon.administration, &configuration())
         .await?;
-    sleep(SETTLE).await;
+    sleep(CONFIGURATION_SETTLE_TIME).await;
     Ok(())
 }
 
@@ -92,6 +104,6 @@
     }
     let mut signals = StopSignals::new()?;
     println!("Serving until a signal.");
-    signals.first().await;
+    signals.wait_for_stop().await;
     Ok(())
 }
--- a/crates/jasminebend/src/demo_callers.rs
+++ b/crates/jasminebend/src/demo_callers.rs
@@ -1,4 +1,4 @@
-//! The demonstration's callers.
+//! Callers of the demonstration, which send service requests.
 
 use std::{
     sync::{
@@ -37,22 +37,24 @@
 
 use crate::{
     demo_client::{
-        CallFault,
+        CallError,
         DemoClient, //
     },
     demo_daemons::DemoBalancer,
-    demo_tally::{
-        DemoTally,
-        RequestFate,
-        TallyCounts, //
+    demo_request_stats::{
+        RequestCounts, //
+        RequestOutcome,
+        RequestStats,
     },
 };
 
-const CALLERS: u64 = 30;
-const LONGEST_PAUSE: Duration = Duration::from_millis(60);
-const BALANCER_RETRY: Duration = Duration::from_millis(50);
-const EXECUTED: &str = "jasminebend-executed";
-const REASON: &str = "jasminebend-reason";
+const CALLER_COUNT: u64 = 30;
+/// The exclusive upper bound of the random delay between a caller's requests.
+const MAX_REQUEST_DELAY: Duration = Duration::from_millis(60);
+/// The delay before the next request when no daemon is ready.
+const NO_READY_DAEMON_DELAY: Duration = Duration::from_millis(50);
+const EXECUTED_HEADER: &str = "jasminebend-executed";
+const REASON_HEADER: &str = "jasminebend-reason";
 
 /// A class of requests that the demonstration's callers send.
 pub(crate) struct RequestKind {
@@ -60,17 +62,17 @@
     pub(crate) method: Method,
     pub(crate) path: &'static str,
     pub(crate) idempotent: bool,
-    pub(crate) tally: DemoTally,
+    pub(crate) stats: RequestStats,
 }
 
-/// The demonstration's callers.
+/// Callers of the demonstration: concurrent tasks that send random requests until they are stopped.
 pub(crate) struct DemoCallers {
     pub(crate) kinds: Vec<RequestKind>,
     client: DemoClient,
     balancer: DemoBalancer,
     seed: u64,
-    next: AtomicU64,
-    ended: AtomicBool,
+    next_request: AtomicU64,
+    stopped: AtomicBool,
 }
 
 impl DemoCallers {
@@ -84,37 +86,38 @@
             method: Method::GET,
             path: "/quote",
             idempotent: true,
-            tally: DemoTally::new()?,
+            stats: RequestStats::new()?,
         };
         let booking = RequestKind {
             name: "booking",
             method: Method::POST,
             path: "/booking",
             idempotent: false,
-            tally: DemoTally::new()?,
+            stats: RequestStats::new()?,
         };
         Ok(Self {
             kinds: vec![quote, booking],
             client,
             balancer,
             seed,
-            next: AtomicU64::new(0),
-            ended: AtomicBool::new(false),
+            next_request: AtomicU64::new(0),
+            stopped: AtomicBool::new(false),
         })
     }
 
+    /// Starts the caller tasks.
     pub(crate) fn start(self: &Arc<Self>) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        for number in 0..CALLERS {
-            tasks.spawn(Arc::clone(self).call_until_ended(number));
+        for number in 0..CALLER_COUNT {
+            tasks.spawn(Arc::clone(self).call_until_stopped(number));
         }
         tasks
     }
 
-    /// Returns the counts of all classes together.
-    pub(crate) fn counts(&self) -> TallyCounts {
-        let kinds = self.kinds.iter().map(|kind| kind.tally.counts());
-        kinds.fold(TallyCounts::default(), |sum, counts| TallyCounts {
+    /// Returns the counts summed over all classes; latencies are zero.
+    pub(crate) fn counts(&self) -> RequestCounts {
+        let kinds = self.kinds.iter().map(|kind| kind.stats.counts());
+        kinds.fold(RequestCounts::default(), |sum, counts| RequestCounts {
             sent: sum.sent + counts.sent,
             whole: sum.whole + counts.whole,
             not_run: sum.not_run + counts.not_run,
@@ -124,49 +127,50 @@
         })
     }
 
-    pub(crate) fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    /// Makes the caller tasks end after their current request.
+    pub(crate) fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
-    async fn call_until_ended(self: Arc<Self>, number: u64) {
+    async fn call_until_stopped(self: Arc<Self>, number: u64) {
         let mut random = StdRng::seed_from_u64(self.seed.wrapping_add(number));
-        while !self.ended.load(Ordering::Relaxed) {
+        while !self.stopped.load(Ordering::Relaxed) {
             let kind = &self.kinds[random.random_range(0..self.kinds.len())];
             self.call(kind).await;
-            sleep(random.random_range(Duration::ZERO..LONGEST_PAUSE)).await;
+            sleep(random.random_range(Duration::ZERO..MAX_REQUEST_DELAY)).await;
         }
     }
 
     async fn call(&self, kind: &RequestKind) {
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         let Some(daemon) = self.balancer.pick(number) else {
-            sleep(BALANCER_RETRY).await;
+            sleep(NO_READY_DAEMON_DELAY).await;
             return;
         };
         let id = format!("{}-{number}", kind.name);
-        let body = body_of(kind, &id);
-        let Ok(request) = request(kind, &id, &body) else {
+        let body = request_body(kind, &id);
+        let Ok(request) = build_request(kind, &id, &body) else {
             return;
         };
-        kind.tally.send();
-        let begun = Instant::now();
+        kind.stats.record_sent();
+        let started = Instant::now();
         let answer = self.client.call(daemon.callers, request).await;
-        if let Some(reason) = refusal(&answer) {
-            kind.tally.refuse(reason);
+        if let Some(reason) = refusal_reason(&answer) {
+            kind.stats.record_refusal(reason);
         }
-        let fate = fate(answer, &id, &body, begun);
-        kind.tally.settle(id, fate);
+        let outcome = classify_response(answer, &id, &body, started);
+        kind.stats.record_outcome(id, outcome);
     }
 }
 
-fn body_of(kind: &RequestKind, id: &str) -> Bytes {
+fn request_body(kind: &RequestKind, id: &str) -> Bytes {
     match kind.idempotent {
         true => Bytes::new(),
         false => Bytes::from(format!("bench 7, guitar of {id}")),
     }
 }
 
-fn request(
+fn build_request(
     kind: &RequestKind,
     id: &str,
     body: &Bytes,
@@ -178,38 +182,40 @@
         .body(Full::new(body.clone()))
 }
 
-fn refusal(answer: &Result<Response<Bytes>, CallFault>) -> Option<&str> {
+/// Returns the reason that the response gives for not running the request; `None` if it gives none.
+fn refusal_reason(answer: &Result<Response<Bytes>, CallError>) -> Option<&str> {
     match answer {
-        Err(CallFault::NotSent) => Some("connection_refused"),
-        Err(CallFault::Broken) => None,
-        Ok(response) => response.headers().get(REASON)?.to_str().ok(),
+        Err(CallError::NotSent) => Some("connection_refused"),
+        Err(CallError::NoResponse) => None,
+        Ok(response) => response.headers().get(REASON_HEADER)?.to_str().ok(),
     }
 }
 
-fn fate(
-    answer: Result<Response<Bytes>, CallFault>,
+/// Classifies the response to a request, which must hold the whole answer to this request.
+fn classify_response(
+    answer: Result<Response<Bytes>, CallError>,
     id: &str,
     body: &Bytes,
-    begun: Instant,
-) -> RequestFate {
+    started: Instant,
+) -> RequestOutcome {
     let response = match answer {
         Ok(response) => response,
-        Err(CallFault::NotSent) => return RequestFate::NotRun,
-        Err(CallFault::Broken) => return RequestFate::Unknown,
+        Err(CallError::NotSent) => return RequestOutcome::NotRun,
+        Err(CallError::NoResponse) => return RequestOutcome::Unknown,
     };
     if response.status() == StatusCode::OK {
         return match EndpointAnswer::check(id, body, response.body()) {
-            Ok(()) => RequestFate::Whole(begun.elapsed()),
-            Err(_) => RequestFate::Wrong,
+            Ok(()) => RequestOutcome::Whole(started.elapsed()),
+            Err(_) => RequestOutcome::Wrong,
         };
     }
     match response
         .headers()
-        .get(EXECUTED)
+        .get(EXECUTED_HEADER)
         .map(|value| value.as_bytes())
     {
-        Some(b"no") => RequestFate::NotRun,
-        Some(b"unknown") => RequestFate::Unknown,
-        _ => RequestFate::Wrong,
+        Some(b"no") => RequestOutcome::NotRun,
+        Some(b"unknown") => RequestOutcome::Unknown,
+        _ => RequestOutcome::Wrong,
     }
 }
--- a/crates/jasminebend/src/demo_client.rs
+++ b/crates/jasminebend/src/demo_client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client of the demonstration's callers and operators.
+//! The HTTP client of the demonstration's callers and operator.
 
 use std::{
     net::SocketAddr,
@@ -23,18 +23,18 @@
 };
 use tokio::time::timeout;
 
-const LONGEST_CALL: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a call failed.
+/// Failure of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum CallFault {
+pub(crate) enum CallError {
     /// The connection was refused, so that nothing was sent.
     NotSent,
-    /// No whole answer came.
-    Broken,
+    /// No complete response was received, so the request may have been run.
+    NoResponse,
 }
 
-/// The HTTP client of the demonstration's callers and operators. It never repeats a request.
+/// The HTTP client of the demonstration's callers and operator. It never retries a request.
 #[derive(Clone)]
 pub(crate) struct DemoClient(Client<HttpConnector, Full<Bytes>>);
 
@@ -46,30 +46,31 @@
         Self(client)
     }
 
+    /// Sends a request to `address`, and returns the complete response.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, CallFault> {
+    ) -> Result<Response<Bytes>, CallError> {
         let path = request
             .uri()
             .path_and_query()
             .map_or("/", |path| path.as_str());
         let uri = format!("http://{address}{path}");
-        *request.uri_mut() = uri.parse().map_err(|_| CallFault::NotSent)?;
-        let answer = timeout(LONGEST_CALL, self.exchange(request)).await;
-        answer.unwrap_or(Err(CallFault::Broken))
+        *request.uri_mut() = uri.parse().map_err(|_| CallError::NotSent)?;
+        let answer = timeout(CALL_TIMEOUT, self.exchange(request)).await;
+        answer.unwrap_or(Err(CallError::NoResponse))
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, CallFault> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Response<Bytes>, CallError> {
         let response = self.0.request(request).await.map_err(|error| {
             if error.is_connect() {
-                return CallFault::NotSent;
+                return CallError::NotSent;
             }
-            CallFault::Broken
+            CallError::NoResponse
         })?;
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|_| CallFault::Broken)?;
+        let body = body.collect().await.map_err(|_| CallError::NoResponse)?;
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 }
--- a/crates/jasminebend/src/demo_configuration.rs
+++ b/crates/jasminebend/src/demo_configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration that the demonstration's operator puts first.
+//! The configuration of the demonstration.
 
 use std::time::Duration;
 
@@ -19,11 +19,12 @@
     TeamQuota, //
 };
 
-use crate::demo_site::{
+use crate::demo_environment::{
     DOMAINS,
-    SERVICE, //
+    SERVICE_NAME, //
 };
 
+/// Returns the configuration that the demonstration's operator sets at the start.
 pub(crate) fn configuration() -> Configuration {
     Configuration {
         domains: DOMAINS.map(domain).to_vec(),
@@ -68,7 +69,7 @@
         name: ClassName::from(name),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(target),
-        service: Some(ServiceName::from(SERVICE)),
+        service: Some(ServiceName::from(SERVICE_NAME)),
         route: Some(RouteRule {
             host: None,
             path_prefix: prefix.to_owned(),
--- a/crates/jasminebend/src/demo_daemons.rs
+++ b/crates/jasminebend/src/demo_daemons.rs
@@ -1,4 +1,4 @@
-//! The demonstration's daemons, and the balancer in front of them.
+//! Daemons of the demonstration, and the balancer in front of them.
 
 use std::{
     net::SocketAddr,
@@ -18,21 +18,22 @@
 
 use crate::{
     DaemonSettings, DemoError, EntryDaemon, ListenSettings, PeerKeySource, SecretText,
-    demo_operator::DemoOperator,
-    demo_site::{
+    demo_environment::{
         DOMAINS,
-        DemoSite, //
+        DemoEnvironment, //
     },
+    demo_operator::DemoOperator,
 };
 
 const PEER_KEY: &str = "the demonstration's key; daemons in use read theirs from a file";
 const SLOT_SHARES: u16 = 30;
 const SHARDS: u16 = 3;
 const SEATS: u8 = 3;
-const BALANCER_PERIOD: Duration = Duration::from_millis(200);
-const LONGEST_START: Duration = Duration::from_secs(30);
+/// The time between two readiness checks of the balancer.
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where callers and operators reach a daemon.
+/// The addresses of a daemon, and its readiness at the last check.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DaemonAddress {
     pub(crate) callers: SocketAddr,
@@ -40,17 +41,19 @@
     ready: bool,
 }
 
-/// The demonstration's daemons.
+/// Daemons of the demonstration.
 pub(crate) struct DemoDaemons {
     seed: u64,
+    /// The number of daemons started so far, used to name their VMs.
     started: u64,
     running: Vec<(VmName, EntryDaemon)>,
     pub(crate) balancer: DemoBalancer,
 }
 
 impl DemoDaemons {
+    /// Starts a daemon in each failure domain, and waits until all are ready.
     pub(crate) async fn start(
-        site: &DemoSite,
+        environment: &DemoEnvironment,
         operator: DemoOperator,
         seed: u64,
     ) -> Result<Self, DemoError> {
@@ -61,37 +64,39 @@
             balancer: DemoBalancer::new(operator),
         };
         for domain in DOMAINS {
-            daemons.start_one(site, &DomainName::from(domain)).await?;
+            daemons
+                .start_one(environment, &DomainName::from(domain))
+                .await?;
         }
         tokio::spawn(daemons.balancer.clone().watch());
         daemons.balancer.wait_ready(DOMAINS.len()).await?;
         Ok(daemons)
     }
 
-    /// Starts a daemon on a VM of its own.
+    /// Starts a daemon on a new VM.
     pub(crate) async fn start_one(
         &mut self,
-        site: &DemoSite,
+        environment: &DemoEnvironment,
         domain: &DomainName,
     ) -> Result<(), DemoError> {
         let name = VmName::from(format!("entry-{}", self.started));
-        let edges = site.edges(self.seed.wrapping_mul(1_000).wrapping_add(self.started));
+        let ports = environment.ports(self.seed.wrapping_mul(1_000).wrapping_add(self.started));
         self.started += 1;
-        site.add_entry(&name, domain);
-        let daemon = EntryDaemon::start(settings(&name, domain), edges).await?;
+        environment.add_entry(&name, domain);
+        let daemon = EntryDaemon::start(settings(&name, domain), ports).await?;
         self.balancer.add(&daemon);
         self.running.push((name, daemon));
         Ok(())
     }
 
-    /// Ends the last daemon at once, as when its VM is lost.
-    pub(crate) fn kill_one(&mut self, site: &DemoSite) {
+    /// Kills the daemon that was started last, as if its VM was lost.
+    pub(crate) fn kill_one(&mut self, environment: &DemoEnvironment) {
         let Some((name, daemon)) = self.running.pop() else {
             return;
         };
         self.balancer.remove(daemon.caller_address());
         daemon.kill();
-        site.remove_entry(&name);
+        environment.remove_entry(&name);
     }
 
     /// Stops every daemon gracefully.
@@ -109,10 +114,10 @@
         .with_seats(SEATS)
         .with_slot_shares(SLOT_SHARES)
         .with_shards(SHARDS)
-        .with_balancer_lag(2 * BALANCER_PERIOD)
+        .with_balancer_lag(2 * READINESS_CHECK_INTERVAL)
 }
 
-/// The stand-in of the platform's balancer: it sends callers to daemons that say they are ready.
+/// The stand-in of the platform's balancer, which selects among the daemons whose readiness check succeeds.
 #[derive(Clone)]
 pub(crate) struct DemoBalancer {
     operator: DemoOperator,
@@ -137,12 +142,12 @@
             .collect()
     }
 
-    /// Returns a ready daemon for the call of this number.
+    /// Returns the ready daemon for the request with this number, in round-robin order; `None` if no daemon is ready.
     pub(crate) fn pick(&self, number: u64) -> Option<DaemonAddress> {
         let ready = self.ready();
         // CAST: the remainder is below the length.
-        let place = number.checked_rem(ready.len() as u64)? as usize;
-        ready.get(place).copied()
+        let index = number.checked_rem(ready.len() as u64)? as usize;
+        ready.get(index).copied()
     }
 
     fn add(&self, daemon: &EntryDaemon) {
@@ -151,29 +156,30 @@
             administration: daemon.admin_address(),
             ready: false,
         };
-        self.change(|daemons| daemons.push(address));
+        self.update(|daemons| daemons.push(address));
     }
 
     fn remove(&self, callers: SocketAddr) {
-        self.change(|daemons| daemons.retain(|daemon| daemon.callers != callers));
+        self.update(|daemons| daemons.retain(|daemon| daemon.callers != callers));
     }
 
+    /// Checks the daemons' readiness periodically, for ever.
     async fn watch(self) {
         loop {
-            self.look().await;
-            sleep(BALANCER_PERIOD).await;
+            self.check_readiness().await;
+            sleep(READINESS_CHECK_INTERVAL).await;
         }
     }
 
-    async fn look(&self) {
+    async fn check_readiness(&self) {
         let known = self
             .daemons
             .read()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
         for daemon in known {
-            let ready = self.operator.ready(daemon.administration).await;
-            self.change(|daemons| {
+            let ready = self.operator.is_ready(daemon.administration).await;
+            self.update(|daemons| {
                 let same = |found: &&mut DaemonAddress| found.callers == daemon.callers;
                 if let Some(found) = daemons.iter_mut().find(same) {
                     found.ready = ready;
@@ -182,21 +188,22 @@
         }
     }
 
+    /// Waits until at least `number` daemons are ready.
     pub(crate) async fn wait_ready(&self, number: usize) -> Result<(), DemoError> {
-        let attempts = LONGEST_START.as_millis() / BALANCER_PERIOD.as_millis();
+        let attempts = READY_TIMEOUT.as_millis() / READINESS_CHECK_INTERVAL.as_millis();
         for _ in 0..attempts {
             if self.ready().len() >= number {
                 return Ok(());
             }
-            sleep(BALANCER_PERIOD).await;
+            sleep(READINESS_CHECK_INTERVAL).await;
         }
         Err(DemoError::NotReady)
     }
 
-    fn change<Change>(&self, change: Change)
+    fn update<Update>(&self, update: Update)
     where
-        Change: FnOnce(&mut Vec<DaemonAddress>),
+        Update: FnOnce(&mut Vec<DaemonAddress>),
     {
-        change(&mut self.daemons.write().unwrap_or_else(PoisonError::into_inner));
+        update(&mut self.daemons.write().unwrap_or_else(PoisonError::into_inner));
     }
 }
--- a/crates/jasminebend/src/demo_site.rs
+++ b/crates/jasminebend/src/demo_environment.rs
@@ -1,5 +1,5 @@
-//! What stands around the demonstration's daemons: the platform, the endpoints and the workers, each
-//! reached over real HTTP on loopback.
+//! The environment of the demonstration's daemons: stand-ins of the platform, the endpoints and the workers, each
+//! reached over HTTP on loopback.
 
 use std::{
     net::SocketAddr,
@@ -37,22 +37,22 @@
 };
 
 use crate::{
-    DaemonEdges,
+    DaemonPorts,
     DemoError, //
 };
 
 /// The failure domains of the demonstration.
 pub(crate) const DOMAINS: [&str; 3] = ["north", "middle", "south"];
-/// The service that its endpoints serve.
-pub(crate) const SERVICE: &str = "storefront";
+/// The service that the demonstration's endpoints serve.
+pub(crate) const SERVICE_NAME: &str = "storefront";
 
-const ENDPOINTS: usize = 6;
-const WORKERS: usize = 6;
+const ENDPOINT_COUNT: usize = 6;
+const WORKER_COUNT: usize = 6;
 const MEAN_SERVICE_TIME: Duration = Duration::from_millis(10);
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What stands around the demonstration's daemons.
-pub(crate) struct DemoSite {
+/// The environment of the demonstration's daemons.
+pub(crate) struct DemoEnvironment {
     pub(crate) clock: Arc<dyn ClockSource>,
     pub(crate) table: TableStandIn,
     pub(crate) requests: Arc<EndpointLedger>,
@@ -60,6 +60,7 @@
     vm_list: VmListStandIn,
     endpoint_domains: Vec<(VmName, DomainName)>,
     addresses: PlatformAddresses,
+    /// Keep the stand-ins' servers running.
     guards: Vec<ServerGuard>,
 }
 
@@ -69,7 +70,8 @@
     vm_list: SocketAddr,
 }
 
-impl DemoSite {
+impl DemoEnvironment {
+    /// Starts the platform, the endpoints and the workers.
     pub(crate) async fn start(seed: u64) -> Result<Self, DemoError> {
         let clock: Arc<dyn ClockSource> = Arc::new(SystemClock::new());
         let table = TableStandIn::new().with_clock(Arc::clone(&clock));
@@ -78,7 +80,7 @@
         let (table_address, table_guard) = table.start().await?;
         let (object_address, object_guard) = objects.start().await?;
         let (list_address, list_guard) = vm_list.start().await?;
-        let mut site = Self {
+        let mut environment = Self {
             clock,
             table,
             requests: Arc::new(EndpointLedger::new()),
@@ -92,15 +94,15 @@
             },
             guards: vec![table_guard, object_guard, list_guard],
         };
-        site.start_endpoints(seed).await?;
-        site.start_workers(seed).await?;
-        Ok(site)
+        environment.start_endpoints(seed).await?;
+        environment.start_workers(seed).await?;
+        Ok(environment)
     }
 
-    /// Returns a daemon's edges: the adapters that reach this site over HTTP.
-    pub(crate) fn edges(&self, seed: u64) -> DaemonEdges {
+    /// Returns a daemon's ports: adapters that reach this environment over HTTP.
+    pub(crate) fn ports(&self, seed: u64) -> DaemonPorts {
         let addresses = &self.addresses;
-        DaemonEdges {
+        DaemonPorts {
             table: Arc::new(HttpTable::new(addresses.table).with_timeout(PLATFORM_TIMEOUT)),
             objects: Arc::new(HttpObjects::new(addresses.objects).with_timeout(PLATFORM_TIMEOUT)),
             vm_list: Arc::new(HttpVmList::new(addresses.vm_list).with_timeout(PLATFORM_TIMEOUT)),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Lists an entry VM.
+    /// Adds an entry VM to the VM list.
     pub(crate) fn add_entry(&self, name: &VmName, domain: &DomainName) {
         self.vm_list.add(VmRecord {
             name: name.clone(),
@@ -122,36 +124,36 @@
         });
     }
 
-    /// Lists an entry VM no more.
+    /// Removes an entry VM from the VM list.
     pub(crate) fn remove_entry(&self, name: &VmName) {
         self.vm_list.remove(name.clone());
     }
 
-    /// Returns how many requests arrived at the endpoints of a failure domain.
+    /// Returns the number of requests that arrived at the endpoints of a failure domain.
     pub(crate) fn arrivals_in(&self, domain: &DomainName) -> u64 {
         self.endpoint_domains
             .iter()
-            .filter(|(_, home)| home == domain)
+            .filter(|(_, endpoint_domain)| endpoint_domain == domain)
             .map(|(name, _)| self.requests.counts(name).arrivals)
             .sum()
     }
 
     async fn start_endpoints(&mut self, seed: u64) -> Result<(), DemoError> {
-        for place in 0..ENDPOINTS {
-            let domain = DomainName::from(DOMAINS[place % DOMAINS.len()]);
-            let name = VmName::from(format!("endpoint-{place}"));
+        for index in 0..ENDPOINT_COUNT {
+            let domain = DomainName::from(DOMAINS[index % DOMAINS.len()]);
+            let name = VmName::from(format!("endpoint-{index}"));
             let knobs = EndpointKnobs {
                 service_time: ServiceTime::Exponential(MEAN_SERVICE_TIME),
                 ..EndpointKnobs::default()
             };
-            // CAST: `place` is below `ENDPOINTS`.
-            let seed = seed.wrapping_add(place as u64);
+            // CAST: `index` is below `ENDPOINT_COUNT`.
+            let seed = seed.wrapping_add(index as u64);
             let endpoint = EndpointStandIn::new(name.clone(), Arc::clone(&self.requests), seed)
                 .with_clock(Arc::clone(&self.clock))
                 .with_knobs(knobs);
             let (address, guard) = endpoint.start().await?;
             self.vm_list
-                .add(endpoint.record(domain.clone(), SERVICE, address));
+                .add(endpoint.record(domain.clone(), SERVICE_NAME, address));
             self.endpoint_domains.push((name, domain));
             self.guards.push(guard);
         }
@@ -160,7 +162,7 @@
 
     async fn start_workers(&mut self, seed: u64) -> Result<(), DemoError> {
         let shape = FleetShape {
-            workers: WORKERS,
+            workers: WORKER_COUNT,
             domains: DOMAINS.map(DomainName::from).to_vec(),
             rack_size: 2,
             capacity: ResourceAmount::new(8_000, 16_384),
--- a/crates/jasminebend/src/demo_error.rs
+++ b/crates/jasminebend/src/demo_error.rs
@@ -1,4 +1,4 @@
-//! Why the demonstration failed.
+//! Errors of the demonstration.
 
 use std::io;
 
@@ -15,48 +15,48 @@
     LogError, //
 };
 
-/// Why the demonstration failed.
+/// Error of the demonstration.
 #[derive(Debug, Display, Error, From)]
 pub enum DemoError {
-    /// A stand-in could not listen.
+    /// A stand-in's listener could not be bound.
     #[display("a stand-in cannot listen on loopback: {_0}")]
     Socket(io::Error),
     /// A daemon did not start.
     #[display("a daemon did not start: {_0}")]
     Daemon(DaemonError),
-    /// The histogram of latencies could not be made.
+    /// A latency histogram could not be created.
     #[display("{_0}")]
     Histogram(CreationError),
-    /// The daemons did not become ready.
+    /// The daemons did not become ready in time.
     #[display("no daemon became ready in time")]
     #[from(skip)]
     NotReady,
-    /// A caller or the submitter ended early, so that its counts are not whole.
+    /// A task that sends requests or jobs failed, so its counts are incomplete.
     #[display("a part of the demonstration ended early: {_0}")]
-    EndedEarly(JoinError),
+    TaskFailed(JoinError),
     /// The log could not be set up.
     #[display("{_0}")]
     Log(LogError),
-    /// An operator's request was not carried out.
+    /// An operator's request failed.
     #[display("{_0}")]
-    Operator(OperatorFault),
-    /// Something that must be zero was not, or a request or job is unaccounted for.
+    Operator(OperatorRequestError),
+    /// A count that must be zero was not, or a request or job is unaccounted for.
     #[display("{count} of the counts that must be zero are not; see the table")]
     #[from(skip)]
     Violated {
-        /// How many counts.
+        /// The number of violated counts.
         count: usize,
     },
 }
 
-/// An operator's request that was not carried out.
+/// Error of an operator's request in the demonstration.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("`{request}` was answered with {status}: {answer}")]
-pub struct OperatorFault {
-    /// The request.
+pub struct OperatorRequestError {
+    /// The method and path of the request.
     pub request: String,
-    /// The answer's status code; zero if none came.
+    /// The HTTP status of the response; zero if there was none.
     pub status: u16,
-    /// The answer's body.
+    /// The body of the response.
     pub answer: String,
 }
--- a/crates/jasminebend/src/demo_faults.rs
+++ b/crates/jasminebend/src/demo_faults.rs
@@ -1,4 +1,4 @@
-//! The faults of the demonstration, one after another.
+//! The sequence of faults that the demonstration injects.
 
 use std::time::Duration;
 
@@ -16,40 +16,40 @@
     DemoError,
     demo_callers::DemoCallers,
     demo_daemons::DemoDaemons,
-    demo_operator::DemoOperator,
-    demo_site::{
+    demo_environment::{
         DOMAINS,
-        DemoSite, //
+        DemoEnvironment, //
     },
-    demo_tally::TallyCounts,
+    demo_operator::DemoOperator,
+    demo_request_stats::RequestCounts,
 };
 
-/// The failure domain that is taken out and back.
-const OUT: &str = DOMAINS[1];
+/// The failure domain that is taken out and brought back.
+const TAKEN_OUT_DOMAIN: &str = DOMAINS[1];
 /// The failure domain whose daemon is lost and replaced.
-const REPLACED: &str = DOMAINS[2];
-/// How long after operators took it out a failure domain may still get work.
-const GRACE: Duration = Duration::from_secs(3);
-const OUTAGE: Duration = Duration::from_secs(5);
+const REPLACED_DAEMON_DOMAIN: &str = DOMAINS[2];
+/// How long a failure domain may still get work after operators took it out.
+const TAKE_OUT_GRACE_PERIOD: Duration = Duration::from_secs(3);
+const TABLE_OUTAGE_DURATION: Duration = Duration::from_secs(5);
 
-/// Starts in the failure domain after it was out.
+/// Requests and tasks that started in the failure domain after it was taken out and the grace period had passed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LateStarts {
     pub(crate) requests: u64,
     pub(crate) tasks: usize,
 }
 
-/// Prints what became of the requests since the last time.
+/// Prints the number of requests by outcome since the previous call.
 struct DemoProgress<'a> {
     callers: &'a DemoCallers,
-    before: TallyCounts,
+    before: RequestCounts,
 }
 
 impl<'a> DemoProgress<'a> {
     fn new(callers: &'a DemoCallers) -> Self {
         Self {
             callers,
-            before: TallyCounts::default(),
+            before: RequestCounts::default(),
         }
     }
 
@@ -66,61 +66,72 @@
     }
 }
 
-/// Lets each fault happen in its turn, and returns what started where nothing may.
+/// Injects the faults one after another, and returns what started in a failure domain that was out.
+///
+/// `seconds` is the length of the whole sequence in seconds, not counting the table service's outage.
 pub(crate) async fn run_faults(
-    site: &DemoSite,
+    environment: &DemoEnvironment,
     operator: &DemoOperator,
     daemons: &mut DemoDaemons,
     callers: &DemoCallers,
     seconds: u64,
 ) -> Result<LateStarts, DemoError> {
-    let whole = Duration::from_secs(seconds);
+    let total = Duration::from_secs(seconds);
     let mut progress = DemoProgress::new(callers);
     println!("Everything is well.");
-    sleep(whole.mul_f64(0.15)).await;
+    sleep(total.mul_f64(0.15)).await;
     progress.print();
-    let late = take_out_and_back(site, operator, daemons, whole.mul_f64(0.3)).await?;
+    let late_starts =
+        measure_taken_out_domain(environment, operator, daemons, total.mul_f64(0.3)).await?;
     progress.print();
-    bring_back(operator, daemons).await?;
-    sleep(whole.mul_f64(0.05)).await;
+    bring_domain_back(operator, daemons).await?;
+    sleep(total.mul_f64(0.05)).await;
     progress.print();
-    drop_table(site).await;
+    interrupt_table_service(environment).await;
     progress.print();
     println!("The table service is back.");
-    sleep(whole.mul_f64(0.05)).await;
+    sleep(total.mul_f64(0.05)).await;
     progress.print();
-    replace_daemon(site, daemons).await?;
-    sleep(whole.mul_f64(0.2)).await;
+    replace_daemon(environment, daemons).await?;
+    sleep(total.mul_f64(0.2)).await;
     progress.print();
-    Ok(late)
+    Ok(late_starts)
 }
 
-async fn take_out_and_back(
-    site: &DemoSite,
+/// Takes a failure domain out, and counts what starts in it after the grace period.
+async fn measure_taken_out_domain(
+    environment: &DemoEnvironment,
     operator: &DemoOperator,
     daemons: &DemoDaemons,
     time: Duration,
 ) -> Result<LateStarts, DemoError> {
-    let domain = DomainName::from(OUT);
+    let domain = DomainName::from(TAKEN_OUT_DOMAIN);
     let daemon = daemons.balancer.pick(0).ok_or(DemoError::NotReady)?;
     println!("Failure domain `{domain}` is taken out.");
     operator
         .set_domain(daemon.administration, &domain, DomainState::Out)
         .await?;
-    sleep(GRACE).await;
-    let from = site.clock.monotonic();
-    let arrived = site.arrivals_in(&domain);
-    sleep(time.saturating_sub(GRACE).max(GRACE)).await;
-    let until = site.clock.monotonic();
-    let late = LateStarts {
-        requests: site.arrivals_in(&domain) - arrived,
-        tasks: site.runs.starts_in(&domain, from, until).len(),
+    sleep(TAKE_OUT_GRACE_PERIOD).await;
+    let from = environment.clock.monotonic();
+    let arrivals_before = environment.arrivals_in(&domain);
+    sleep(
+        time.saturating_sub(TAKE_OUT_GRACE_PERIOD)
+            .max(TAKE_OUT_GRACE_PERIOD),
+    )
+    .await;
+    let until = environment.clock.monotonic();
+    let late_starts = LateStarts {
+        requests: environment.arrivals_in(&domain) - arrivals_before,
+        tasks: environment.runs.starts_in(&domain, from, until).len(),
     };
-    Ok(late)
+    Ok(late_starts)
 }
 
-async fn bring_back(operator: &DemoOperator, daemons: &DemoDaemons) -> Result<(), DemoError> {
-    let domain = DomainName::from(OUT);
+async fn bring_domain_back(
+    operator: &DemoOperator,
+    daemons: &DemoDaemons,
+) -> Result<(), DemoError> {
+    let domain = DomainName::from(TAKEN_OUT_DOMAIN);
     let daemon = daemons.balancer.pick(1).ok_or(DemoError::NotReady)?;
     println!("Failure domain `{domain}` is brought back.");
     let changed = operator
@@ -129,16 +140,24 @@
     Ok(changed?)
 }
 
-async fn drop_table(site: &DemoSite) {
-    println!("The table service is down for {} s.", OUTAGE.as_secs());
-    let faults = site.table.faults();
+async fn interrupt_table_service(environment: &DemoEnvironment) {
+    println!(
+        "The table service is down for {} s.",
+        TABLE_OUTAGE_DURATION.as_secs()
+    );
+    let faults = environment.table.faults();
     faults.set_outage(OutageState::Down(FaultKind::Unreachable));
-    sleep(OUTAGE).await;
+    sleep(TABLE_OUTAGE_DURATION).await;
     faults.set_outage(OutageState::Up);
 }
 
-async fn replace_daemon(site: &DemoSite, daemons: &mut DemoDaemons) -> Result<(), DemoError> {
-    println!("The daemon in `{REPLACED}` is lost, and another one is started.");
-    daemons.kill_one(site);
-    daemons.start_one(site, &DomainName::from(REPLACED)).await
+async fn replace_daemon(
+    environment: &DemoEnvironment,
+    daemons: &mut DemoDaemons,
+) -> Result<(), DemoError> {
+    println!("The daemon in `{REPLACED_DAEMON_DOMAIN}` is lost, and another one is started.");
+    daemons.kill_one(environment);
+    daemons
+        .start_one(environment, &DomainName::from(REPLACED_DAEMON_DOMAIN))
+        .await
 }
--- a/crates/jasminebend/src/demo_jobs.rs
+++ b/crates/jasminebend/src/demo_jobs.rs
@@ -1,4 +1,4 @@
-//! The demonstration's batch jobs.
+//! Batch jobs of the demonstration.
 
 use std::{
     sync::{
@@ -30,34 +30,36 @@
     demo_operator::DemoOperator, //
 };
 
-const PERIOD: Duration = Duration::from_millis(500);
-const POLL: Duration = Duration::from_millis(250);
-const TASKS: u32 = 3;
-const WORK: Duration = Duration::from_secs(4);
-const UNAVAILABLE: u16 = 503;
+const SUBMISSION_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+const TASKS_PER_JOB: u32 = 3;
+/// The run time of one task.
+const TASK_RUN_TIME: Duration = Duration::from_secs(4);
+const STATUS_UNAVAILABLE: u16 = 503;
 
-/// The demonstration's batch jobs.
+/// Submits the demonstration's batch jobs and counts their outcomes.
 pub(crate) struct DemoJobs {
     operator: DemoOperator,
     balancer: DemoBalancer,
     seed: u64,
-    ended: AtomicBool,
+    stopped: AtomicBool,
     counts: Mutex<JobCounts>,
 }
 
-/// What became of the submissions.
+/// The number of submissions by their first outcome.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct JobCounts {
     pub(crate) submitted: u64,
+    /// The identifiers of the accepted jobs.
     pub(crate) accepted: Vec<u64>,
     pub(crate) refused: u64,
     pub(crate) unknown: u64,
-    /// The numbers of the submissions whose outcome is still not known.
+    /// The numbers of the submissions whose outcome is still unknown.
     unsettled: Vec<u64>,
 }
 
 impl JobCounts {
-    /// Returns how many submissions' outcome is still not known.
+    /// Returns the number of submissions whose outcome is still unknown.
     pub(crate) fn unsettled(&self) -> usize {
         self.unsettled.len()
     }
@@ -69,13 +71,14 @@
             operator,
             balancer,
             seed,
-            ended: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
             counts: Mutex::default(),
         }
     }
 
-    pub(crate) fn end(&self) {
-        self.ended.store(true, Ordering::Relaxed);
+    /// Makes [`Self::submit_until_stopped`] return after its current submission.
+    pub(crate) fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 
     pub(crate) fn counts(&self) -> JobCounts {
@@ -85,29 +88,30 @@
             .clone()
     }
 
-    /// Submits jobs until it is ended.
-    pub(crate) async fn submit_until_ended(self: Arc<Self>) {
+    /// Submits jobs periodically until [`Self::stop`] is called.
+    pub(crate) async fn submit_until_stopped(self: Arc<Self>) {
         let mut number = 0;
-        while !self.ended.load(Ordering::Relaxed) {
+        while !self.stopped.load(Ordering::Relaxed) {
             self.submit(number).await;
             number += 1;
-            sleep(PERIOD).await;
+            sleep(SUBMISSION_INTERVAL).await;
         }
     }
 
-    /// Waits until every accepted job finished at the workers, and returns how many did not.
+    /// Waits until every accepted job has finished at the workers, for `longest` at the most, and returns the number of
+    /// jobs that have not finished.
     pub(crate) async fn wait_finished(&self, runs: &RunLedger, longest: Duration) -> usize {
-        let attempts = longest.as_millis() / POLL.as_millis();
+        let attempts = longest.as_millis() / POLL_INTERVAL.as_millis();
         for _ in 0..attempts {
             if self.unfinished(runs) == 0 {
                 return 0;
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
         self.unfinished(runs)
     }
 
-    /// Returns how many accepted jobs have a task that did not finish.
+    /// Returns the number of accepted jobs with a task that has not finished.
     pub(crate) fn unfinished(&self, runs: &RunLedger) -> usize {
         let runs = runs.runs();
         let finished = |job: u64, index: u32| {
@@ -116,22 +120,23 @@
                     && matches!(run.ended, Some((_, RunEnd::Finished)))
             })
         };
-        let whole = |job: &&u64| (0..TASKS).all(|index| finished(**job, index));
+        let all_tasks_finished =
+            |job: &&u64| (0..TASKS_PER_JOB).all(|index| finished(**job, index));
         let accepted = self.counts().accepted;
-        accepted.len() - accepted.iter().filter(whole).count()
+        accepted.len() - accepted.iter().filter(all_tasks_finished).count()
     }
 
     async fn submit(&self, number: u64) {
         let Some(daemon) = self.balancer.pick(number) else {
             return;
         };
-        let job = self.job(number);
+        let job = self.job_spec(number);
         let answer = self.operator.submit(daemon.administration, &job).await;
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.submitted += 1;
         match answer {
             Ok(job) => counts.accepted.extend(u64::from_str_radix(&job, 16)),
-            Err(fault) if fault.status == UNAVAILABLE => counts.refused += 1,
+            Err(error) if error.status == STATUS_UNAVAILABLE => counts.refused += 1,
             Err(_) => {
                 counts.unknown += 1;
                 counts.unsettled.push(number);
@@ -139,18 +144,18 @@
         }
     }
 
-    /// Submits once more what nobody knows the outcome of: the key makes it the same job.
-    pub(crate) async fn settle_unknown(&self) {
+    /// Resubmits every job whose submission had an unknown outcome; its key makes it the same job.
+    pub(crate) async fn resubmit_unknown(&self) {
         for number in self.counts().unsettled {
-            self.repeat(number).await;
+            self.resubmit(number).await;
         }
     }
 
-    async fn repeat(&self, number: u64) {
+    async fn resubmit(&self, number: u64) {
         let Some(daemon) = self.balancer.pick(number) else {
             return;
         };
-        let job = self.job(number);
+        let job = self.job_spec(number);
         let Ok(job) = self.operator.submit(daemon.administration, &job).await else {
             return;
         };
@@ -159,13 +164,14 @@
         counts.accepted.extend(u64::from_str_radix(&job, 16));
     }
 
-    fn job(&self, number: u64) -> Value {
+    /// Returns the specification of the job with this number, in JSON.
+    fn job_spec(&self, number: u64) -> Value {
         json!({
             "team": "workshop",
             "class": "reconciliation",
-            "tasks": TASKS,
+            "tasks": TASKS_PER_JOB,
             "size": ResourceAmount::new(1_000, 1_024),
-            "payload": TaskPayload::new(WORK).to_text(),
+            "payload": TaskPayload::new(TASK_RUN_TIME).to_text(),
             "key": format!("demo-{}-{number}", self.seed),
         })
     }
--- a/crates/jasminebend/src/demo_operator.rs
+++ b/crates/jasminebend/src/demo_operator.rs
@@ -1,4 +1,4 @@
-//! The operator of the demonstration: everything it does goes through the administration API.
+//! The operator of the demonstration, a client of the administration API.
 
 use std::net::SocketAddr;
 
@@ -19,10 +19,10 @@
 
 use crate::{
     demo_client::DemoClient,
-    demo_error::OperatorFault, //
+    demo_error::OperatorRequestError, //
 };
 
-/// The operator of the demonstration.
+/// The operator of the demonstration, which acts only through the administration API.
 #[derive(Clone)]
 pub(crate) struct DemoOperator {
     client: DemoClient,
@@ -33,74 +33,80 @@
         Self { client }
     }
 
+    /// Replaces the configuration.
     pub(crate) async fn configure(
         &self,
         daemon: SocketAddr,
         configuration: &Configuration,
-    ) -> Result<(), OperatorFault> {
+    ) -> Result<(), OperatorRequestError> {
         let body = serde_json::to_vec(configuration).unwrap_or_default();
         let expected = configuration.version.to_string();
-        let call = OperatorCall::new(Method::PUT, "/v1/configuration")
+        let call = OperatorRequest::new(Method::PUT, "/v1/configuration")
             .with_body(body)
             .with_version(expected);
-        self.carry_out(daemon, call).await.map(drop)
+        self.send(daemon, call).await.map(drop)
     }
 
+    /// Takes a failure domain out or in.
     pub(crate) async fn set_domain(
         &self,
         daemon: SocketAddr,
         domain: &DomainName,
         state: DomainState,
-    ) -> Result<(), OperatorFault> {
-        let call = OperatorCall::new(Method::POST, &format!("/v1/domains/{domain}/{state}"));
-        self.carry_out(daemon, call).await.map(drop)
+    ) -> Result<(), OperatorRequestError> {
+        let call = OperatorRequest::new(Method::POST, &format!("/v1/domains/{domain}/{state}"));
+        self.send(daemon, call).await.map(drop)
     }
 
-    /// Submits a job and returns its identity.
+    /// Submits a job and returns its identifier.
     pub(crate) async fn submit(
         &self,
         daemon: SocketAddr,
         job: &Value,
-    ) -> Result<String, OperatorFault> {
-        let call = OperatorCall::new(Method::POST, "/v1/jobs").with_body(job.to_string().into());
-        let answer = self.carry_out(daemon, call).await?;
+    ) -> Result<String, OperatorRequestError> {
+        let call = OperatorRequest::new(Method::POST, "/v1/jobs").with_body(job.to_string().into());
+        let answer = self.send(daemon, call).await?;
         let job = answer.get("job").and_then(Value::as_str);
         Ok(job.unwrap_or_default().to_owned())
     }
 
-    pub(crate) async fn ready(&self, daemon: SocketAddr) -> bool {
-        let call = OperatorCall::new(Method::GET, "/readyz");
+    /// Returns whether the daemon's readiness check succeeds.
+    pub(crate) async fn is_ready(&self, daemon: SocketAddr) -> bool {
+        let call = OperatorRequest::new(Method::GET, "/readyz");
         match self.client.call(daemon, call.request()).await {
             Ok(response) => response.status() == StatusCode::OK,
             Err(_) => false,
         }
     }
 
-    async fn carry_out(
+    /// Sends a request, and returns the JSON of a successful response.
+    async fn send(
         &self,
         daemon: SocketAddr,
-        call: OperatorCall,
-    ) -> Result<Value, OperatorFault> {
+        call: OperatorRequest,
+    ) -> Result<Value, OperatorRequestError> {
         let answered = self.client.call(daemon, call.request()).await;
         let Ok(response) = answered else {
-            return Err(call.fault(0, "no answer"));
+            return Err(call.error(0, "no answer"));
         };
         let text = String::from_utf8_lossy(response.body());
         if !response.status().is_success() {
-            return Err(call.fault(response.status().as_u16(), &text));
+            return Err(call.error(response.status().as_u16(), &text));
         }
         Ok(serde_json::from_str(&text).unwrap_or_default())
     }
 }
 
-struct OperatorCall {
+/// A request to the administration API.
+struct OperatorRequest {
     method: Method,
     path: String,
     body: Vec<u8>,
+    /// The configuration version that the change is based on.
     version: Option<String>,
 }
 
-impl OperatorCall {
+impl OperatorRequest {
     fn new(method: Method, path: &str) -> Self {
         Self {
             method,
@@ -136,8 +142,8 @@
         request
     }
 
-    fn fault(&self, status: u16, answer: &str) -> OperatorFault {
-        OperatorFault {
+    fn error(&self, status: u16, answer: &str) -> OperatorRequestError {
+        OperatorRequestError {
             request: format!("{} {}", self.method, self.path),
             status,
             answer: answer.trim().to_owned(),
--- a/crates/jasminebend/src/demo_options.rs
+++ b/crates/jasminebend/src/demo_options.rs
@@ -1,13 +1,13 @@
-//! What `jasminebend demo` is told.
+//! Options of the demonstration.
 
-/// What `jasminebend demo` is told.
+/// Options of `jasminebend demo`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct DemoOptions {
     /// How long requests and jobs are sent, in seconds.
     pub seconds: u64,
-    /// What every draw of the demonstration starts from.
+    /// The seed of the demonstration's random number generators.
     pub seed: u64,
-    /// Whether to go on serving until a signal once the table is printed.
+    /// Whether to keep the daemons running until a signal after the report is printed.
     pub keep_running: bool,
 }
 
--- a/crates/jasminebend/src/demo_report.rs
+++ b/crates/jasminebend/src/demo_report.rs
@@ -1,4 +1,4 @@
-//! What the demonstration prints.
+//! The report of the demonstration.
 
 use std::{
     fmt::{
@@ -12,40 +12,46 @@
 use indexmap::IndexMap;
 use jasminebend_standins::LedgerSummary;
 
-use crate::demo_tally::TallyCounts;
+use crate::demo_request_stats::RequestCounts;
 
-/// A row of the table of requests.
+/// The requests of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassRow {
     pub(crate) name: &'static str,
-    pub(crate) counts: TallyCounts,
+    pub(crate) counts: RequestCounts,
+    /// The number of requests that endpoints ran more than once.
     pub(crate) run_twice: u64,
+    /// The number of refusals by reason.
     pub(crate) refusals: IndexMap<String, u64>,
 }
 
 /// A count that must be zero.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZeroCount {
-    pub(crate) what: &'static str,
+    pub(crate) description: &'static str,
     pub(crate) count: u64,
 }
 
-/// What the demonstration prints.
+/// The report that the demonstration prints at its end.
 #[derive(Clone, Debug)]
 pub(crate) struct DemoReport {
     pub(crate) classes: Vec<ClassRow>,
+    /// The number of submitted jobs.
     pub(crate) submitted: u64,
     pub(crate) accepted: u64,
     pub(crate) refused: u64,
     pub(crate) unknown: u64,
     pub(crate) runs: LedgerSummary,
-    pub(crate) zeros: Vec<ZeroCount>,
+    pub(crate) zero_counts: Vec<ZeroCount>,
 }
 
 impl DemoReport {
-    /// Returns how many of the counts that must be zero are not.
+    /// Returns the number of counts that must be zero but are not.
     pub(crate) fn violations(&self) -> usize {
-        self.zeros.iter().filter(|zero| zero.count != 0).count()
+        self.zero_counts
+            .iter()
+            .filter(|zero| zero.count != 0)
+            .count()
     }
 }
 
@@ -77,7 +83,7 @@
             self.runs.lapses
         )?;
         writeln!(formatter, "must be zero:")?;
-        self.zeros
+        self.zero_counts
             .iter()
             .try_for_each(|zero| write_zero(formatter, zero))
     }
@@ -94,9 +100,9 @@
         counts.not_run,
         counts.unknown,
         row.run_twice,
-        millis(counts.p50),
-        millis(counts.p99),
-        millis(counts.p999)
+        format_millis(counts.p50),
+        format_millis(counts.p99),
+        format_millis(counts.p999)
     )
 }
 
@@ -116,9 +122,9 @@
         0 => "",
         _ => "   <- VIOLATED",
     };
-    writeln!(formatter, "{:>8}  {}{mark}", zero.count, zero.what)
+    writeln!(formatter, "{:>8}  {}{mark}", zero.count, zero.description)
 }
 
-fn millis(time: Duration) -> String {
+fn format_millis(time: Duration) -> String {
     format!("{:.1} ms", time.as_secs_f64() * 1_000.0)
 }
--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -1,4 +1,4 @@
-//! Carries out what operators ask for through the daemon's parts.
+//! The control port of a daemon.
 
 use std::{
     sync::{
@@ -44,22 +44,23 @@
     ControlError,
     ControlPort,
     DaemonStatus,
-    SlotSettling, //
+    SlotReadiness, //
 };
 
-/// How often the slots are looked at.
-const LOOK: Duration = Duration::from_millis(50);
-const MAY_COME: &str = "may still come into force: the status shows which version is accepted, and \
+/// The time between two checks of the held slots.
+const SLOT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const PENDING_VERSION_ADVICE: &str = "may still come into force: the status shows which version is accepted, and \
                         to ask for the same again is safe";
 
-/// Carries out what operators ask for through the daemon's parts.
+/// Implements the control port of a daemon by its cluster part and its planner.
 pub(crate) struct EntryControl {
     domain: DomainName,
     region: String,
     cluster: ClusterHandle,
     planner: PlannerHandle,
     clock: Arc<dyn ClockSource>,
-    settled: AtomicBool,
+    /// Whether slots have been held for long enough that the gateway uses them.
+    slots_ready: AtomicBool,
     stopping: AtomicBool,
 }
 
@@ -77,44 +78,47 @@
             cluster,
             planner,
             clock,
-            settled: AtomicBool::new(false),
+            slots_ready: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
         }
     }
 
-    /// Tells the balancer from now on that no caller should be sent here.
+    /// Makes the daemon report itself as not ready and stopping.
     pub(crate) fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Relaxed);
     }
 
-    fn stopping(&self) -> bool {
+    fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Tells whether the endpoints of the services are known. A daemon that started while the VM list
-    /// was out of reach would refuse every caller, while the others know the list of before.
+    /// Returns whether the VM list is known or no service needs it.
+    ///
+    /// A daemon that started while the VM list was unreachable knows no endpoints and would refuse every caller, while
+    /// the other daemons still know the list that they read before.
     fn knows_vms(&self) -> bool {
         let configuration = self.configuration();
         let mut classes = configuration.classes.iter();
-        let serves = classes.any(|class| class.kind == ClassKind::Service);
-        !serves || !self.cluster.vm_list().borrow().vms.is_empty()
+        let has_services = classes.any(|class| class.kind == ClassKind::Service);
+        !has_services || !self.cluster.vm_list().borrow().vms.is_empty()
     }
 
-    /// Looks at the slots from time to time, until the sender of `stop` is dropped. Whoever asks
-    /// for the readiness, be it for the first time, is then told of what was seen before.
+    /// Checks the held slots periodically, until the sender of `stop` is dropped.
+    ///
+    /// A readiness request returns the result of these checks, also if it is the first request.
     pub(crate) async fn watch_slots(self: Arc<Self>, mut stop: watch::Receiver<()>) {
-        let mut settling = SlotSettling::new();
+        let mut readiness = SlotReadiness::new();
         loop {
-            let settled = settling.observe(self.clock.monotonic(), self.holds_slots());
-            self.settled.store(settled, Ordering::Relaxed);
+            let ready = readiness.observe(self.clock.monotonic(), self.holds_slots());
+            self.slots_ready.store(ready, Ordering::Relaxed);
             tokio::select! {
                 _ = stop.changed() => return,
-                () = sleep(LOOK) => {}
+                () = sleep(SLOT_CHECK_INTERVAL) => {}
             }
         }
     }
 
-    /// Tells whether slots are held that may be used now.
+    /// Returns whether the daemon holds slots that it may use now.
     fn holds_slots(&self) -> bool {
         let ownership = self.cluster.ownership();
         let usable = |resource: ResourceId| {
@@ -128,7 +132,7 @@
         &self,
         change: ConfigurationChange,
     ) -> Result<ConfigurationVersion, ControlError> {
-        self.cluster.propose(change).await.map_err(explain_proposal)
+        self.cluster.propose(change).await.map_err(proposal_error)
     }
 }
 
@@ -140,19 +144,21 @@
             failure_domain: self.domain.clone(),
             region: self.region.clone(),
             ready: self.ready(),
-            stopping: self.stopping(),
+            stopping: self.is_stopping(),
             configuration: self.configuration().version,
             cluster: to_json(&self.cluster.status()),
         }
     }
 
-    /// A daemon with a seat but no slots, as after its start, could only keep callers waiting: the
-    /// balancer is told to wait until some slots are its own.
+    /// Returns whether the balancer may send callers to this daemon.
+    ///
+    /// A daemon that has a seat but no slots, such as one that has just started, could only keep callers waiting, so it
+    /// is not ready until it holds some.
     fn ready(&self) -> bool {
-        !self.stopping()
+        !self.is_stopping()
             && self.cluster.is_ready()
             && self.knows_vms()
-            && self.settled.load(Ordering::Relaxed)
+            && self.slots_ready.load(Ordering::Relaxed)
     }
 
     fn configuration(&self) -> Arc<Configuration> {
@@ -188,32 +194,34 @@
         let submitted = self.planner.submit(spec).await;
         submitted
             .map(|job| job.to_string())
-            .map_err(explain_submission)
+            .map_err(submission_error)
     }
 
     async fn cancel(&self, job: &str) -> Result<(), ControlError> {
         let cancelled = self.planner.cancel(parse_job(job)?).await;
-        cancelled.map_err(explain_cancellation)
+        cancelled.map_err(cancellation_error)
     }
 
     async fn job(&self, job: &str) -> Result<serde_json::Value, ControlError> {
         let status = self.planner.job(parse_job(job)?).await;
-        status.map(|status| present(&status)).map_err(explain_job)
+        status
+            .map(|status| job_status_json(&status))
+            .map_err(job_error)
     }
 
     async fn jobs(&self) -> Result<Vec<serde_json::Value>, ControlError> {
         let statuses = self.planner.jobs().await;
-        let statuses = statuses.map_err(explain_job)?;
-        Ok(statuses.iter().map(present).collect())
+        let statuses = statuses.map_err(job_error)?;
+        Ok(statuses.iter().map(job_status_json).collect())
     }
 }
 
-fn explain_proposal(error: ProposalError) -> ControlError {
+fn proposal_error(error: ProposalError) -> ControlError {
     let reason = match &error {
         ProposalError::NotAccepted(reason) => reason,
         ProposalError::Unknown { version } => {
             return ControlError::Unknown {
-                find_out: format!("version {version} {MAY_COME}"),
+                find_out: format!("version {version} {PENDING_VERSION_ADVICE}"),
             };
         }
     };
@@ -231,7 +239,7 @@
     }
 }
 
-fn explain_submission(error: SubmitError) -> ControlError {
+fn submission_error(error: SubmitError) -> ControlError {
     let text = error.to_string();
     match error {
         SubmitError::Unknown { .. } => ControlError::Unknown { find_out: text },
@@ -240,17 +248,18 @@
     }
 }
 
-/// A cancellation whose answer is lost may have been written; to send it again is safe.
-fn explain_cancellation(error: JobError) -> ControlError {
+/// Converts the error of a cancellation. If the table's answer was lost, the cancellation may have been written;
+/// repeating it is safe.
+fn cancellation_error(error: JobError) -> ControlError {
     match error {
         JobError::Table(cause) if !cause.surely_not_run() => ControlError::Unknown {
             find_out: error.to_string(),
         },
-        other => explain_job(other),
+        other => job_error(other),
     }
 }
 
-fn explain_job(error: JobError) -> ControlError {
+fn job_error(error: JobError) -> ControlError {
     match error {
         JobError::UnknownJob { job } => ControlError::NotFound {
             kind: "job",
@@ -262,9 +271,10 @@
     }
 }
 
-/// Names the job as its submission did, by sixteen hexadecimal digits: many readers of JSON lose
-/// the last digits of so large a number.
-fn present(status: &JobStatus) -> serde_json::Value {
+/// Converts a job's status to JSON, with the job's identifier as sixteen hexadecimal digits, as a submission returns it.
+///
+/// Many JSON parsers lose the last digits of so large a number.
+fn job_status_json(status: &JobStatus) -> serde_json::Value {
     let mut value = to_json(status);
     value["job"] = status.job.to_string().into();
     value
--- a/crates/jasminebend/src/entry_daemon.rs
+++ b/crates/jasminebend/src/entry_daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: its parts, composed.
+//! A daemon on an entry VM.
 
 use std::{
     net::SocketAddr,
@@ -36,60 +36,63 @@
 };
 
 use crate::{
-    AdminFront,
-    AdminGuard,
-    DaemonEdges,
+    AdminHandle,
+    AdminListeners,
     DaemonError,
+    DaemonPorts,
     DaemonSettings,
-    MetricsHub,
+    MetricsExporter,
     PeerKeySource,
-    admin_front::{
+    admin_listeners::{
         bind,
         local_address, //
     },
     entry_control::EntryControl,
-    gauge_keeper::GaugeKeeper,
+    gauge_recorder::GaugeRecorder,
     peer_keys::PeerKeys,
-    secret_watch::SecretWatch, //
+    secret_file_watcher::SecretFileWatcher, //
 };
 
-const LONGEST_PROPOSAL: Duration = Duration::from_secs(10);
-/// A request's body up to this size is taken in whole before a slot is taken for it; in bytes.
-const BUFFERED_BODY: u64 = 64 << 10;
-/// Seeds of the parts differ, so that no two parts draw the same numbers.
-const PLANNER_SEED: u64 = 0x9E37_79B9_7F4A_7C15;
-const GATEWAY_SEED: u64 = 0xD1B5_4A32_D192_ED03;
+const MAX_PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
+/// The largest request body, in bytes, that is buffered completely before the request takes a slot.
+const MAX_BUFFERED_BODY_BYTES: u64 = 64 << 10;
+/// Combined with the daemon's seed by XOR, so that the planner and the gateway draw different random numbers.
+const PLANNER_SEED_MASK: u64 = 0x9E37_79B9_7F4A_7C15;
+const GATEWAY_SEED_MASK: u64 = 0xD1B5_4A32_D192_ED03;
 
-/// One daemon: its parts, composed. Dropping it ends its tasks at once, as a process that dies
-/// does; [`EntryDaemon::stop`] ends it gracefully.
+/// A daemon on an entry VM: the cluster part, the gateway, the planner and the administration API.
+///
+/// Dropping it aborts its tasks at once, as when the process is killed; [`EntryDaemon::stop`] ends it gracefully.
 pub struct EntryDaemon {
     control: Arc<EntryControl>,
     cluster: ClusterHandle,
     gateway: Arc<Gateway>,
-    admin: AdminGuard,
+    admin: AdminHandle,
     callers: SocketAddr,
     balancer_lag: Duration,
     leave_timeout: Duration,
     tasks: JoinSet<()>,
-    background: watch::Sender<()>,
+    /// Dropped to end the background tasks.
+    background_stop: watch::Sender<()>,
 }
 
 impl EntryDaemon {
-    /// Starts a daemon; it takes callers once [`EntryDaemon::ready`].
+    /// Starts a daemon. It can serve callers once [`EntryDaemon::ready`] returns true.
     ///
     /// # Errors
     ///
-    /// Any [`DaemonError`].
-    pub async fn start(settings: DaemonSettings, edges: DaemonEdges) -> Result<Self, DaemonError> {
-        let metrics = MetricsHub::install();
-        let front = AdminFront::bind(&settings).await?;
+    /// Returns a [`DaemonError`] if a key cannot be used, an address cannot be bound or the cluster part cannot be
+    /// started.
+    pub async fn start(settings: DaemonSettings, ports: DaemonPorts) -> Result<Self, DaemonError> {
+        let metrics = MetricsExporter::install();
+        let admin_listeners = AdminListeners::bind(&settings).await?;
         let listener = bind("listen.callers", settings.listen.callers).await?;
         let callers = local_address("listen.callers", &listener)?;
-        let watch = key_watch(&settings.peer_key);
+        let key_watcher = peer_key_watcher(&settings.peer_key);
         let keys = PeerKeys::read(&settings.peer_key)?;
-        let cluster = start_cluster(&settings, keys, front.address()?, &edges).await?;
-        let gateway = start_gateway(&settings, callers, &cluster, &edges);
-        let planner = start_planner(&settings, &cluster, &edges).await;
+        let cluster = start_cluster(&settings, keys, admin_listeners.address()?, &ports).await?;
+        let gateway = start_gateway(&settings, callers, &cluster, &ports);
+        let planner = start_planner(&settings, &cluster, &ports).await;
         cluster.add_resource_user(gateway.clone());
         cluster.add_resource_user(Arc::new(planner.clone()));
         let domain = settings.domain.clone();
@@ -99,17 +102,18 @@
             region,
             cluster.clone(),
             planner,
-            Arc::clone(&edges.clock),
+            Arc::clone(&ports.clock),
         );
         let control = Arc::new(control);
-        let admin = front.serve(control.clone(), metrics.clone(), Arc::clone(&edges.clock))?;
-        let (background, ended) = watch::channel(());
+        let admin =
+            admin_listeners.serve(control.clone(), metrics.clone(), Arc::clone(&ports.clock))?;
+        let (background_stop, stop_receiver) = watch::channel(());
         let mut tasks = JoinSet::new();
-        let gauges = GaugeKeeper::new(control.clone(), metrics, &settings.domain);
-        tasks.spawn(gauges.run(ended.clone()));
-        tasks.spawn(control.clone().watch_slots(ended.clone()));
-        spawn_key_watch(&mut tasks, watch, &cluster, ended);
-        spawn_callers(&mut tasks, &gateway, listener);
+        let gauges = GaugeRecorder::new(control.clone(), metrics, &settings.domain);
+        tasks.spawn(gauges.run(stop_receiver.clone()));
+        tasks.spawn(control.clone().watch_slots(stop_receiver.clone()));
+        spawn_peer_key_watcher(&mut tasks, key_watcher, &cluster, stop_receiver);
+        spawn_caller_server(&mut tasks, &gateway, listener);
         info!("[daemon] Callers are served on {callers}.");
         info!("[daemon] Operators are served on {}.", admin.address());
         Ok(Self {
@@ -121,52 +125,55 @@
             balancer_lag: settings.balancer_lag,
             leave_timeout: settings.leave_timeout,
             tasks,
-            background,
+            background_stop,
         })
     }
 
-    /// Returns where callers' requests arrive.
+    /// Returns the address that callers' requests are served on.
     pub fn caller_address(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where the administration API listens.
+    /// Returns the address that the administration API listens on.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Tells whether the balancer may send callers here.
+    /// Returns whether the balancer may send callers to this daemon.
     pub fn ready(&self) -> bool {
         crate::ControlPort::ready(self.control.as_ref())
     }
 
-    /// Stops gracefully: no request in progress is cut off.
+    /// Stops gracefully, without aborting a request in progress.
     ///
-    /// First the balancer is told, and its lag waited out, during which all goes on as before. Then
-    /// the gateway answers what it took in, with its slots still its own, so that no request in its
-    /// queues is refused. Only then is all that is held given back, shards first.
+    /// First the daemon reports itself as not ready, and goes on serving for the balancer's lag. Then the gateway
+    /// answers the requests that it has accepted; the daemon still holds its slots, so no queued request is refused.
+    /// Only then are the held resources released, shards first.
     pub async fn stop(self) {
-        info!("[daemon] Stopping: the balancer is told.");
+        info!("[daemon] Stopping: the daemon reports itself as not ready.");
         self.control.begin_stop();
         sleep(self.balancer_lag).await;
         self.gateway.drain().await;
-        // While the table is out of reach nothing can be given back. Whoever waited for it would
-        // never end; what is held is then taken over once this process is known to be gone.
+        // While the table service is unreachable nothing can be released, and a stop without a timeout would wait
+        // for the whole outage. Other daemons take the resources over once this process is known to be terminated.
         if timeout(self.leave_timeout, self.cluster.leave())
             .await
             .is_err()
         {
-            warn!("[daemon] The table service takes nothing back; the others will take it over.");
+            warn!(
+                "[daemon] The held resources could not be released in time; other daemons will take \
+                 them over."
+            );
             self.cluster.stop();
         }
         self.admin.stop().await;
-        drop(self.background);
+        drop(self.background_stop);
         let mut tasks = self.tasks;
         while tasks.join_next().await.is_some() {}
         info!("[daemon] Stopped.");
     }
 
-    /// Ends at once, as a process that dies does: nothing is given back, nothing is finished.
+    /// Ends at once, as when the process is killed: no resource is released and no request is finished.
     pub fn kill(self) {
         self.cluster.stop();
     }
@@ -176,7 +183,7 @@
     settings: &DaemonSettings,
     keys: PeerKeys,
     admin: SocketAddr,
-    edges: &DaemonEdges,
+    ports: &DaemonPorts,
 ) -> Result<ClusterHandle, DaemonError> {
     let peers = settings.listen.peers;
     let mut cluster = ClusterSettings::new(peers, settings.domain.clone(), keys.current)
@@ -192,23 +199,24 @@
     if let Some(vm) = &settings.vm {
         cluster = cluster.with_vm(vm.clone());
     }
-    let edges = ClusterPorts {
-        table: Arc::clone(&edges.table),
-        vm_list: Arc::clone(&edges.vm_list),
-        clock: Arc::clone(&edges.clock),
-        seed: edges.seed,
+    let ports = ClusterPorts {
+        table: Arc::clone(&ports.table),
+        vm_list: Arc::clone(&ports.vm_list),
+        clock: Arc::clone(&ports.clock),
+        seed: ports.seed,
     };
-    Ok(ClusterHandle::start(cluster, edges).await?)
+    Ok(ClusterHandle::start(cluster, ports).await?)
 }
 
-/// The cluster part gives up a proposal before the administration API gives up the cluster part, so
-/// that the operator is told which version may still come.
+/// Returns the cluster part's timeout of a proposal, which is shorter than the administration API's timeout, so that
+/// the operator's answer names the version that may still be accepted.
 fn proposal_timeout(administration: Duration) -> Duration {
-    LONGEST_PROPOSAL.min(administration * 4 / 5)
+    MAX_PROPOSAL_TIMEOUT.min(administration * 4 / 5)
 }
 
-/// Returns where other daemons reach this one's gateway: a listener on every address is reached at
-/// the address for peers, which is this VM's own.
+/// Returns the address at which other daemons reach this daemon's gateway.
+///
+/// If callers are served on the unspecified address, it is the IP address for peers, which is one of this VM.
 fn forward_address(settings: &DaemonSettings, callers: SocketAddr) -> SocketAddr {
     if callers.ip().is_unspecified() {
         return SocketAddr::new(settings.listen.peers.ip(), callers.port());
@@ -220,7 +228,7 @@
     settings: &DaemonSettings,
     callers: SocketAddr,
     cluster: &ClusterHandle,
-    edges: &DaemonEdges,
+    ports: &DaemonPorts,
 ) -> Arc<Gateway> {
     let limits = &settings.limits;
     let defaults = GatewaySettings::new(settings.domain.clone(), settings.slot_shares);
@@ -228,61 +236,63 @@
         .with_peer_address(forward_address(settings, callers))
         .with_longest_request(limits.longest_request)
         .with_bounds(limits.caller_connections, limits.waiting_requests)
-        .with_sizes(limits.headers, limits.request_body, BUFFERED_BODY)
+        .with_sizes(limits.headers, limits.request_body, MAX_BUFFERED_BODY_BYTES)
         .with_traces(settings.traces.is_some());
-    let edges = GatewayEdges {
+    let ports = GatewayEdges {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
         vms: cluster.vm_list(),
-        table: Arc::clone(&edges.table),
-        clock: Arc::clone(&edges.clock),
-        seed: edges.seed ^ GATEWAY_SEED,
+        table: Arc::clone(&ports.table),
+        clock: Arc::clone(&ports.clock),
+        seed: ports.seed ^ GATEWAY_SEED_MASK,
     };
-    Gateway::new(gateway, edges)
+    Gateway::new(gateway, ports)
 }
 
 async fn start_planner(
     settings: &DaemonSettings,
     cluster: &ClusterHandle,
-    edges: &DaemonEdges,
+    ports: &DaemonPorts,
 ) -> PlannerHandle {
-    let edges = PlannerEdges {
+    let ports = PlannerEdges {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
         vms: cluster.vm_list(),
-        table: Arc::clone(&edges.table),
-        objects: Arc::clone(&edges.objects),
-        workers: Arc::clone(&edges.workers),
-        clock: Arc::clone(&edges.clock),
-        seed: edges.seed ^ PLANNER_SEED,
+        table: Arc::clone(&ports.table),
+        objects: Arc::clone(&ports.objects),
+        workers: Arc::clone(&ports.workers),
+        clock: Arc::clone(&ports.clock),
+        seed: ports.seed ^ PLANNER_SEED_MASK,
     };
-    PlannerHandle::start(PlannerSettings::new(settings.shards), edges).await
+    PlannerHandle::start(PlannerSettings::new(settings.shards), ports).await
 }
 
-fn spawn_callers(tasks: &mut JoinSet<()>, gateway: &Arc<Gateway>, listener: TcpListener) {
+fn spawn_caller_server(tasks: &mut JoinSet<()>, gateway: &Arc<Gateway>, listener: TcpListener) {
     tasks.spawn(Arc::clone(gateway).serve(listener));
 }
 
-fn key_watch(source: &PeerKeySource) -> Option<SecretWatch> {
+/// Returns a watcher of the peer key's file; `None` if the key is not read from a file.
+fn peer_key_watcher(source: &PeerKeySource) -> Option<SecretFileWatcher> {
     match source {
-        PeerKeySource::File(path) => Some(SecretWatch::new(path)),
+        PeerKeySource::File(path) => Some(SecretFileWatcher::new(path)),
         PeerKeySource::Text(_) => None,
     }
 }
 
-fn spawn_key_watch(
+/// Starts the task that replaces the peer keys when their file changes.
+fn spawn_peer_key_watcher(
     tasks: &mut JoinSet<()>,
-    watch: Option<SecretWatch>,
+    watcher: Option<SecretFileWatcher>,
     cluster: &ClusterHandle,
-    ended: watch::Receiver<()>,
+    stop: watch::Receiver<()>,
 ) {
-    let Some(watch) = watch else {
+    let Some(watcher) = watcher else {
         return;
     };
     let cluster = cluster.clone();
     let apply = move |text: &str| {
-        cluster.set_keys(PeerKeys::parse(text)?.ring());
+        cluster.set_keys(PeerKeys::parse(text)?.key_ring());
         Ok(())
     };
-    tasks.spawn(watch.run(apply, ended));
+    tasks.spawn(watcher.run(apply, stop));
 }
--- a/crates/jasminebend/src/fleet_program.rs
+++ b/crates/jasminebend/src/fleet_program.rs
@@ -1,4 +1,4 @@
-//! Runs the daemon on the users' platform, as its settings file says.
+//! Runs the fleet daemon, which works on the users' platform.
 
 use std::{
     io,
@@ -53,35 +53,36 @@
 };
 
 use crate::{
-    MetricsHub,
-    end_on_panic, //
+    MetricsExporter,
+    exit_on_panic, //
 };
 
-const MISUSED: u8 = 2;
-const FAILED: u8 = 1;
+const EXIT_USAGE_ERROR: u8 = 2;
+const EXIT_FAILURE: u8 = 1;
 
+/// The fields of the log line that reports the result of a SIGHUP.
 #[derive(Serialize)]
 struct ReloadLine {
     change: &'static str,
     outcome: String,
 }
 
-/// Runs the daemon until a signal ends it, without the parts of the policy that are switched off.
+/// Runs the fleet daemon until a signal stops it. The policy parts that `switches` turns off are not used.
 pub(crate) fn run_fleet(switches: PolicySwitches) -> ExitCode {
-    end_on_panic();
+    exit_on_panic();
     let mut settings = match PlatformSettings::from_environment() {
         Ok(settings) => settings,
-        Err(error) => return fail(MISUSED, &error.to_string()),
+        Err(error) => return fail(EXIT_USAGE_ERROR, &error.to_string()),
     };
     settings.fleet.dispatch.switches = switches;
-    // One thread: the machines have a fraction of a core, and nothing has to be locked.
+    // A single-threaded runtime: the VMs have a fraction of a core, and the daemon's state needs no locks.
     let runtime = match Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(error) => return fail(FAILED, &error.to_string()),
+        Err(error) => return fail(EXIT_FAILURE, &error.to_string()),
     };
     match LocalSet::new().block_on(&runtime, run(settings)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(FAILED, &error.to_string()),
+        Err(error) => fail(EXIT_FAILURE, &error.to_string()),
     }
 }
 
@@ -106,16 +107,16 @@
         pool,
         log,
     };
-    let metrics = Rc::new(MetricsPage {
-        hub: MetricsHub::install(),
+    let metrics = Rc::new(MetricsHandler {
+        exporter: MetricsExporter::install(),
     });
     let daemon = FleetDaemon::new(settings.fleet, ports, stop);
     let front = Rc::new(CallerFront::new(daemon.job_api()));
     daemon.run(front, metrics).await
 }
 
-/// Returns what turns true at the first SIGTERM or SIGINT. A further one changes nothing; SIGHUP has the
-/// settings read again.
+/// Returns a receiver that becomes true at the first SIGTERM or SIGINT; further ones have no effect. SIGHUP reads the
+/// settings again and logs whether they changed.
 fn stop_on_signals(
     log: &FleetLog,
     settings: &PlatformSettings,
@@ -124,23 +125,24 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let (log, known) = (log.clone(), settings.clone());
+    let (log, current) = (log.clone(), settings.clone());
     spawn_local(async move {
         loop {
             tokio::select! {
                 _ = terminate.recv() => drop(stop.send(true)),
                 _ = interrupt.recv() => drop(stop.send(true)),
-                _ = hangup.recv() => tell_reload(&log, &known),
+                _ = hangup.recv() => log_reload(&log, &current),
             }
         }
     });
     Ok(stopping)
 }
 
-/// What the settings name is bound at the start; a change is told, and in force after a restart.
-fn tell_reload(log: &FleetLog, known: &PlatformSettings) {
+/// Reads the settings again and logs whether they differ from the current ones. A change takes effect only after a
+/// restart, because the addresses that the settings name are bound at the start.
+fn log_reload(log: &FleetLog, current: &PlatformSettings) {
     let outcome = match PlatformSettings::from_environment() {
-        Ok(settings) if settings == *known => "unchanged".to_owned(),
+        Ok(settings) if settings == *current => "unchanged".to_owned(),
         Ok(_) => "changed; in force after a restart".to_owned(),
         Err(error) => error.to_string(),
     };
@@ -153,20 +155,21 @@
     );
 }
 
+/// Prints an error and returns the exit code.
 fn fail(code: u8, cause: &str) -> ExitCode {
     eprintln!("jasminebend: {cause}");
     ExitCode::from(code)
 }
 
-/// Writes the metrics as a page.
-struct MetricsPage {
-    hub: MetricsHub,
+/// Serves the metrics in the Prometheus exposition format.
+struct MetricsHandler {
+    exporter: MetricsExporter,
 }
 
 #[async_trait(?Send)]
-impl HttpHandler for MetricsPage {
+impl HttpHandler for MetricsHandler {
     async fn handle(&self, _request: Request<Incoming>) -> Response<Full<Bytes>> {
-        let mut response = Response::new(Full::new(Bytes::from(self.hub.render())));
+        let mut response = Response::new(Full::new(Bytes::from(self.exporter.render())));
         response.headers_mut().insert(
             CONTENT_TYPE,
             HeaderValue::from_static("text/plain; version=0.0.4"),
--- a/crates/jasminebend/src/limit_settings.rs
+++ b/crates/jasminebend/src/limit_settings.rs
@@ -1,4 +1,4 @@
-//! The limits on what callers and operators may send.
+//! Limits on callers' and operators' requests.
 
 use std::{
     ops::RangeInclusive,
@@ -10,46 +10,48 @@
 
 use crate::{
     SettingsError,
-    given_key::GivenKey,
-    key_reader::{
-        KeyReader,
+    optional_key::OptionalKey,
+    section_parser::{
         RawText,
+        SectionParser,
+        parse_duration, //
         parse_number,
         parse_size,
-        parse_time, //
     }, //
 };
 
-const BODY: &str = "a size from 1KiB to 1GiB with its unit, such as `16MiB`";
-const BODIES: RangeInclusive<ByteSize> = ByteSize::kib(1)..=ByteSize::gib(1);
-const HEADERS: &str = "a size from 8KiB to 1MiB with its unit, such as `16KiB`";
-const HEADER_SIZES: RangeInclusive<ByteSize> = ByteSize::kib(8)..=ByteSize::mib(1);
-const CONNECTIONS: &str = "a whole number of connections from 1 to 65536";
-const TIMEOUT: &str = "a time from 100ms to 5m with its unit, such as `30s`";
-const LONGEST: &str = "a time from 1s to 10m with its unit, such as `30s`";
-const LONGEST_TIMES: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(600);
-const WAITING: &str = "a whole number of requests from 1 to 100000";
-const TIMEOUTS: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(300);
+const BODY_SIZE_FORMAT: &str = "a size from 1KiB to 1GiB with its unit, such as `16MiB`";
+const BODY_SIZE_RANGE: RangeInclusive<ByteSize> = ByteSize::kib(1)..=ByteSize::gib(1);
+const HEADER_SIZE_FORMAT: &str = "a size from 8KiB to 1MiB with its unit, such as `16KiB`";
+const HEADER_SIZE_RANGE: RangeInclusive<ByteSize> = ByteSize::kib(8)..=ByteSize::mib(1);
+const CONNECTIONS_FORMAT: &str = "a whole number of connections from 1 to 65536";
+const TIMEOUT_FORMAT: &str = "a time from 100ms to 5m with its unit, such as `30s`";
+const LONGEST_REQUEST_FORMAT: &str = "a time from 1s to 10m with its unit, such as `30s`";
+const LONGEST_REQUEST_RANGE: RangeInclusive<Duration> =
+    Duration::from_secs(1)..=Duration::from_secs(600);
+const WAITING_REQUESTS_FORMAT: &str = "a whole number of requests from 1 to 100000";
+const TIMEOUT_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(100)..=Duration::from_secs(300);
 
-/// The limits on what callers and operators may send.
+/// Limits on callers' and operators' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitSettings {
-    /// The bytes of a caller's request body.
+    /// The greatest size of a caller's request body, in bytes.
     pub request_body: u64,
-    /// The callers' connections at once.
+    /// The greatest number of callers' connections at a time.
     pub caller_connections: usize,
-    /// The bytes of an administration request's body.
+    /// The greatest size of an administration request's body, in bytes.
     pub administration_body: usize,
-    /// The longest time that an endpoint may work on one request. Slots whose request's fate is not
-    /// known stay empty for this long; the same for all daemons.
+    /// The longest time that an endpoint may work on one request. The slot of a request whose outcome is unknown stays
+    /// unused for this time. Must be the same for all daemons.
     pub longest_request: Duration,
-    /// The requests of one service that may wait for a slot.
+    /// The greatest number of requests of one service that may wait for a slot.
     pub waiting_requests: usize,
-    /// The operators' connections at once.
+    /// The greatest number of connections to the administration API at a time.
     pub administration_connections: usize,
-    /// The bytes of a request's head.
+    /// The greatest size of a request's head, in bytes.
     pub headers: usize,
-    /// How long an administration request may take, from its first byte to its answer.
+    /// The timeout of an administration request, from its first byte to its response.
     pub administration_timeout: Duration,
 }
 
@@ -71,48 +73,58 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawLimits {
-    request_body: GivenKey<RawText>,
-    caller_connections: GivenKey<RawText>,
-    longest_request: GivenKey<RawText>,
-    waiting_requests: GivenKey<RawText>,
-    administration_body: GivenKey<RawText>,
-    administration_connections: GivenKey<RawText>,
-    headers: GivenKey<RawText>,
-    administration_timeout: GivenKey<RawText>,
+    request_body: OptionalKey<RawText>,
+    caller_connections: OptionalKey<RawText>,
+    longest_request: OptionalKey<RawText>,
+    waiting_requests: OptionalKey<RawText>,
+    administration_body: OptionalKey<RawText>,
+    administration_connections: OptionalKey<RawText>,
+    headers: OptionalKey<RawText>,
+    administration_timeout: OptionalKey<RawText>,
 }
 
 impl RawLimits {
     pub(crate) fn resolve(&self, line: u64) -> Result<LimitSettings, SettingsError> {
-        let reader = KeyReader::new("limits", line);
-        let connections = |key, raw: &GivenKey<RawText>| {
+        let section = SectionParser::new("limits", line);
+        let connections = |key, raw: &OptionalKey<RawText>| {
             let parse = |text: &str| parse_number(text, 1..=65536);
-            reader.parse(key, CONNECTIONS, raw.as_ref(), parse)
+            section.parse(key, CONNECTIONS_FORMAT, raw.as_ref(), parse)
         };
-        let headers = reader.parse("headers", HEADERS, self.headers.as_ref(), |text| {
-            parse_size(text, HEADER_SIZES)
-        })?;
+        let headers = section.parse(
+            "headers",
+            HEADER_SIZE_FORMAT,
+            self.headers.as_ref(),
+            |text| parse_size(text, HEADER_SIZE_RANGE),
+        )?;
         let timeout = self.administration_timeout.as_ref();
-        let timeout = reader.parse("administration_timeout", TIMEOUT, timeout, |text| {
-            parse_time(text, TIMEOUTS)
+        let timeout = section.parse("administration_timeout", TIMEOUT_FORMAT, timeout, |text| {
+            parse_duration(text, TIMEOUT_RANGE)
         })?;
         let longest = self.longest_request.as_ref();
-        let longest = reader.parse("longest_request", LONGEST, longest, |text| {
-            parse_time(text, LONGEST_TIMES)
-        })?;
+        let longest =
+            section.parse("longest_request", LONGEST_REQUEST_FORMAT, longest, |text| {
+                parse_duration(text, LONGEST_REQUEST_RANGE)
+            })?;
         let waiting = self.waiting_requests.as_ref();
-        let waiting = reader.parse("waiting_requests", WAITING, waiting, |text| {
-            parse_number(text, 1..=100_000)
-        })?;
+        let waiting = section.parse(
+            "waiting_requests",
+            WAITING_REQUESTS_FORMAT,
+            waiting,
+            |text| parse_number(text, 1..=100_000),
+        )?;
         let callers = connections("caller_connections", &self.caller_connections)?;
         let operators = &self.administration_connections;
         let operators = connections("administration_connections", operators)?;
         let administration = self.administration_body.as_ref();
-        let administration = reader.parse("administration_body", BODY, administration, |text| {
-            parse_size(text, BODIES)
-        })?;
+        let administration = section.parse(
+            "administration_body",
+            BODY_SIZE_FORMAT,
+            administration,
+            |text| parse_size(text, BODY_SIZE_RANGE),
+        )?;
         let request = self.request_body.as_ref();
-        let request = reader.parse("request_body", BODY, request, |text| {
-            parse_size(text, BODIES)
+        let request = section.parse("request_body", BODY_SIZE_FORMAT, request, |text| {
+            parse_size(text, BODY_SIZE_RANGE)
         })?;
         let default = LimitSettings::default();
         Ok(LimitSettings {
--- a/crates/jasminebend/src/listen_settings.rs
+++ b/crates/jasminebend/src/listen_settings.rs
@@ -1,4 +1,4 @@
-//! Where the daemon listens.
+//! Addresses that a daemon listens on.
 
 use std::net::{
     Ipv4Addr,
@@ -9,35 +9,35 @@
 
 use crate::{
     SettingsError,
-    given_key::GivenKey,
-    key_reader::{
-        KeyReader,
+    optional_key::OptionalKey,
+    section_parser::{
         RawText,
+        SectionParser,
         parse_address,
         parse_own_address, //
     }, //
 };
 
-const PEER_ADDRESS: &str =
+const PEER_ADDRESS_FORMAT: &str =
     "the IP address and port that the other daemons reach, such as `10.0.0.5:7400`";
-const ADDRESS: &str = "an IP address and port to listen on, such as `10.0.0.5:8080`";
+const LISTEN_ADDRESS_FORMAT: &str = "an IP address and port to listen on, such as `10.0.0.5:8080`";
 
-/// Where the daemon listens.
+/// Addresses that a daemon listens on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ListenSettings {
-    /// For callers' requests.
+    /// The address for callers' requests.
     pub callers: SocketAddr,
-    /// For operators: the administration API.
+    /// The address of the administration API, for operators.
     pub administration: SocketAddr,
-    /// For the other daemons.
+    /// The address for the other daemons.
     pub peers: SocketAddr,
-    /// For the balancer and the metrics scraper: `/healthz`, `/readyz` and `/metrics` in plain
-    /// HTTP, whatever guards the administration API. `None` leaves them to that API alone.
+    /// The address for the balancer and the metrics scraper, which serves `/healthz`, `/readyz` and `/metrics` in plain
+    /// HTTP, without TLS or tokens. `None` serves them on the administration API only.
     pub health: Option<SocketAddr>,
 }
 
 impl ListenSettings {
-    /// Listens on ephemeral ports of the loopback interface.
+    /// Creates settings with ephemeral ports of the loopback interface.
     pub fn new() -> Self {
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
@@ -48,25 +48,25 @@
         }
     }
 
-    /// Serves health, readiness and metrics in plain HTTP as well.
+    /// Sets the separate plain HTTP address for health, readiness and metrics.
     pub fn with_health(mut self, address: SocketAddr) -> Self {
         self.health = Some(address);
         self
     }
 
-    /// Sets where the administration API listens.
+    /// Sets the address of the administration API.
     pub fn with_administration(mut self, address: SocketAddr) -> Self {
         self.administration = address;
         self
     }
 
-    /// Sets where callers' requests arrive.
+    /// Sets the address for callers' requests.
     pub fn with_callers(mut self, address: SocketAddr) -> Self {
         self.callers = address;
         self
     }
 
-    /// Sets where the other daemons reach this one.
+    /// Sets the address for the other daemons.
     pub fn with_peers(mut self, address: SocketAddr) -> Self {
         self.peers = address;
         self
@@ -82,10 +82,10 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawListen {
-    callers: GivenKey<RawText>,
-    administration: GivenKey<RawText>,
-    peers: GivenKey<RawText>,
-    health: GivenKey<RawText>,
+    callers: OptionalKey<RawText>,
+    administration: OptionalKey<RawText>,
+    peers: OptionalKey<RawText>,
+    health: OptionalKey<RawText>,
 }
 
 impl RawListen {
@@ -98,33 +98,39 @@
     }
 
     pub(crate) fn resolve(&self, line: u64) -> Result<ListenSettings, SettingsError> {
-        let reader = KeyReader::new("listen", line);
-        let address = |key, raw: &GivenKey<RawText>| {
-            let address = reader.parse(key, ADDRESS, raw.as_ref(), parse_address)?;
-            reader.required(key, ADDRESS, address)
+        let section = SectionParser::new("listen", line);
+        let address = |key, raw: &OptionalKey<RawText>| {
+            let address = section.parse(key, LISTEN_ADDRESS_FORMAT, raw.as_ref(), parse_address)?;
+            section.required(key, LISTEN_ADDRESS_FORMAT, address)
         };
         let listen = ListenSettings {
             callers: address("callers", &self.callers)?,
             administration: address("administration", &self.administration)?,
-            peers: self.peer_address(reader)?,
-            health: reader.parse("health", ADDRESS, self.health.as_ref(), parse_address)?,
+            peers: self.peer_address(section)?,
+            health: section.parse(
+                "health",
+                LISTEN_ADDRESS_FORMAT,
+                self.health.as_ref(),
+                parse_address,
+            )?,
         };
-        self.check_apart(&listen)?;
+        self.check_distinct(&listen)?;
         Ok(listen)
     }
 
-    /// The other daemons are told this address, so that it must be this VM's own.
-    fn peer_address(&self, reader: KeyReader) -> Result<SocketAddr, SettingsError> {
-        let address = reader.parse(
+    /// Parses the address for the other daemons, which connect to it from other VMs; it must be an address of this VM.
+    fn peer_address(&self, section: SectionParser) -> Result<SocketAddr, SettingsError> {
+        let address = section.parse(
             "peers",
-            PEER_ADDRESS,
+            PEER_ADDRESS_FORMAT,
             self.peers.as_ref(),
             parse_own_address,
         )?;
-        reader.required("peers", PEER_ADDRESS, address)
+        section.required("peers", PEER_ADDRESS_FORMAT, address)
     }
 
-    fn check_apart(&self, listen: &ListenSettings) -> Result<(), SettingsError> {
+    /// Rejects two listeners on one address.
+    fn check_distinct(&self, listen: &ListenSettings) -> Result<(), SettingsError> {
         let all = [
             ("listen.callers", Some(listen.callers), &self.callers),
             (
@@ -135,11 +141,13 @@
             ("listen.peers", Some(listen.peers), &self.peers),
             ("listen.health", listen.health, &self.health),
         ];
-        for (place, (key, address, raw)) in all.iter().enumerate() {
-            let taken = all[..place]
+        for (index, (key, address, raw)) in all.iter().enumerate() {
+            let duplicate = all[..index]
                 .iter()
-                .find(|(_, other, _)| shared(*address, *other));
-            let Some((other, ..)) = taken else { continue };
+                .find(|(_, other, _)| same_fixed_address(*address, *other));
+            let Some((other, ..)) = duplicate else {
+                continue;
+            };
             return Err(SettingsError::SharedAddress {
                 line: line_of(raw.as_ref()),
                 key,
@@ -150,7 +158,8 @@
     }
 }
 
-fn shared(one: Option<SocketAddr>, other: Option<SocketAddr>) -> bool {
+/// Returns whether two addresses are the same; port 0 is ephemeral, so it is never shared.
+fn same_fixed_address(one: Option<SocketAddr>, other: Option<SocketAddr>) -> bool {
     one.is_some_and(|address| address.port() != 0) && one == other
 }
 
--- a/crates/jasminebend/src/log_error.rs
+++ b/crates/jasminebend/src/log_error.rs
@@ -1,15 +1,15 @@
-//! Why the log could not be set up.
+//! Error of setting up the log.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// The log could not be set up.
+/// Error of setting up the log.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("the log could not be set up: {reason}")]
 pub struct LogError {
-    /// What the log library says.
+    /// The log library's or operating system's error.
     pub reason: String,
 }
 
--- a/crates/jasminebend/src/log_format.rs
+++ b/crates/jasminebend/src/log_format.rs
@@ -1,15 +1,15 @@
-//! How a log line looks.
+//! Formats of the log.
 
 use derive_more::Display;
 
-/// How a log line looks.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 pub enum LogFormat {
     /// One line of text.
     #[default]
     #[display("text")]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[display("json")]
     Json,
 }
--- a/crates/jasminebend/src/log_guard.rs
+++ b/crates/jasminebend/src/log_guard.rs
@@ -1,8 +1,8 @@
-//! Keeps the process's log until its end.
+//! Guard that flushes the log.
 
 use crate::log_writer::LogWriter;
 
-/// Keeps the process's log. Dropped, it waits a moment for the last lines to be written.
+/// Guard of the process's log. Dropping it waits up to a second until the last lines are written.
 #[must_use]
 pub struct LogGuard {
     writer: LogWriter,
@@ -16,6 +16,6 @@
 
 impl Drop for LogGuard {
     fn drop(&mut self) {
-        self.writer.finish();
+        self.writer.flush_lines();
     }
 }
--- a/crates/jasminebend/src/log_level.rs
+++ b/crates/jasminebend/src/log_level.rs
@@ -1,14 +1,14 @@
-//! The least severe lines that are logged.
+//! Severities of log lines.
 
 use derive_more::Display;
 
-/// The least severe lines that are logged.
+/// The severity of log lines; as a setting, the least severity that is logged.
 #[derive(Clone, Copy, Debug, Default, Display, Eq, PartialEq)]
 pub enum LogLevel {
-    /// Failures that need somebody.
+    /// Failures that need an operator's attention.
     #[display("error")]
     Error,
-    /// Failures that the daemon deals with itself.
+    /// Failures that the daemon handles itself.
     #[display("warn")]
     Warn,
     /// Changes of state.
--- a/crates/jasminebend/src/log_settings.rs
+++ b/crates/jasminebend/src/log_settings.rs
@@ -1,4 +1,4 @@
-//! What the daemon logs, and how.
+//! Settings of the log.
 
 use serde::Deserialize;
 
@@ -6,37 +6,37 @@
     LogFormat,
     LogLevel,
     SettingsError,
-    given_key::GivenKey,
-    key_reader::{
-        KeyReader,
+    optional_key::OptionalKey,
+    section_parser::{
         RawText, //
+        SectionParser,
     }, //
 };
 
-/// What the daemon logs, and how.
+/// Settings of the log.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct LogSettings {
-    /// How a line looks.
+    /// The format of a line.
     pub format: LogFormat,
-    /// The least severe lines that are logged.
+    /// The least severity that is logged.
     pub level: LogLevel,
 }
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawLog {
-    format: GivenKey<RawText>,
-    level: GivenKey<RawText>,
+    format: OptionalKey<RawText>,
+    level: OptionalKey<RawText>,
 }
 
 impl RawLog {
     pub(crate) fn resolve(&self, line: u64) -> Result<LogSettings, SettingsError> {
-        let reader = KeyReader::new("log", line);
+        let section = SectionParser::new("log", line);
         let format = self.format.as_ref();
         let level = self.level.as_ref();
-        let format = reader.parse("format", "`text` or `json`", format, parse_format)?;
+        let format = section.parse("format", "`text` or `json`", format, parse_format)?;
         let levels = "`error`, `warn`, `info` or `debug`";
-        let level = reader.parse("level", levels, level, parse_level)?;
+        let level = section.parse("level", levels, level, parse_level)?;
         Ok(LogSettings {
             format: format.unwrap_or_default(),
             level: level.unwrap_or_default(),
--- a/crates/jasminebend/src/log_writer.rs
+++ b/crates/jasminebend/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the log from a thread of its own, so that a reader that stands still holds nothing up.
+//! Writes the log from a separate thread, so that a blocked reader of the log does not block the daemon.
 
 use std::{
     io::{
@@ -14,21 +14,22 @@
     time::Duration, //
 };
 
-/// How many lines may wait to be written; further ones are counted and dropped.
-const WAITING_LINES: usize = 4096;
-/// How long the last lines are waited for at the program's end.
-const LAST_LINES: Duration = Duration::from_secs(1);
+/// The greatest number of lines that wait to be written; further lines are counted and dropped.
+const MAX_QUEUED_LINES: usize = 4096;
+/// How long the end of the program waits for the last lines.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-enum LogPiece {
+/// A message to the log thread.
+enum LogMessage {
     Line(Vec<u8>),
-    /// Answered once all lines before it are written.
-    Mark(SyncSender<()>),
+    /// Acknowledged once all lines before it are written.
+    Flush(SyncSender<()>),
 }
 
-/// Writes the log from a thread of its own. Each write is a line.
+/// Queues lines for the log thread, without blocking. Each write is one line.
 #[derive(Clone)]
 pub(crate) struct LogWriter {
-    pieces: SyncSender<LogPiece>,
+    messages: SyncSender<LogMessage>,
 }
 
 impl LogWriter {
@@ -36,44 +37,52 @@
     ///
     /// # Errors
     ///
-    /// Any error of starting a thread.
+    /// Returns the operating system's error if the thread cannot be started.
     pub(crate) fn new<Sink>(sink: Sink) -> io::Result<Self>
     where
         Sink: Write + Send + 'static,
     {
-        let (pieces, waiting) = sync_channel(WAITING_LINES);
+        let (messages, queue) = sync_channel(MAX_QUEUED_LINES);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_pieces(sink, &waiting))?;
-        Ok(Self { pieces })
+            .spawn(move || write_messages(sink, &queue))?;
+        Ok(Self { messages })
     }
 
-    /// Waits a moment until all lines are written.
-    pub(crate) fn finish(&self) {
-        let (mark, written) = sync_channel(1);
-        if self.pieces.try_send(LogPiece::Mark(mark)).is_ok() {
-            // A reader that stands still is not waited for longer.
-            written.recv_timeout(LAST_LINES).ok();
+    /// Waits until all queued lines are written, for [`FLUSH_TIMEOUT`] at the most.
+    pub(crate) fn flush_lines(&self) {
+        let (acknowledge, written) = sync_channel(1);
+        if self
+            .messages
+            .try_send(LogMessage::Flush(acknowledge))
+            .is_ok()
+        {
+            // A blocked reader of the log must not keep the process alive.
+            written.recv_timeout(FLUSH_TIMEOUT).ok();
         }
     }
 }
 
-fn write_pieces<Sink>(mut sink: Sink, waiting: &Receiver<LogPiece>)
+fn write_messages<Sink>(mut sink: Sink, queue: &Receiver<LogMessage>)
 where
     Sink: Write,
 {
-    while let Ok(piece) = waiting.recv() {
-        match piece {
-            // A reader that is gone can't be told.
-            LogPiece::Line(line) => drop(sink.write_all(&line)),
-            LogPiece::Mark(mark) => drop(mark.send(())),
+    while let Ok(message) = queue.recv() {
+        match message {
+            // An error means that the reader of the log is gone; there is nowhere to report it.
+            LogMessage::Line(line) => drop(sink.write_all(&line)),
+            LogMessage::Flush(acknowledge) => drop(acknowledge.send(())),
         }
     }
 }
 
 impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if self.pieces.try_send(LogPiece::Line(line.to_vec())).is_err() {
+        if self
+            .messages
+            .try_send(LogMessage::Line(line.to_vec()))
+            .is_err()
+        {
             metrics::counter!("jasminebend_log_lines_dropped_total").increment(1);
         }
         Ok(line.len())
--- a/crates/jasminebend/src/main.rs
+++ b/crates/jasminebend/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon's program.
+//! The program `jasminebend`.
 
 use std::process::ExitCode;
 
--- a/crates/jasminebend/src/operator_identity.rs
+++ b/crates/jasminebend/src/operator_identity.rs
@@ -1,21 +1,21 @@
-//! Who sent an administration request.
+//! The operator who sent an administration request.
 
 use derive_more::Display;
 
 use crate::AccessRole;
 
-/// Who sent an administration request.
+/// The operator who sent an administration request.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{name}")]
 pub struct OperatorIdentity {
-    /// The name that the tokens file gives; `anonymous` where no token is asked for.
+    /// The operator's name in the tokens file; `anonymous` if no token is required.
     pub name: String,
-    /// What this operator may do.
+    /// The operator's role.
     pub role: AccessRole,
 }
 
 impl OperatorIdentity {
-    /// Anybody, where no token is asked for.
+    /// Returns the identity of requests that need no token: `anonymous`, with every permission.
     pub fn anonymous() -> Self {
         Self {
             name: "anonymous".to_owned(),
--- a/crates/jasminebend/src/given_key.rs
+++ b/crates/jasminebend/src/optional_key.rs
@@ -1,30 +1,29 @@
-//! A key of the settings file that may be absent.
+//! An optional key of the settings file.
 
 use serde::{
     Deserialize,
     Deserializer, //
 };
 
-/// A key of the settings file that may be absent, but not empty.
+/// An optional key of the settings file, which must have a value if it is present.
 ///
-/// An `Option` would read `seats:` without a value as if the key were absent, and take the default
-/// without a word.
+/// A plain `Option` would treat `seats:` without a value as an absent key and silently use the default.
 #[derive(Debug)]
-pub(crate) struct GivenKey<Value>(Option<Value>);
+pub(crate) struct OptionalKey<Value>(Option<Value>);
 
-impl<Value> GivenKey<Value> {
+impl<Value> OptionalKey<Value> {
     pub(crate) fn as_ref(&self) -> Option<&Value> {
         self.0.as_ref()
     }
 }
 
-impl<Value> Default for GivenKey<Value> {
+impl<Value> Default for OptionalKey<Value> {
     fn default() -> Self {
         Self(None)
     }
 }
 
-impl<'de, Value> Deserialize<'de> for GivenKey<Value>
+impl<'de, Value> Deserialize<'de> for OptionalKey<Value>
 where
     Value: Deserialize<'de>,
 {
--- a/crates/jasminebend/src/peer_key_source.rs
+++ b/crates/jasminebend/src/peer_key_source.rs
@@ -1,13 +1,13 @@
-//! Where the key that daemons share comes from.
+//! Source of the key that daemons share.
 
 use std::path::PathBuf;
 
 use crate::SecretText;
 
-/// Where the key that daemons share comes from.
+/// Source of the key that daemons share.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum PeerKeySource {
-    /// A file, read when the daemon starts.
+    /// A file, read when the daemon starts and again when it changes.
     File(PathBuf),
     /// The key itself, for daemons embedded in one process.
     Text(SecretText),
--- a/crates/jasminebend/src/peer_keys.rs
+++ b/crates/jasminebend/src/peer_keys.rs
@@ -1,4 +1,4 @@
-//! Reads the keys that daemons share.
+//! Keys that daemons share.
 
 use std::{
     fs,
@@ -15,16 +15,17 @@
     PeerKeySource, //
 };
 
-/// The keys that daemons share.
+/// The keys that daemons share to authenticate messages to each other.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PeerKeys {
-    /// The one that signs.
+    /// The key that signs messages.
     pub(crate) current: PeerKey,
-    /// One that is accepted too, while the key is replaced.
+    /// A second key that is accepted while the current one is being replaced; `None` if there is none.
     pub(crate) next: Option<PeerKey>,
 }
 
 impl PeerKeys {
+    /// Reads the keys from their source.
     pub(crate) fn read(source: &PeerKeySource) -> Result<Self, DaemonError> {
         match source {
             PeerKeySource::Text(text) => Self::parse(text.expose()),
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Reads the keys from the first two lines.
+    /// Parses the keys from the first two lines that are not blank.
     pub(crate) fn parse(text: &str) -> Result<Self, DaemonError> {
         let mut lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
         let current = PeerKey::from_secret(lines.next().unwrap_or_default())?;
@@ -40,7 +41,8 @@
         Ok(Self { current, next })
     }
 
-    pub(crate) fn ring(self) -> KeyRing {
+    /// Returns a key ring of these keys.
+    pub(crate) fn key_ring(self) -> KeyRing {
         let ring = KeyRing::new(self.current);
         match self.next {
             None => ring,
--- a/crates/jasminebend/src/platform_edges.rs
+++ b/crates/jasminebend/src/platform_ports.rs
@@ -1,4 +1,4 @@
-//! Reaches the platform over HTTP.
+//! HTTP ports of the platform.
 
 use std::{
     path::Path,
@@ -15,20 +15,21 @@
 };
 
 use crate::{
-    DaemonEdges,
     DaemonError,
+    DaemonPorts,
     PlatformSettings,
     peer_keys::read_secret,
-    secret_watch::SecretWatch, //
+    secret_file_watcher::SecretFileWatcher, //
 };
 
-/// The platform over HTTP, with the token that is shown to it and the watch over its file.
-pub(crate) struct PlatformEdges {
-    pub(crate) edges: DaemonEdges,
-    pub(crate) token: Option<(AccessToken, SecretWatch)>,
+/// The ports of a daemon, implemented by HTTP clients of the platform.
+pub(crate) struct PlatformPorts {
+    pub(crate) ports: DaemonPorts,
+    /// The bearer token sent to the platform and the watcher of its file; `None` if the platform asks for no token.
+    pub(crate) token: Option<(AccessToken, SecretFileWatcher)>,
 }
 
-impl PlatformEdges {
+impl PlatformPorts {
     pub(crate) fn new(settings: &PlatformSettings, seed: u64) -> Result<Self, DaemonError> {
         let token = settings.token_file.as_deref().map(read_token).transpose()?;
         let mut table = HttpTable::new(settings.table).with_timeout(settings.table_timeout);
@@ -41,7 +42,7 @@
             vm_list = vm_list.with_token(token.clone());
             workers = workers.with_token(token.clone());
         }
-        let edges = DaemonEdges {
+        let ports = DaemonPorts {
             table: Arc::new(table),
             objects: Arc::new(objects),
             vm_list: Arc::new(vm_list),
@@ -49,12 +50,12 @@
             clock: Arc::new(SystemClock::new()),
             seed,
         };
-        Ok(Self { edges, token })
+        Ok(Self { ports, token })
     }
 }
 
-fn read_token(path: &Path) -> Result<(AccessToken, SecretWatch), DaemonError> {
-    let watch = SecretWatch::new(path);
+fn read_token(path: &Path) -> Result<(AccessToken, SecretFileWatcher), DaemonError> {
+    let watcher = SecretFileWatcher::new(path);
     let text = read_secret(path)?;
-    Ok((AccessToken::new(text.trim()), watch))
+    Ok((AccessToken::new(text.trim()), watcher))
 }
--- a/crates/jasminebend/src/program.rs
+++ b/crates/jasminebend/src/program.rs
@@ -1,4 +1,4 @@
-//! What the program does, and the exit code that says how it went.
+//! Runs the program's commands.
 
 use std::{
     ffi::OsString,
@@ -15,60 +15,64 @@
     DaemonError,
     DaemonSettings,
     HELP,
+    daemon_runner, //
     demo,
     fleet_program::run_fleet,
-    service, //
 };
 
-const FAILED: u8 = 1;
-const MISUSED: u8 = 2;
+const EXIT_FAILURE: u8 = 1;
+const EXIT_USAGE_ERROR: u8 = 2;
 
-/// Does what the arguments ask for. Exit codes: 0 done, 1 failed, 2 wrong usage or settings.
+/// Runs the command that the arguments name. Exit codes: 0 success, 1 failure, 2 wrong usage or settings.
 pub fn run_program<Arguments>(arguments: Arguments) -> ExitCode
 where
     Arguments: IntoIterator<Item = OsString>,
     Arguments::IntoIter: 'static,
 {
     match CommandLine::parse(arguments) {
-        Err(error) => fail(MISUSED, &error),
-        Ok(CommandLine::Help) => say(HELP),
-        Ok(CommandLine::Version) => say(&version()),
-        Ok(CommandLine::Check(path)) => check(&path),
+        Err(error) => fail(EXIT_USAGE_ERROR, &error),
+        Ok(CommandLine::Help) => print_text(HELP),
+        Ok(CommandLine::Version) => print_text(&version()),
+        Ok(CommandLine::Check(path)) => check_settings(&path),
         Ok(CommandLine::Demo(options)) => block_on(async move {
             let outcome = demo::run(options).await;
-            outcome.map_or_else(|error| fail(FAILED, &error), |()| ExitCode::SUCCESS)
+            outcome.map_or_else(|error| fail(EXIT_FAILURE, &error), |()| ExitCode::SUCCESS)
         }),
-        Ok(CommandLine::Run(path)) => run(&path),
+        Ok(CommandLine::Run(path)) => run_daemon(&path),
         Ok(CommandLine::Fleet(switches)) => run_fleet(switches),
     }
 }
 
-fn run(path: &Path) -> ExitCode {
+fn run_daemon(path: &Path) -> ExitCode {
     match DaemonSettings::load(path) {
-        Err(error) => fail(MISUSED, &error),
+        Err(error) => fail(EXIT_USAGE_ERROR, &error),
         Ok(settings) => block_on(async move {
-            let outcome = service::run(settings).await;
-            outcome.map_or_else(|error| fail(code(&error), &error), |()| ExitCode::SUCCESS)
+            let outcome = daemon_runner::run(settings).await;
+            outcome.map_or_else(
+                |error| fail(exit_code(&error), &error),
+                |()| ExitCode::SUCCESS,
+            )
         }),
     }
 }
 
-fn check(path: &Path) -> ExitCode {
+/// Checks a settings file and the files that it names, without starting the daemon.
+fn check_settings(path: &Path) -> ExitCode {
     let checked = DaemonSettings::load(path)
         .map_err(DaemonError::from)
-        .and_then(|settings| service::check_keys(&settings));
+        .and_then(|settings| daemon_runner::check_keys(&settings));
     match checked {
-        Ok(()) => say(&format!("{} is in order.\n", path.display())),
-        Err(error) => fail(MISUSED, &error),
+        Ok(()) => print_text(&format!("{} is in order.\n", path.display())),
+        Err(error) => fail(EXIT_USAGE_ERROR, &error),
     }
 }
 
-fn code(error: &DaemonError) -> u8 {
+fn exit_code(error: &DaemonError) -> u8 {
     match error {
         DaemonError::Settings(_) | DaemonError::Access(_) | DaemonError::OpenAdministration => {
-            MISUSED
+            EXIT_USAGE_ERROR
         }
-        _ => FAILED,
+        _ => EXIT_FAILURE,
     }
 }
 
@@ -82,15 +86,17 @@
 {
     match Runtime::new() {
         Ok(runtime) => runtime.block_on(work),
-        Err(error) => fail(FAILED, &error),
+        Err(error) => fail(EXIT_FAILURE, &error),
     }
 }
 
-fn say(text: &str) -> ExitCode {
+/// Prints a text and returns the exit code of success.
+fn print_text(text: &str) -> ExitCode {
     print!("{text}");
     ExitCode::SUCCESS
 }
 
+/// Prints an error and returns the exit code.
 fn fail<Cause>(code: u8, cause: &Cause) -> ExitCode
 where
     Cause: Display + ?Sized,
--- a/crates/jasminebend/src/secret_watch.rs
+++ b/crates/jasminebend/src/secret_file_watcher.rs
@@ -1,4 +1,4 @@
-//! Replaces a secret when its file changes.
+//! Reloads a secret when its file changes.
 
 use std::path::{
     Path,
@@ -13,30 +13,30 @@
 
 use crate::{
     DaemonError,
-    file_watch::FileWatch,
+    file_watcher::FileWatcher,
     peer_keys::read_secret, //
 };
 
-/// Replaces a secret when its file changes.
+/// Reloads a secret when its file changes.
 ///
-/// It is made before the secret is first read: a file that is replaced between the two would
-/// otherwise go unnoticed until it is replaced again.
+/// Create it before the secret is first read. Otherwise a replacement of the file between the two would go unnoticed
+/// until the file is replaced again.
 #[derive(Debug)]
-pub(crate) struct SecretWatch {
+pub(crate) struct SecretFileWatcher {
     path: PathBuf,
-    files: FileWatch,
+    files: FileWatcher,
 }
 
-impl SecretWatch {
+impl SecretFileWatcher {
     pub(crate) fn new(path: &Path) -> Self {
         Self {
             path: path.to_owned(),
-            files: FileWatch::new(vec![path.to_owned()]),
+            files: FileWatcher::new(vec![path.to_owned()]),
         }
     }
 
-    /// Hands each new content to `apply`, until the sender of `stop` is dropped. A content that is
-    /// refused leaves the secret in force.
+    /// Passes each new content to `apply`, until the sender of `stop` is dropped. If `apply` returns an error, the
+    /// current secret stays.
     pub(crate) async fn run<Apply>(mut self, apply: Apply, mut stop: watch::Receiver<()>)
     where
         Apply: Fn(&str) -> Result<(), DaemonError>,
@@ -53,7 +53,7 @@
                     self.path.display()
                 ),
                 Err(error) => {
-                    error!("[daemon] A new secret is refused, the old one stays: {error}.");
+                    error!("[daemon] The new secret is invalid, the old one stays: {error}.");
                 }
             }
         }
--- a/crates/jasminebend/src/secret_text.rs
+++ b/crates/jasminebend/src/secret_text.rs
@@ -1,4 +1,4 @@
-//! A secret that no log shows.
+//! A secret text that is not printed.
 
 use std::fmt::{
     Debug,
@@ -6,12 +6,12 @@
     Result, //
 };
 
-/// A secret that no log shows: its `Debug` is redacted, and it has no `Display`.
+/// A secret text. Its `Debug` output is redacted and it has no `Display`, so that no log contains it.
 #[derive(Clone, Eq, PartialEq)]
 pub struct SecretText(String);
 
 impl SecretText {
-    /// Keeps a secret.
+    /// Wraps a secret.
     pub fn new<Text>(text: Text) -> Self
     where
         Text: Into<String>,
@@ -19,7 +19,7 @@
         Self(text.into())
     }
 
-    /// Returns the secret itself, for the one call that needs it.
+    /// Returns the secret itself. Call it only where the secret is used.
     pub fn expose(&self) -> &str {
         &self.0
     }
--- a/crates/jasminebend/src/key_reader.rs
+++ b/crates/jasminebend/src/section_parser.rs
@@ -1,4 +1,4 @@
-//! Reads the keys of one section of the settings file.
+//! Parses the values of one section of the settings file.
 
 use std::{
     net::SocketAddr,
@@ -13,26 +13,30 @@
 
 use crate::SettingsError;
 
-/// A value as it stands in the file, with its line.
+/// A value's text in the settings file, with its line.
 pub(crate) type RawText = Spanned<String>;
 
-/// What a section wants.
-pub(crate) const SECTION: &str = "the section, with its keys indented below";
+/// The expected value of a key that names a section, for error messages.
+pub(crate) const SECTION_FORMAT: &str = "the section, with its keys indented below";
 
-const LONGEST_NAME: usize = 64;
+/// The greatest length of a name, in bytes.
+const MAX_NAME_BYTES: usize = 64;
 
-/// Reads the keys of one section: its name is a prefix of every message.
+/// Parses the values of one section, whose name prefixes the keys in error messages.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct KeyReader {
+pub(crate) struct SectionParser {
+    /// The section's name; empty at the top level.
     section: &'static str,
+    /// The line where the section begins, from one; reported for missing keys.
     line: u64,
 }
 
-impl KeyReader {
+impl SectionParser {
     pub(crate) fn new(section: &'static str, line: u64) -> Self {
         Self { section, line }
     }
 
+    /// Returns the value, or an error that the key is missing. `wants` describes the expected value.
     pub(crate) fn required<Value>(
         self,
         key: &str,
@@ -41,12 +45,12 @@
     ) -> Result<Value, SettingsError> {
         value.ok_or_else(|| SettingsError::MissingKey {
             line: self.line,
-            key: self.path(key),
+            key: self.qualified_key(key),
             wants,
         })
     }
 
-    /// Reads a value by `parse`; an absent key is `None`.
+    /// Parses a value with `parse`; returns `None` if the key is absent. `wants` describes the expected value.
     pub(crate) fn parse<Value, Parse>(
         self,
         key: &str,
@@ -60,16 +64,17 @@
         let Some(raw) = raw else {
             return Ok(None);
         };
-        let bad = || SettingsError::BadValue {
+        let bad_value = || SettingsError::BadValue {
             line: raw.referenced.line(),
-            key: self.path(key),
+            key: self.qualified_key(key),
             value: raw.value.clone(),
             wants,
         };
-        parse(&raw.value).map(Some).ok_or_else(bad)
+        parse(&raw.value).map(Some).ok_or_else(bad_value)
     }
 
-    fn path(self, key: &str) -> String {
+    /// Returns the key with its section's name as a prefix.
+    fn qualified_key(self, key: &str) -> String {
         if self.section.is_empty() {
             return key.to_owned();
         }
@@ -77,32 +82,38 @@
     }
 }
 
+/// Parses an IP address and port to listen on.
 pub(crate) fn parse_address(text: &str) -> Option<SocketAddr> {
     text.parse().ok()
 }
 
-/// An address of this VM that others are told: `0.0.0.0` would lead them to themselves.
+/// Parses an address of this VM that other VMs connect to. Rejects unspecified addresses such as `0.0.0.0`, which would
+/// lead them to themselves.
 pub(crate) fn parse_own_address(text: &str) -> Option<SocketAddr> {
     let address: SocketAddr = text.parse().ok()?;
     (!address.ip().is_unspecified()).then_some(address)
 }
 
-pub(crate) fn parse_remote(text: &str) -> Option<SocketAddr> {
+/// Parses the address of a remote service. Rejects port 0 and unspecified IP addresses.
+pub(crate) fn parse_remote_address(text: &str) -> Option<SocketAddr> {
     let address: SocketAddr = text.parse().ok()?;
     let reachable = address.port() != 0 && !address.ip().is_unspecified();
     reachable.then_some(address)
 }
 
+/// Parses a name of ASCII letters, digits, `-`, `_` and `.`.
 pub(crate) fn parse_name(text: &str) -> Option<String> {
     let allowed = |letter: char| letter.is_ascii_alphanumeric() || "-_.".contains(letter);
-    let fits = !text.is_empty() && text.len() <= LONGEST_NAME && text.chars().all(allowed);
+    let fits = !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.chars().all(allowed);
     fits.then(|| text.to_owned())
 }
 
+/// Parses a path that is not empty.
 pub(crate) fn parse_path(text: &str) -> Option<PathBuf> {
     (!text.is_empty()).then(|| PathBuf::from(text))
 }
 
+/// Parses a number within a range.
 pub(crate) fn parse_number<Number>(text: &str, range: RangeInclusive<Number>) -> Option<Number>
 where
     Number: FromStr + PartialOrd,
@@ -111,14 +122,14 @@
     range.contains(&number).then_some(number)
 }
 
-/// A time needs its unit: `5` could be seconds or milliseconds.
-pub(crate) fn parse_time(text: &str, range: RangeInclusive<Duration>) -> Option<Duration> {
+/// Parses a duration within a range. The unit is required, because `5` could be seconds or milliseconds.
+pub(crate) fn parse_duration(text: &str, range: RangeInclusive<Duration>) -> Option<Duration> {
     let time = humantime::parse_duration(text).ok()?;
     let has_unit = text.ends_with(|letter: char| letter.is_ascii_alphabetic());
     (has_unit && range.contains(&time)).then_some(time)
 }
 
-/// A size needs its unit: `64` could be bytes or mebibytes.
+/// Parses a size within a range. The unit is required, because `64` could be bytes or mebibytes.
 pub(crate) fn parse_size<Number>(text: &str, range: RangeInclusive<ByteSize>) -> Option<Number>
 where
     Number: TryFrom<u64>,
@@ -129,7 +140,8 @@
     fits.then(|| Number::try_from(size.as_u64()).ok()).flatten()
 }
 
-pub(crate) fn parse_flag(text: &str) -> Option<bool> {
+/// Parses `true` or `false`.
+pub(crate) fn parse_bool(text: &str) -> Option<bool> {
     match text {
         "true" => Some(true),
         "false" => Some(false),
--- a/crates/jasminebend/src/settings_file.rs
+++ b/crates/jasminebend/src/settings_file.rs
@@ -8,17 +8,17 @@
 use crate::{
     DaemonSettings,
     SettingsError,
-    key_reader::RawText,
     raw_settings::RawSettings,
-    yaml_fault::YamlFault, //
+    section_parser::RawText,
+    yaml_error::YamlError, //
 };
 
 impl DaemonSettings {
-    /// Reads a settings file, and sees to it that the files it names can be read.
+    /// Reads a settings file, and checks that the files it names can be read.
     ///
     /// # Errors
     ///
-    /// Any [`SettingsError`]: the first fault found.
+    /// Returns a [`SettingsError`] for the first error found.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = fs::read_to_string(path).map_err(|error| SettingsError::FileUnreadable {
             path: path.to_owned(),
@@ -30,21 +30,22 @@
         Ok(settings)
     }
 
-    /// Reads settings from text, without a look at the files it names.
+    /// Reads settings from text, without checking the files that it names.
     ///
     /// # Errors
     ///
-    /// Any [`SettingsError`] but those of files.
+    /// Returns any [`SettingsError`] except those of files.
     pub fn from_yaml(text: &str) -> Result<Self, SettingsError> {
         parse(text)?.resolve()
     }
 }
 
 fn parse(text: &str) -> Result<RawSettings, SettingsError> {
-    serde_saphyr::from_str(text).map_err(|error| YamlFault::new(text, &error).explain())
+    serde_saphyr::from_str(text).map_err(|error| YamlError::new(text, &error).to_settings_error())
 }
 
 impl RawSettings {
+    /// Checks that the files that the settings name can be read.
     fn check_files(&self, settings: &DaemonSettings) -> Result<(), SettingsError> {
         let peers = self
             .peers
--- a/crates/jasminebend/src/stop_signals.rs
+++ b/crates/jasminebend/src/stop_signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the program hears.
+//! Handlers of the signals that stop a daemon.
 
 use spdlog::{
     info,
@@ -12,8 +12,10 @@
 
 use crate::DaemonError;
 
-/// The signals that a daemon hears. They are caught from the start to the end of the process: a
-/// second SIGTERM, or a SIGHUP from a closing terminal, would else cut off requests in progress.
+/// Handlers of SIGTERM, SIGINT and SIGHUP.
+///
+/// They stay installed until the end of the process. Otherwise a second SIGTERM, or a SIGHUP from a closing terminal,
+/// would kill the process and abort requests in progress.
 pub(crate) struct StopSignals {
     terminate: Signal,
     interrupt: Signal,
@@ -21,33 +23,34 @@
 }
 
 impl StopSignals {
+    /// Installs the signal handlers.
     pub(crate) fn new() -> Result<Self, DaemonError> {
-        let catch = |kind| signal(kind).map_err(|source| DaemonError::Signals { source });
+        let install = |kind| signal(kind).map_err(|source| DaemonError::Signals { source });
         Ok(Self {
-            terminate: catch(SignalKind::terminate())?,
-            interrupt: catch(SignalKind::interrupt())?,
-            hang_up: catch(SignalKind::hangup())?,
+            terminate: install(SignalKind::terminate())?,
+            interrupt: install(SignalKind::interrupt())?,
+            hang_up: install(SignalKind::hangup())?,
         })
     }
 
-    /// Waits for the first signal to stop.
-    pub(crate) async fn first(&mut self) {
+    /// Waits for SIGTERM or SIGINT. SIGHUP is only logged.
+    pub(crate) async fn wait_for_stop(&mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
                 _ = self.interrupt.recv() => return,
                 _ = self.hang_up.recv() => {
-                    info!("[daemon] SIGHUP changes nothing: files are looked at each second.");
+                    info!("[daemon] SIGHUP changes nothing: the named files are checked every second.");
                 }
             }
         }
     }
 
-    /// Hears further signals and does nothing; never ends.
-    pub(crate) async fn ignore(&mut self) {
+    /// Logs and ignores further signals; never returns.
+    pub(crate) async fn ignore_further(&mut self) {
         loop {
-            self.first().await;
-            warn!("[daemon] Stopping already; the signal changes nothing.");
+            self.wait_for_stop().await;
+            warn!("[daemon] The daemon is stopping already; the signal changes nothing.");
         }
     }
 }
--- a/crates/jasminebend/src/tls_error.rs
+++ b/crates/jasminebend/src/tls_error.rs
@@ -1,29 +1,29 @@
-//! Why a certificate is refused.
+//! Errors of the TLS certificate.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a certificate is refused.
+/// Error of the administration API's TLS certificate.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum TlsError {
     /// The certificate cannot be read.
     #[display("the certificate file cannot be read: {reason}")]
     Certificate {
-        /// What the reader says.
+        /// The PEM reader's error.
         reason: String,
     },
     /// The private key cannot be read.
     #[display("the private key file cannot be read: {reason}")]
     Key {
-        /// What the reader says.
+        /// The PEM reader's error.
         reason: String,
     },
-    /// Certificate and key do not belong together, or are of no use.
+    /// The certificate and the private key do not match or are invalid.
     #[display("the certificate and its key cannot be used: {reason}")]
     Unusable {
-        /// What the TLS library says.
+        /// The TLS library's error.
         reason: String,
     },
 }
--- a/crates/jasminebend/src/token_error.rs
+++ b/crates/jasminebend/src/token_error.rs
@@ -1,38 +1,38 @@
-//! Why a tokens file is refused.
+//! Errors of tokens files.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// Why a tokens file is refused.
+/// Error of a tokens file.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum TokenError {
     /// The file cannot be read.
     #[display("the tokens file cannot be read: {reason}")]
     Unreadable {
-        /// What the system says.
+        /// The operating system's error.
         reason: String,
     },
-    /// The file has the wrong shape.
+    /// The file is not a list of operators with the expected keys.
     #[display("the tokens file does not fit: {reason}; give a list of `name`, `role` and `blake3`")]
     Shape {
-        /// What the parser says.
+        /// The parser's message.
         reason: String,
     },
-    /// A digest is not one.
+    /// A token's digest is not valid.
     #[display("the digest of `{name}` is not 64 hexadecimal digits; make it by `jbctl token hash`")]
     BadDigest {
-        /// The operator.
+        /// The name of the operator.
         name: String,
     },
-    /// A name is given twice.
+    /// Two entries have the same operator name.
     #[display("the operator `{name}` is listed twice; give each token its own name")]
     DuplicateName {
-        /// The operator.
+        /// The name of the operator.
         name: String,
     },
-    /// Nobody is listed.
+    /// The file lists no operator.
     #[display("the tokens file lists nobody; list at least one operator")]
     Empty,
 }
