--- a/crates/jasminebend/src/token_table.rs
+++ b/crates/jasminebend/src/token_table.rs
@@ -1,4 +1,4 @@
-//! The operators' tokens, kept as digests.
+//! Table of the operators' tokens.
 
 use blake3::Hash;
 use indexmap::IndexSet;
@@ -10,7 +10,7 @@
     TokenError, //
 };
 
-/// The operators' tokens, kept as digests.
+/// Table of the operators' tokens, which holds only the tokens' BLAKE3 digests.
 #[derive(Clone, Debug)]
 pub struct TokenTable {
     entries: Vec<TokenEntry>,
@@ -22,6 +22,7 @@
     digest: Hash,
 }
 
+/// An entry of the tokens file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawToken {
@@ -31,11 +32,11 @@
 }
 
 impl TokenTable {
-    /// Reads a tokens file's text: a list of `name`, `role` and `blake3`.
+    /// Parses a tokens file: a YAML list of entries with `name`, `role` and `blake3`.
     ///
     /// # Errors
     ///
-    /// Any [`TokenError`] but `Unreadable`.
+    /// Returns any [`TokenError`] except `Unreadable`.
     pub fn from_yaml(text: &str) -> Result<Self, TokenError> {
         let raw: Vec<RawToken> =
             serde_saphyr::from_str(text).map_err(|error| TokenError::Shape {
@@ -45,14 +46,15 @@
             return Err(TokenError::Empty);
         }
         check_names(&raw)?;
-        let entries: Result<Vec<TokenEntry>, TokenError> = raw.into_iter().map(entry).collect();
+        let entries: Result<Vec<TokenEntry>, TokenError> =
+            raw.into_iter().map(parse_entry).collect();
         Ok(Self { entries: entries? })
     }
 
-    /// Finds whose token this is.
+    /// Returns the operator whom a token belongs to, or `None` if no entry matches.
     ///
-    /// The digests' comparison takes the same time wherever they differ, and every entry is
-    /// compared, so that the time of an answer tells nothing of a token.
+    /// Digests are compared in constant time and with every entry, so that the response time reveals nothing about a
+    /// token.
     pub fn identify(&self, token: &str) -> Option<OperatorIdentity> {
         let digest = blake3::hash(token.as_bytes());
         let mut found = None;
@@ -65,17 +67,18 @@
     }
 }
 
+/// Rejects duplicate operator names.
 fn check_names(raw: &[RawToken]) -> Result<(), TokenError> {
     let mut seen = IndexSet::new();
-    let twice = raw.iter().find(|token| !seen.insert(&token.name));
-    twice.map_or(Ok(()), |token| {
+    let duplicate = raw.iter().find(|token| !seen.insert(&token.name));
+    duplicate.map_or(Ok(()), |token| {
         Err(TokenError::DuplicateName {
             name: token.name.clone(),
         })
     })
 }
 
-fn entry(raw: RawToken) -> Result<TokenEntry, TokenError> {
+fn parse_entry(raw: RawToken) -> Result<TokenEntry, TokenError> {
     let digest = Hash::from_hex(&raw.blake3).map_err(|_| TokenError::BadDigest {
         name: raw.name.clone(),
     })?;
--- a/crates/jasminebend/src/trace_error.rs
+++ b/crates/jasminebend/src/trace_error.rs
@@ -1,14 +1,14 @@
-//! Why the traces could not be set up.
+//! Error of setting up the trace export.
 
 use derive_more::{
     Display,
     Error, //
 };
 
-/// The traces could not be set up.
+/// Error of setting up the trace export.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("the traces could not be set up: {reason}")]
 pub struct TraceError {
-    /// What the trace library says.
+    /// The trace library's error.
     pub reason: String,
 }
--- a/crates/jasminebend/src/trace_export.rs
+++ b/crates/jasminebend/src/trace_export.rs
@@ -1,4 +1,4 @@
-//! Sets up the process's traces.
+//! Exports the process's spans.
 
 use std::time::Duration;
 
@@ -31,23 +31,24 @@
     collector_client::CollectorClient, //
 };
 
-const BATCH: usize = 512;
-const BATCH_DELAY: Duration = Duration::from_secs(1);
-const SERVICE: &str = "jasminebend";
+const MAX_BATCH_SPANS: usize = 512;
+const BATCH_INTERVAL: Duration = Duration::from_secs(1);
+const SERVICE_NAME: &str = "jasminebend";
 
-/// The process's traces. Without a collector spans cost next to nothing and go nowhere, but a
-/// caller's `traceparent` is still passed on.
+/// Exports the process's spans to a collector.
+///
+/// Without a collector spans are dropped at almost no cost, but a caller's `traceparent` is still propagated.
 #[derive(Debug)]
 pub struct TraceExport {
     provider: Option<SdkTracerProvider>,
 }
 
 impl TraceExport {
-    /// Sets up the process's traces.
+    /// Installs the process's tracer provider and context propagator.
     ///
     /// # Errors
     ///
-    /// [`TraceError`] if the exporter cannot be made.
+    /// Returns a [`TraceError`] if the exporter cannot be created.
     pub fn install(
         settings: Option<TraceSettings>,
         domain: &str,
@@ -57,14 +58,14 @@
         let Some(settings) = settings else {
             return Ok(Self { provider: None });
         };
-        let provider = build(settings, domain, runtime)?;
+        let provider = build_provider(settings, domain, runtime)?;
         global::set_tracer_provider(provider.clone());
         Ok(Self {
             provider: Some(provider),
         })
     }
 
-    /// Sends what is left and ends the export; blocks up to a few seconds.
+    /// Sends the remaining spans and ends the export; blocks for up to a few seconds.
     pub fn finish(self) {
         let Some(provider) = self.provider else {
             return;
@@ -75,7 +76,7 @@
     }
 }
 
-fn build(
+fn build_provider(
     settings: TraceSettings,
     domain: &str,
     runtime: Handle,
@@ -91,20 +92,20 @@
         })?;
     let batch = BatchConfigBuilder::default()
         .with_max_queue_size(settings.queue)
-        .with_max_export_batch_size(BATCH.min(settings.queue))
-        .with_scheduled_delay(BATCH_DELAY)
+        .with_max_export_batch_size(MAX_BATCH_SPANS.min(settings.queue))
+        .with_scheduled_delay(BATCH_INTERVAL)
         .build();
     let processor = BatchSpanProcessor::builder(exporter)
         .with_batch_config(batch)
         .build();
-    let own = Sampler::TraceIdRatioBased(settings.sample_ratio);
+    let root_sampler = Sampler::TraceIdRatioBased(settings.sample_ratio);
     let resource = Resource::builder()
-        .with_service_name(SERVICE)
+        .with_service_name(SERVICE_NAME)
         .with_attribute(KeyValue::new("failure_domain", domain.to_owned()))
         .build();
     Ok(SdkTracerProvider::builder()
         .with_span_processor(processor)
-        .with_sampler(Sampler::ParentBased(Box::new(own)))
+        .with_sampler(Sampler::ParentBased(Box::new(root_sampler)))
         .with_resource(resource)
         .build())
 }
--- a/crates/jasminebend/src/usage_error.rs
+++ b/crates/jasminebend/src/usage_error.rs
@@ -1,4 +1,4 @@
-//! Why a command line is refused.
+//! Errors of the command line.
 
 use derive_more::{
     Display,
@@ -6,28 +6,28 @@
 };
 use jasminebend_dispatch::UnknownPolicyPart;
 
-/// Why a command line is refused.
+/// Error of the command line.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum UsageError {
-    /// Nothing is asked for.
+    /// There is no command.
     #[display("nothing to do; see `jasminebend --help`")]
     Nothing,
-    /// There is no such command.
+    /// The command does not exist.
     #[display("there is no command `{name}`; see `jasminebend --help`")]
     UnknownCommand {
         /// The command as given.
         name: String,
     },
-    /// The file to check is missing.
+    /// The argument of `check` is missing.
     #[display("`check` takes the settings file as its argument")]
     MissingFile,
-    /// A part of the policy that does not exist is to be done without.
+    /// `--without` names a policy part that does not exist.
     #[display("{_0}")]
     Part(#[error(not(source))] UnknownPolicyPart),
-    /// An option is unknown, lacks its value or has a bad one.
+    /// An option is unknown, or its value is missing or invalid.
     #[display("{reason}; see `jasminebend --help`")]
     Option {
-        /// What the reader of the command line says.
+        /// The argument parser's message.
         reason: String,
     },
 }
