--- a/crates/jasminebend/benches/administration_cost.rs
+++ b/crates/jasminebend/benches/administration_cost.rs
@@ -1,4 +1,4 @@
-//! What administration and an idle daemon cost, at several sizes of the configuration.
+//! Measures the cost of an idle daemon, and of reading and changing configurations of several sizes.
 //!
 //! `cargo bench --package jasminebend --bench administration_cost`
 
@@ -12,7 +12,7 @@
 
 use http::Method;
 use jasminebend::{
-    DaemonEdges,
+    DaemonPorts,
     DaemonSettings,
     EntryDaemon,
     ListenSettings,
@@ -53,49 +53,52 @@
 };
 use tokio::time::sleep;
 
-const SIZES: [usize; 4] = [10, 50, 100, 200];
-const CHANGES: u32 = 10;
-const READINGS: u32 = 200;
-const IDLE: Duration = Duration::from_secs(10);
+/// The numbers of classes in the configurations.
+const CLASS_COUNTS: [usize; 4] = [10, 50, 100, 200];
+/// The number of changes for each size.
+const CHANGE_COUNT: u32 = 10;
+/// The number of reads for each size.
+const READ_COUNT: u32 = 200;
+const IDLE_DURATION: Duration = Duration::from_secs(10);
 
 fn main() {
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    runtime.block_on(measure());
+    runtime.block_on(run_benchmark());
 }
 
-async fn measure() {
+async fn run_benchmark() {
     let log = LogSettings {
         format: LogFormat::Text,
         level: LogLevel::Error,
     };
     let _log = set_up_log(log).expect("a log");
-    let daemon = start().await;
+    let daemon = start_daemon().await;
     while !daemon.ready() {
         sleep(Duration::from_millis(10)).await;
     }
-    let before = usage().processor;
-    sleep(IDLE).await;
-    let idle = usage().processor - before;
-    let share = 100.0 * idle.as_secs_f64() / IDLE.as_secs_f64();
+    let cpu_before = usage().cpu_time;
+    sleep(IDLE_DURATION).await;
+    let idle_cpu = usage().cpu_time - cpu_before;
+    let share = 100.0 * idle_cpu.as_secs_f64() / IDLE_DURATION.as_secs_f64();
     println!(
         "one idle daemon with its platform: {share:.2}% of a core, {} KiB",
-        usage().resident >> 10
+        usage().resident_bytes >> 10
     );
     println!("classes  body bytes  change ms  change cpu ms  reading ms  reading cpu ms");
     let mut version = 0;
-    for size in SIZES {
+    for size in CLASS_COUNTS {
         let mut configuration = configuration(size);
         let body = serde_json::to_vec(&configuration).expect("JSON").len();
-        let change = run(CHANGES, async || {
+        let change = time_runs(CHANGE_COUNT, async || {
             configuration.version = ConfigurationVersion(version);
             version += 1;
             configuration.classes[0].name = ClassName::from(format!("of-version-{version}"));
-            let answer = call(&daemon, put(&configuration)).await;
+            let answer = send_request(&daemon, put_configuration(&configuration)).await;
             assert!(answer.status.is_success(), "{answer:?}");
         });
         let change = change.await;
-        let reading = run(READINGS, async || {
-            call(&daemon, get("/v1/configuration")).await;
+        let reading = time_runs(READ_COUNT, async || {
+            send_request(&daemon, get_request("/v1/configuration")).await;
         });
         let reading = reading.await;
         println!(
@@ -106,24 +109,24 @@
     daemon.stop().await;
 }
 
-/// Returns milliseconds of time, and of processor time, for each run.
-async fn run(times: u32, mut work: impl AsyncFnMut()) -> (f64, f64) {
-    let begun = Instant::now();
-    let before = usage().processor;
+/// Runs `work` repeatedly, and returns the elapsed time and the cpu_time time of one run, in milliseconds.
+async fn time_runs(times: u32, mut work: impl AsyncFnMut()) -> (f64, f64) {
+    let started = Instant::now();
+    let cpu_before = usage().cpu_time;
     for _ in 0..times {
         work().await;
     }
     let each = |time: Duration| time.as_secs_f64() * 1000.0 / f64::from(times);
-    (each(begun.elapsed()), each(usage().processor - before))
+    (each(started.elapsed()), each(usage().cpu_time - cpu_before))
 }
 
-async fn start() -> EntryDaemon {
+async fn start_daemon() -> EntryDaemon {
     let settings = DaemonSettings::new(
         ListenSettings::new(),
         DomainName::from("a"),
         PeerKeySource::Text(SecretText::new("a secret of the bench")),
     );
-    let edges = DaemonEdges {
+    let ports = DaemonPorts {
         table: Arc::new(TableStandIn::new()),
         objects: Arc::new(ObjectStandIn::new()),
         vm_list: Arc::new(VmListStandIn::new(Vec::new())),
@@ -132,7 +135,7 @@
         seed: 7,
     };
     let settings = settings.with_seats(1).with_balancer_lag(Duration::ZERO);
-    EntryDaemon::start(settings, edges).await.expect("a daemon")
+    EntryDaemon::start(settings, ports).await.expect("a daemon")
 }
 
 fn configuration(classes: usize) -> Configuration {
@@ -155,14 +158,14 @@
     }
 }
 
-async fn call(daemon: &EntryDaemon, call: AdminRequest) -> AdminResponse {
+async fn send_request(daemon: &EntryDaemon, request: AdminRequest) -> AdminResponse {
     let mut options = GlobalOptions::new();
     options.address = daemon.admin_address().to_string();
     let client = AdminClient::new(&options).expect("a client");
-    client.call(&call).await.expect("an answer")
+    client.call(&request).await.expect("an answer")
 }
 
-fn get(path: &str) -> AdminRequest {
+fn get_request(path: &str) -> AdminRequest {
     AdminRequest {
         method: Method::GET,
         path: path.to_owned(),
@@ -171,12 +174,12 @@
     }
 }
 
-fn put(configuration: &Configuration) -> AdminRequest {
-    let mut call = get("/v1/configuration");
-    call.method = Method::PUT;
-    call.expected_version = Some(configuration.version);
-    call.body = serde_json::to_vec(configuration).expect("JSON").into();
-    call
+fn put_configuration(configuration: &Configuration) -> AdminRequest {
+    let mut request = get_request("/v1/configuration");
+    request.method = Method::PUT;
+    request.expected_version = Some(configuration.version);
+    request.body = serde_json::to_vec(configuration).expect("JSON").into();
+    request
 }
 
 fn usage() -> ProcessUsage {
--- a/crates/jasminebend/benches/control_cost.rs
+++ b/crates/jasminebend/benches/control_cost.rs
@@ -1,7 +1,7 @@
-//! What control costs each of seven real daemons, at several numbers of workers: processor time, memory, calls of the
-//! table. No caller sends anything.
+//! Measures the cost of the control plane in seven daemon processes, at several numbers of workers: processor time,
+//! memory, and requests to the table service. Callers send no requests.
 //!
-//! `cargo bench --package jasminebend --bench control_cost -- [SHARDS]` (long: about 3 minutes)
+//! `cargo bench --package jasminebend --bench control_cost -- [SHARDS]` (takes about 3 minutes)
 
 use std::{
     env,
@@ -56,54 +56,59 @@
 };
 use tokio::time::sleep;
 
-const SIZES: [usize; 4] = [10, 50, 200, 650];
-const TASKS_A_WORKER: usize = 8;
-const DAEMONS: usize = 7;
+const WORKER_COUNTS: [usize; 4] = [10, 50, 200, 650];
+const TASKS_PER_WORKER: usize = 8;
+const DAEMON_COUNT: usize = 7;
 const DOMAINS: [&str; 3] = ["a", "b", "c"];
-const RACK: usize = 8;
-const SETTLE: Duration = Duration::from_secs(15);
-const MEASURE: Duration = Duration::from_secs(20);
-const LONG_WORK: Duration = Duration::from_secs(3_600);
+/// The number of workers in a rack.
+const RACK_SIZE: usize = 8;
+/// The time between the submission of the tasks and the measurement.
+const WARM_UP_DURATION: Duration = Duration::from_secs(15);
+const MEASUREMENT_DURATION: Duration = Duration::from_secs(20);
+/// The run time of a task, longer than the benchmark.
+const TASK_RUN_TIME: Duration = Duration::from_secs(3_600);
 
 fn main() {
     let shards = env::args().filter_map(|word| word.parse().ok()).next();
     let runtime = tokio::runtime::Runtime::new().expect("a runtime");
-    runtime.block_on(measure(shards.unwrap_or(1)));
+    runtime.block_on(run_benchmark(shards.unwrap_or(1)));
 }
 
-async fn measure(shards: u16) {
+async fn run_benchmark(shards: u16) {
     println!(
-        "{DAEMONS} daemons, {shards} shards, {TASKS_A_WORKER} running tasks a worker; the most of any daemon:"
+        "{DAEMON_COUNT} daemons, {shards} shards, {TASKS_PER_WORKER} running tasks a worker; the most of any daemon:"
     );
     println!(
         "| workers | tasks | core | core, median | memory | table reads/s | table writes/s | of peers, bytes/s |"
     );
     println!("|---|---|---|---|---|---|---|---|");
-    for workers in SIZES {
+    for workers in WORKER_COUNTS {
         measure_size(workers, shards).await;
     }
 }
 
 async fn measure_size(workers: usize, shards: u16) {
-    let site = BenchSite::start(workers).await;
-    let daemons: Vec<DaemonProcess> = (0..DAEMONS)
-        .map(|place| DaemonProcess::start(&site, place, shards))
+    let environment = BenchEnvironment::start(workers).await;
+    let daemons: Vec<DaemonProcess> = (0..DAEMON_COUNT)
+        .map(|index| DaemonProcess::start(&environment, index, shards))
         .collect();
     let operator = daemons[0].admin;
     configure(operator).await;
-    submit(operator, workers * TASKS_A_WORKER).await;
-    sleep(SETTLE).await;
-    let running = site.runs.running().len();
-    let before: Vec<Duration> = daemons.iter().map(DaemonProcess::processor).collect();
-    let peers = peer_bytes(&daemons).await;
-    let calls = site.table.faults().counts();
-    sleep(MEASURE).await;
-    let after = site.table.faults().counts();
-    let sent = peer_bytes(&daemons).await - peers;
+    submit(operator, workers * TASKS_PER_WORKER).await;
+    sleep(WARM_UP_DURATION).await;
+    let running = environment.runs.running().len();
+    let before: Vec<Duration> = daemons.iter().map(DaemonProcess::cpu_time).collect();
+    let bytes_before = peer_bytes_sent(&daemons).await;
+    let requests_before = environment.table.faults().counts();
+    sleep(MEASUREMENT_DURATION).await;
+    let requests_after = environment.table.faults().counts();
+    let sent = peer_bytes_sent(&daemons).await - bytes_before;
     let mut cores: Vec<f64> = daemons
         .iter()
         .zip(before)
-        .map(|(daemon, before)| (daemon.processor() - before).as_secs_f64() / MEASURE.as_secs_f64())
+        .map(|(daemon, before)| {
+            (daemon.cpu_time() - before).as_secs_f64() / MEASUREMENT_DURATION.as_secs_f64()
+        })
         .collect();
     cores.sort_by(f64::total_cmp);
     let memory = daemons
@@ -111,14 +116,14 @@
         .map(DaemonProcess::resident_mib)
         .max()
         .unwrap_or(0);
-    let rate = |count: u64| count as f64 / MEASURE.as_secs_f64();
+    let rate = |count: u64| count as f64 / MEASUREMENT_DURATION.as_secs_f64();
     println!(
         "| {workers} | {running} | {:.2}% | {:.2}% | {memory} MiB | {:.1} | {:.2} | {:.0} |",
-        100.0 * cores[DAEMONS - 1],
-        100.0 * cores[DAEMONS / 2],
-        rate(after.reads - calls.reads),
-        rate(after.writes - calls.writes),
-        sent / MEASURE.as_secs_f64() / DAEMONS as f64,
+        100.0 * cores[DAEMON_COUNT - 1],
+        100.0 * cores[DAEMON_COUNT / 2],
+        rate(requests_after.reads - requests_before.reads),
+        rate(requests_after.writes - requests_before.writes),
+        sent / MEASUREMENT_DURATION.as_secs_f64() / DAEMON_COUNT as f64,
     );
 }
 
@@ -134,13 +139,13 @@
         "teams": [{"name": "t", "limit": ResourceAmount::new(u64::MAX / 2, u64::MAX / 2)}],
     });
     let version = Some(ConfigurationVersion(0));
-    let call = call(
+    let request = admin_request(
         Method::PUT,
         "/v1/configuration",
         configuration.to_string(),
         version,
     );
-    call_until_done(operator, call).await;
+    send_until_success(operator, request).await;
 }
 
 async fn submit(operator: SocketAddr, tasks: usize) {
@@ -149,16 +154,17 @@
         "class": "batch",
         "tasks": tasks,
         "size": ResourceAmount::new(1_000, 1_024),
-        "payload": TaskPayload::new(LONG_WORK).to_text(),
+        "payload": TaskPayload::new(TASK_RUN_TIME).to_text(),
         "key": "bench",
     });
-    let call = call(Method::POST, "/v1/jobs", job.to_string(), None);
-    call_until_done(operator, call).await;
+    let request = admin_request(Method::POST, "/v1/jobs", job.to_string(), None);
+    send_until_success(operator, request).await;
 }
 
-async fn call_until_done(operator: SocketAddr, call: AdminRequest) {
+/// Sends a request, and retries until it succeeds.
+async fn send_until_success(operator: SocketAddr, request: AdminRequest) {
     loop {
-        let answer = ask(operator, call.clone()).await;
+        let answer = send_request(operator, request.clone()).await;
         if answer
             .as_ref()
             .is_some_and(|answer| answer.status.is_success())
@@ -169,16 +175,17 @@
     }
 }
 
-async fn ask(operator: SocketAddr, call: AdminRequest) -> Option<AdminResponse> {
+/// Sends a request to the administration API; returns `None` if there is no response.
+async fn send_request(operator: SocketAddr, request: AdminRequest) -> Option<AdminResponse> {
     let target = GlobalOptions {
         address: operator.to_string(),
         ..GlobalOptions::new()
     };
     let client = AdminClient::new(&target).ok()?;
-    client.call(&call).await.ok()
+    client.call(&request).await.ok()
 }
 
-fn call(
+fn admin_request(
     method: Method,
     path: &str,
     body: String,
@@ -192,11 +199,12 @@
     }
 }
 
-async fn peer_bytes(daemons: &[DaemonProcess]) -> f64 {
+/// Returns the sum of the bytes that the daemons have sent to their peers.
+async fn peer_bytes_sent(daemons: &[DaemonProcess]) -> f64 {
     let mut sum = 0.0;
     for daemon in daemons {
-        let call = call(Method::GET, "/metrics", String::new(), None);
-        let Some(answer) = ask(daemon.admin, call).await else {
+        let request = admin_request(Method::GET, "/metrics", String::new(), None);
+        let Some(answer) = send_request(daemon.admin, request).await else {
             continue;
         };
         let text = String::from_utf8_lossy(&answer.body).into_owned();
@@ -209,30 +217,31 @@
     sum
 }
 
-/// The platform and the workers of one measurement.
-struct BenchSite {
+/// Stand-ins of the platform and the workers of one measurement.
+struct BenchEnvironment {
     table: TableStandIn,
     runs: Arc<RunLedger>,
+    /// The addresses of the table service, the object store and the VM list.
     addresses: [SocketAddr; 3],
     directory: PathBuf,
     _guards: Vec<ServerGuard>,
 }
 
-impl BenchSite {
+impl BenchEnvironment {
     async fn start(workers: usize) -> Self {
         let clock: Arc<dyn ClockSource> = Arc::new(SystemClock::new());
         let runs = Arc::new(RunLedger::new());
         let shape = FleetShape {
             workers,
             domains: DOMAINS.map(DomainName::from).to_vec(),
-            rack_size: RACK,
+            rack_size: RACK_SIZE,
             capacity: ResourceAmount::new(32_000, 128_000),
         };
         let mut fleet = WorkerFleet::new(&shape, &clock, &runs, 1);
         let mut guards = fleet.start_servers().await.expect("workers");
         let table = TableStandIn::new().with_clock(Arc::clone(&clock));
         let mut vms = fleet.records();
-        vms.extend((0..DAEMONS).map(entry));
+        vms.extend((0..DAEMON_COUNT).map(entry_vm_record));
         let (table_address, table_guard) = table.start().await.expect("a table");
         let (objects, object_guard) = ObjectStandIn::new().start().await.expect("objects");
         let (vm_list, list_guard) = VmListStandIn::new(vms).start().await.expect("a list");
@@ -255,34 +264,34 @@
     }
 }
 
-impl Drop for BenchSite {
+impl Drop for BenchEnvironment {
     fn drop(&mut self) {
-        // What is left lies in the directory for temporary files.
+        // If it fails, the files remain in the directory for temporary files.
         let _ = fs::remove_dir_all(&self.directory);
     }
 }
 
-fn entry(place: usize) -> VmRecord {
+fn entry_vm_record(index: usize) -> VmRecord {
     VmRecord {
-        name: VmName::from(format!("entry-{place}")),
+        name: VmName::from(format!("entry-{index}")),
         incarnation: 1,
-        domain: DomainName::from(DOMAINS[place % DOMAINS.len()]),
+        domain: DomainName::from(DOMAINS[index % DOMAINS.len()]),
         state: VmState::Live,
         executor: None,
         worker: None,
     }
 }
 
-/// A real daemon.
+/// A daemon process.
 struct DaemonProcess {
     child: Child,
     admin: SocketAddr,
 }
 
 impl DaemonProcess {
-    fn start(site: &BenchSite, place: usize, shards: u16) -> Self {
-        let file = site.directory.join(format!("entry-{place}.yaml"));
-        fs::write(&file, settings(site, place, shards)).expect("a settings file");
+    fn start(environment: &BenchEnvironment, index: usize, shards: u16) -> Self {
+        let file = environment.directory.join(format!("entry-{index}.yaml"));
+        fs::write(&file, settings_text(environment, index, shards)).expect("a settings file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_jasminebend"))
             .arg("--settings")
             .arg(&file)
@@ -298,14 +307,14 @@
                 rest.trim_end_matches('.').parse().ok()
             })
             .expect("an address");
-        // A full pipe would stop the daemon.
+        // The log must be read on, because the daemon drops log lines while the pipe is full.
         thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
         Self { child, admin }
     }
 
     /// Returns the processor time used so far.
-    fn processor(&self) -> Duration {
-        let stat = read(Path::new(&format!("/proc/{}/stat", self.child.id())));
+    fn cpu_time(&self) -> Duration {
+        let stat = read_file(Path::new(&format!("/proc/{}/stat", self.child.id())));
         let fields: Vec<u64> = stat
             .rsplit(") ")
             .next()
@@ -313,12 +322,13 @@
             .split(' ')
             .map(|field| field.parse().unwrap_or(0))
             .collect();
-        // The fields 14 and 15 of the whole line, in hundredths of a second.
+        // Fields 14 and 15 of the whole line, counted from one: user and system time in hundredths of a second.
         Duration::from_millis(10 * (fields[11] + fields[12]))
     }
 
+    /// Returns the resident memory, in MiB.
     fn resident_mib(&self) -> u64 {
-        let status = read(Path::new(&format!("/proc/{}/status", self.child.id())));
+        let status = read_file(Path::new(&format!("/proc/{}/status", self.child.id())));
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let kib = line.and_then(|line| line.trim().trim_end_matches(" kB").parse::<u64>().ok());
         kib.unwrap_or(0) >> 10
@@ -327,25 +337,26 @@
 
 impl Drop for DaemonProcess {
     fn drop(&mut self) {
-        // It may have ended of itself.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-fn read(path: &Path) -> String {
+fn read_file(path: &Path) -> String {
     fs::read_to_string(path).unwrap_or_default()
 }
 
-fn settings(site: &BenchSite, place: usize, shards: u16) -> String {
-    let [table, objects, vm_list] = site.addresses;
-    let key = site.directory.join("peer.key");
+/// Returns the settings file's text of a daemon.
+fn settings_text(environment: &BenchEnvironment, index: usize, shards: u16) -> String {
+    let [table, objects, vm_list] = environment.addresses;
+    let key = environment.directory.join("peer.key");
     format!(
         "listen:\n  callers: 127.0.0.1:0\n  administration: 127.0.0.1:0\n  peers: 127.0.0.1:0\n\
-         vm: entry-{place}\nfailure_domain: {}\nregion: r\nseats: {DAEMONS}\nshards: {shards}\n\
+         vm: entry-{index}\nfailure_domain: {}\nregion: r\nseats: {DAEMON_COUNT}\nshards: {shards}\n\
          peers:\n  key_file: {}\n\
          platform:\n  table: {table}\n  objects: {objects}\n  vm_list: {vm_list}\n",
-        DOMAINS[place % DOMAINS.len()],
+        DOMAINS[index % DOMAINS.len()],
         key.display(),
     )
 }
--- a/crates/jasminebend/tests/administration/api.rs
+++ b/crates/jasminebend/tests/administration/api.rs
@@ -1,4 +1,4 @@
-//! What the administration API answers, and what it refuses.
+//! Responses and limits of the administration API.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
 use crate::harness::{
     AdminHarness,
-    PlainCall,
+    HttpRequest,
     settings, //
 };
 
@@ -43,20 +43,20 @@
     }
 }
 
-fn put(version: &str, body: &str) -> PlainCall {
-    PlainCall::new(Method::PUT, "/v1/configuration")
+fn put_configuration(version: &str, body: &str) -> HttpRequest {
+    HttpRequest::new(Method::PUT, "/v1/configuration")
         .with_header("if-match", version)
         .with_body(body)
 }
 
 #[tokio::test]
-async fn a_configuration_is_read_with_its_version_and_replaced_by_it() {
+async fn a_configuration_is_read_with_its_etag_and_replaced() {
     let harness = AdminHarness::start(&settings()).await;
-    harness.control.set(two_domains());
-    let read = PlainCall::new(Method::GET, "/v1/configuration");
+    harness.control.set_configuration(two_domains());
+    let read = HttpRequest::new(Method::GET, "/v1/configuration");
     let answer = harness.call(read).await;
     assert_eq!(answer.headers["etag"], "\"3\"");
-    let answer = harness.call(put("\"3\"", &answer.body)).await;
+    let answer = harness.call(put_configuration("\"3\"", &answer.body)).await;
     let accepted = ChangeOutcome::Accepted {
         version: Some(ConfigurationVersion(4)),
         job: None,
@@ -65,38 +65,54 @@
 }
 
 #[tokio::test]
-async fn what_cannot_be_done_is_refused_with_its_status_and_reason() {
+async fn invalid_requests_are_refused_with_a_status_and_reason() {
     let harness = AdminHarness::start(&settings()).await;
-    harness.control.set(two_domains());
+    harness.control.set_configuration(two_domains());
     let twice = r#"{"domains": [{"name": "a", "region": "n"}, {"name": "a", "region": "n"}]}"#;
     let table = [
-        (PlainCall::new(Method::GET, "/v2"), 404, "nothing at `/v2`"),
-        (PlainCall::new(Method::POST, "/v1/status"), 405, "takes GET"),
         (
-            PlainCall::new(Method::PATCH, "/v1/jobs"),
+            HttpRequest::new(Method::GET, "/v2"),
+            404,
+            "nothing at `/v2`",
+        ),
+        (
+            HttpRequest::new(Method::POST, "/v1/status"),
+            405,
+            "takes GET",
+        ),
+        (
+            HttpRequest::new(Method::PATCH, "/v1/jobs"),
             405,
             "takes GET, POST",
         ),
         (
-            PlainCall::new(Method::POST, "/v1/domains/a/out?force=yes"),
+            HttpRequest::new(Method::POST, "/v1/domains/a/out?force=yes"),
             400,
             "`force=true` or `force=false`",
         ),
         (
-            PlainCall::new(Method::PUT, "/v1/configuration"),
+            HttpRequest::new(Method::PUT, "/v1/configuration"),
             428,
             "`If-Match`",
         ),
-        (put("latest", "{}"), 428, "`If-Match`"),
-        (put("\"2\"", "{}"), 412, "version 3 by now"),
-        (put("\"3\"", "{"), 400, "does not fit"),
+        (put_configuration("latest", "{}"), 428, "`If-Match`"),
+        (put_configuration("\"2\"", "{}"), 412, "version 3 by now"),
+        (put_configuration("\"3\"", "{"), 400, "does not fit"),
         (
-            put("\"3\"", r#"{"weights": 1}"#),
+            put_configuration("\"3\"", r#"{"weights": 1}"#),
             400,
             "unknown field `weights`",
         ),
-        (put("\"3\"", twice), 400, "`a` is declared twice"),
-        (PlainCall::new(Method::GET, "/v1/jobs/9"), 404, "no job `9`"),
+        (
+            put_configuration("\"3\"", twice),
+            400,
+            "`a` is declared twice",
+        ),
+        (
+            HttpRequest::new(Method::GET, "/v1/jobs/9"),
+            404,
+            "no job `9`",
+        ),
     ];
     for (call, status, reason) in table {
         let answer = harness.call(call).await;
@@ -104,13 +120,13 @@
         assert!(answer.body.contains(reason), "{answer:?}");
         assert!(answer.body.contains("not_accepted"), "{answer:?}");
     }
-    assert_eq!(harness.control.set_count(), 0);
+    assert_eq!(harness.control.change_count(), 0);
 }
 
 #[tokio::test]
-async fn an_outcome_is_told_as_it_is() {
+async fn control_errors_map_to_statuses_and_outcomes() {
     let harness = AdminHarness::start(&settings()).await;
-    harness.control.set(two_domains());
+    harness.control.set_configuration(two_domains());
     let reason = || "because".to_owned();
     let table = [
         (
@@ -125,13 +141,13 @@
         ),
         (ControlError::Unknown { find_out: reason() }, 504, "unknown"),
     ];
-    for (fault, status, outcome) in table {
-        harness.control.fail(fault);
+    for (error, status, outcome) in table {
+        harness.control.fail_with(error);
         let calls = [
-            put("\"3\"", "{}"),
-            PlainCall::new(Method::POST, "/v1/domains/a/out"),
-            PlainCall::new(Method::POST, "/v1/jobs").with_body("{}"),
-            PlainCall::new(Method::DELETE, "/v1/jobs/7"),
+            put_configuration("\"3\"", "{}"),
+            HttpRequest::new(Method::POST, "/v1/domains/a/out"),
+            HttpRequest::new(Method::POST, "/v1/jobs").with_body("{}"),
+            HttpRequest::new(Method::DELETE, "/v1/jobs/7"),
         ];
         for call in calls {
             let answer = harness.call(call).await;
@@ -142,43 +158,43 @@
     }
 }
 
-/// An operator takes a domain out while the table is slow. The answer does not come in time, and
-/// the operator must not read a refusal: the change may still be accepted, as here it is.
+/// Taking a failure domain out exceeds the administration timeout because the table service is slow. The response must
+/// be unknown and not a refusal, because the change may still be accepted; here it is accepted.
 #[tokio::test]
-async fn a_change_that_takes_too_long_is_unknown_and_goes_on() {
+async fn a_change_that_times_out_is_unknown_and_continues() {
     let limits = LimitSettings {
         administration_timeout: Duration::from_millis(100),
         ..LimitSettings::default()
     };
     let harness = AdminHarness::start(&settings().with_limits(limits)).await;
-    harness.control.set(two_domains());
+    harness.control.set_configuration(two_domains());
     harness.control.close_gate();
     let answer = harness
-        .call(PlainCall::new(Method::POST, "/v1/domains/a/out"))
+        .call(HttpRequest::new(Method::POST, "/v1/domains/a/out"))
         .await;
     assert!(matches!(answer.outcome(), ChangeOutcome::Unknown { .. }));
     harness.control.open_gate();
-    harness.control.wait_until_out("a").await;
+    harness.control.wait_until_taken_out("a").await;
 }
 
-/// An operator's connection ends between the request and the answer, as when a terminal is closed.
-/// The change must not stop between its intent and its commit.
+/// An operator's connection ends between the request and the response, for example because a terminal is closed. The
+/// change must not be aborted between its intent and its commit.
 #[tokio::test]
-async fn a_change_outlives_the_operators_connection() {
+async fn a_change_continues_after_the_operator_disconnects() {
     let harness = AdminHarness::start(&settings()).await;
-    harness.control.set(two_domains());
+    harness.control.set_configuration(two_domains());
     harness.control.close_gate();
-    let mut stream = TcpStream::connect(harness.guard.address()).await.unwrap();
+    let mut stream = TcpStream::connect(harness.handle.address()).await.unwrap();
     let request = b"POST /v1/domains/a/out HTTP/1.1\r\nhost: a\r\ncontent-length: 0\r\n\r\n";
     stream.write_all(request).await.unwrap();
-    harness.control.wait_until_asked().await;
+    harness.control.wait_for_change_request().await;
     drop(stream);
     harness.control.open_gate();
-    harness.control.wait_until_out("a").await;
+    harness.control.wait_until_taken_out("a").await;
 }
 
 #[tokio::test]
-async fn bodies_heads_and_slow_senders_meet_their_limits() {
+async fn body_head_and_time_limits_are_enforced() {
     let limits = LimitSettings {
         administration_body: 100,
         headers: 8 << 10,
@@ -186,17 +202,17 @@
         ..LimitSettings::default()
     };
     let harness = AdminHarness::start(&settings().with_limits(limits)).await;
-    let large = put("\"0\"", &" ".repeat(101));
+    let large = put_configuration("\"0\"", &" ".repeat(101));
     assert_eq!(harness.call(large).await.status.as_u16(), 413);
-    let wide = PlainCall::new(Method::GET, "/v1/status").with_header("x", &"x".repeat(9 << 10));
+    let wide = HttpRequest::new(Method::GET, "/v1/status").with_header("x", &"x".repeat(9 << 10));
     assert_eq!(harness.call(wide).await.status.as_u16(), 431);
-    let mut stream = TcpStream::connect(harness.guard.address()).await.unwrap();
+    let mut stream = TcpStream::connect(harness.handle.address()).await.unwrap();
     let request = b"POST /v1/jobs HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\nab";
     stream.write_all(request).await.unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-    let mut stream = TcpStream::connect(harness.guard.address()).await.unwrap();
+    let mut stream = TcpStream::connect(harness.handle.address()).await.unwrap();
     stream.write_all(b"GET /v1/status HT").await.unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
@@ -210,8 +226,8 @@
         ..LimitSettings::default()
     };
     let harness = AdminHarness::start(&settings().with_limits(limits)).await;
-    let first = TcpStream::connect(harness.guard.address()).await.unwrap();
-    let second = harness.call(PlainCall::new(Method::GET, "/healthz"));
+    let first = TcpStream::connect(harness.handle.address()).await.unwrap();
+    let second = harness.call(HttpRequest::new(Method::GET, "/healthz"));
     let mut second = std::pin::pin!(second);
     let early = timeout(Duration::from_millis(50), second.as_mut()).await;
     assert!(early.is_err());
@@ -220,12 +236,12 @@
 }
 
 #[tokio::test]
-async fn the_balancer_is_served_apart_and_sees_no_more_than_it_needs() {
+async fn the_health_listener_serves_only_health_readiness_and_metrics() {
     let mut settings = settings();
     settings.listen = settings.listen.with_health(settings.listen.peers);
     let harness = AdminHarness::start(&settings).await;
-    let address = harness.guard.health_address().unwrap();
-    let get = |path| PlainCall::new(Method::GET, path).send_to(address);
+    let address = harness.handle.health_address().unwrap();
+    let get = |path| HttpRequest::new(Method::GET, path).send_to(address);
     assert_eq!(get("/healthz").await.status.as_u16(), 200);
     assert_eq!(get("/readyz").await.status.as_u16(), 200);
     assert_eq!(get("/metrics").await.status.as_u16(), 200);
--- a/crates/jasminebend/tests/administration/change_log.rs
+++ b/crates/jasminebend/tests/administration/change_log.rs
@@ -1,4 +1,4 @@
-//! Every change is logged with who, what, before and after; no secret ever is.
+//! Every change is logged with the operator and the values before and after; tokens are never logged.
 
 use std::{
     io::{
@@ -34,14 +34,14 @@
 use crate::{
     harness::{
         AdminHarness,
-        PlainCall,
+        HttpRequest,
         settings,
         tokens_file, //
     },
     temporary_directory::TemporaryDirectory, //
 };
 
-const TOKEN: &str = "token-of-lena";
+const OPERATOR_TOKEN: &str = "token-of-lena";
 
 #[derive(Clone, Default)]
 struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
@@ -68,12 +68,15 @@
 }
 
 #[tokio::test]
-async fn a_change_is_logged_with_who_what_before_and_after() {
+async fn a_change_is_logged_with_its_operator_and_difference() {
     let log = collect_log();
     let directory = TemporaryDirectory::new();
-    let tokens = directory.write("tokens.yaml", &tokens_file(&[("lena", "operate", TOKEN)]));
+    let tokens = directory.write(
+        "tokens.yaml",
+        &tokens_file(&[("lena", "operate", OPERATOR_TOKEN)]),
+    );
     let harness = AdminHarness::start(&settings().with_tokens_file(tokens)).await;
-    harness.control.set(Configuration {
+    harness.control.set_configuration(Configuration {
         version: ConfigurationVersion(3),
         domains: vec![FailureDomain {
             name: DomainName::from("a"),
@@ -82,15 +85,15 @@
         }],
         ..Configuration::default()
     });
-    let out = PlainCall::new(Method::POST, "/v1/domains/a/out").with_token(TOKEN);
+    let out = HttpRequest::new(Method::POST, "/v1/domains/a/out").with_token(OPERATOR_TOKEN);
     harness.call(out).await;
-    let replace = PlainCall::new(Method::PUT, "/v1/configuration")
-        .with_token(TOKEN)
+    let replace = HttpRequest::new(Method::PUT, "/v1/configuration")
+        .with_token(OPERATOR_TOKEN)
         .with_header("if-match", "\"4\"")
         .with_body(r#"{"domains": [{"name": "a", "region": "south"}]}"#);
     harness.call(replace).await;
-    let stale = PlainCall::new(Method::PUT, "/v1/configuration")
-        .with_token(TOKEN)
+    let stale = HttpRequest::new(Method::PUT, "/v1/configuration")
+        .with_token(OPERATOR_TOKEN)
         .with_header("if-match", "\"4\"")
         .with_body("{}");
     harness.call(stale).await;
@@ -113,5 +116,5 @@
              `a`: {\"name\":\"a\",\"region\":\"south\",\"state\":\"in\"} -> none.",
         ]
     );
-    assert!(!log.contains(TOKEN));
+    assert!(!log.contains(OPERATOR_TOKEN));
 }
--- a/crates/jasminebend/tests/administration/control_fake.rs
+++ b/crates/jasminebend/tests/administration/fake_control_port.rs
@@ -1,4 +1,4 @@
-//! A control that its test sets.
+//! A fake control port.
 
 use std::sync::{
     Arc,
@@ -32,32 +32,37 @@
     watch, //
 };
 
-/// A control that keeps a configuration in memory, and meets the fault that its test sets.
-pub(crate) struct ControlFake {
+/// A control port that keeps a configuration in memory, and fails changes with the error that its test sets.
+pub(crate) struct FakeControlPort {
     configuration: Mutex<Arc<Configuration>>,
-    fault: Mutex<Option<ControlError>>,
+    /// The error that every change fails with; `None` if changes succeed.
+    error: Mutex<Option<ControlError>>,
     jobs: Mutex<Vec<Value>>,
     ready: AtomicBool,
+    /// Has a permit while the gate is open.
     gate: Semaphore,
-    asked: Semaphore,
+    /// Has a permit for each requested change.
+    requested: Semaphore,
+    /// The number of changes that took effect.
     changes: watch::Sender<usize>,
 }
 
-impl ControlFake {
+impl FakeControlPort {
     pub(crate) fn new() -> Self {
         Self {
             configuration: Mutex::default(),
-            fault: Mutex::default(),
+            error: Mutex::default(),
             jobs: Mutex::default(),
             ready: AtomicBool::new(true),
             gate: Semaphore::new(1),
-            asked: Semaphore::new(0),
+            requested: Semaphore::new(0),
             changes: watch::Sender::new(0),
         }
     }
 
-    pub(crate) fn fail(&self, fault: ControlError) {
-        *lock(&self.fault) = Some(fault);
+    /// Makes every further change fail with `error`.
+    pub(crate) fn fail_with(&self, error: ControlError) {
+        *lock(&self.error) = Some(error);
     }
 
     pub(crate) fn set_jobs(&self, jobs: impl Iterator<Item = u64>) {
@@ -69,7 +74,7 @@
         self.ready.store(ready, Ordering::Relaxed);
     }
 
-    /// Holds every change back until [`Self::open_gate`].
+    /// Makes every change wait until [`Self::open_gate`] is called.
     pub(crate) fn close_gate(&self) {
         self.gate.forget_permits(1);
     }
@@ -78,13 +83,13 @@
         self.gate.add_permits(1);
     }
 
-    /// Waits until a change is asked for.
-    pub(crate) async fn wait_until_asked(&self) {
-        drop(self.asked.acquire().await);
+    /// Waits until a change is requested.
+    pub(crate) async fn wait_for_change_request(&self) {
+        drop(self.requested.acquire().await);
     }
 
-    /// Waits until a failure domain is out.
-    pub(crate) async fn wait_until_out(&self, name: &str) {
+    /// Waits until a failure domain is taken out.
+    pub(crate) async fn wait_until_taken_out(&self, name: &str) {
         let name = DomainName::from(name);
         let mut changes = self.changes.subscribe();
         while self.configuration().domain_state(&name) == DomainState::In {
@@ -92,35 +97,36 @@
         }
     }
 
-    /// Counts the changes that took effect.
-    pub(crate) fn set_count(&self) -> usize {
+    /// Returns the number of changes that took effect.
+    pub(crate) fn change_count(&self) -> usize {
         *self.changes.borrow()
     }
 
-    pub(crate) fn set(&self, configuration: Configuration) {
+    pub(crate) fn set_configuration(&self, configuration: Configuration) {
         *lock(&self.configuration) = Arc::new(configuration);
     }
 
-    async fn change(&self, edit: impl FnOnce(&mut Configuration) + Send) -> Outcome {
-        self.asked.add_permits(1);
+    /// Applies `edit` to the configuration and returns the new version, once the gate is open.
+    async fn apply_change(&self, edit: impl FnOnce(&mut Configuration) + Send) -> ChangeResult {
+        self.requested.add_permits(1);
         let _pass = self.gate.acquire().await;
-        if let Some(fault) = lock(&self.fault).clone() {
-            return Err(fault);
+        if let Some(error) = lock(&self.error).clone() {
+            return Err(error);
         }
         let mut configuration = Configuration::clone(&lock(&self.configuration));
         edit(&mut configuration);
         configuration.version = configuration.version.next();
         let version = configuration.version;
-        self.set(configuration);
+        self.set_configuration(configuration);
         self.changes.send_modify(|count| *count += 1);
         Ok(version)
     }
 }
 
-type Outcome = Result<ConfigurationVersion, ControlError>;
+type ChangeResult = Result<ConfigurationVersion, ControlError>;
 
 #[async_trait]
-impl ControlPort for ControlFake {
+impl ControlPort for FakeControlPort {
     fn status(&self) -> DaemonStatus {
         DaemonStatus {
             program: "test",
@@ -141,35 +147,37 @@
         Arc::clone(&lock(&self.configuration))
     }
 
-    async fn replace(&self, new: Configuration, expected: ConfigurationVersion) -> Outcome {
+    async fn replace(&self, new: Configuration, expected: ConfigurationVersion) -> ChangeResult {
         let found = self.configuration().version;
         if found != expected {
             return Err(ControlError::Stale { found });
         }
-        let keep = |old: &mut Configuration| {
+        let replacement = |old: &mut Configuration| {
             *old = Configuration {
                 version: found,
                 ..new
             }
         };
-        self.change(keep).await
+        self.apply_change(replacement).await
     }
 
-    async fn set_domain(&self, name: DomainName, state: DomainState, _force: bool) -> Outcome {
-        let domain = |old: &mut Configuration| {
+    async fn set_domain(&self, name: DomainName, state: DomainState, _force: bool) -> ChangeResult {
+        let set_state = |old: &mut Configuration| {
             let found = old.domains.iter_mut().find(|domain| domain.name == name);
             found.expect("a declared domain").state = state;
         };
-        self.change(domain).await
+        self.apply_change(set_state).await
     }
 
     async fn submit(&self, job: &[u8]) -> Result<String, ControlError> {
         let job = String::from_utf8_lossy(job).len();
-        self.change(|_| ()).await.map(|_| format!("job-{job}"))
+        self.apply_change(|_| ())
+            .await
+            .map(|_| format!("job-{job}"))
     }
 
     async fn cancel(&self, _job: &str) -> Result<(), ControlError> {
-        self.change(|_| ()).await.map(|_| ())
+        self.apply_change(|_| ()).await.map(|_| ())
     }
 
     async fn job(&self, job: &str) -> Result<Value, ControlError> {
--- a/crates/jasminebend/tests/administration/bodies.rs
+++ b/crates/jasminebend/tests/administration/fuzzed_bodies.rs
@@ -1,4 +1,4 @@
-//! No body, however odd, gets past the checks or stops the daemon. The seeds are fixed.
+//! Fuzz tests of the parsers of settings, tokens and configurations, with fixed seeds.
 
 use arbtest::{
     arbitrary::Unstructured,
@@ -12,15 +12,16 @@
 
 use crate::harness::{
     AdminHarness,
-    PlainCall,
+    HttpRequest,
     settings, //
 };
 
-const SEEDS: u64 = 300;
-const SIZE: u64 = 256;
+const SEED_COUNT: u64 = 300;
+/// The size of the random data of a seed, in bytes.
+const RANDOM_DATA_BYTES: u64 = 256;
 
-/// Pieces that a slip of the hand or an attacker would put together.
-const PIECES: &[&str] = &[
+/// Tokens of YAML and JSON texts that a mistake or an attacker could combine.
+const FRAGMENTS: &[&str] = &[
     "{",
     "}",
     "[",
@@ -58,26 +59,26 @@
     "127.0.0.1:1",
 ];
 
-fn compose(source: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<String> {
+fn random_text(source: &mut Unstructured<'_>) -> arbtest::arbitrary::Result<String> {
     let mut text = String::new();
     while !source.is_empty() {
-        text.push_str(source.choose(PIECES)?);
+        text.push_str(source.choose(FRAGMENTS)?);
     }
     Ok(text)
 }
 
 fn for_each_seed(mut check: impl FnMut(&str)) {
-    for seed in 0..SEEDS {
+    for seed in 0..SEED_COUNT {
         let run = |source: &mut Unstructured<'_>| {
-            check(&compose(source)?);
+            check(&random_text(source)?);
             Ok(())
         };
-        arbtest(run).seed(seed << 32 | SIZE).run();
+        arbtest(run).seed(seed << 32 | RANDOM_DATA_BYTES).run();
     }
 }
 
 #[test]
-fn settings_and_tokens_of_odd_pieces_are_told_as_wrong() {
+fn fuzzed_settings_and_tokens_are_rejected() {
     for_each_seed(|text| {
         let error = DaemonSettings::from_yaml(text).expect_err(text).to_string();
         assert!(error.starts_with("line "), "{error}");
@@ -86,15 +87,15 @@
 }
 
 #[test]
-fn configurations_of_odd_pieces_change_nothing() {
+fn fuzzed_configurations_change_nothing() {
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let harness = runtime.block_on(AdminHarness::start(&settings()));
     for_each_seed(|text| {
-        let call = PlainCall::new(http::Method::PUT, "/v1/configuration")
+        let call = HttpRequest::new(http::Method::PUT, "/v1/configuration")
             .with_header("if-match", "\"0\"")
             .with_body(text);
         let answer = runtime.block_on(harness.call(call));
         assert_eq!(answer.status.as_u16(), 400, "{text} {answer:?}");
     });
-    assert_eq!(harness.control.set_count(), 0);
+    assert_eq!(harness.control.change_count(), 0);
 }
--- a/crates/jasminebend/tests/administration/harness.rs
+++ b/crates/jasminebend/tests/administration/harness.rs
@@ -1,4 +1,4 @@
-//! A daemon's administration API over a control that its test sets.
+//! A running administration API over a fake control port, and an HTTP client.
 
 use std::{
     net::SocketAddr,
@@ -20,11 +20,11 @@
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use jasminebend::{
-    AdminFront,
-    AdminGuard,
+    AdminHandle,
+    AdminListeners,
     DaemonSettings,
     ListenSettings,
-    MetricsHub,
+    MetricsExporter,
     PeerKeySource,
     SecretText, //
 };
@@ -41,15 +41,15 @@
     time::sleep, //
 };
 
-use crate::control_fake::ControlFake;
+use crate::fake_control_port::FakeControlPort;
 
-const PAUSE: Duration = Duration::from_millis(20);
-const MOST_LOOKS: usize = 3000;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_POLLS: usize = 3000;
 
 /// The token of the operator `olga`, who may operate.
-pub(crate) const OPERATE: &str = "operate-token";
+pub(crate) const OPERATE_TOKEN: &str = "operate-token";
 /// The token of the operator `rita`, who may read.
-pub(crate) const READ: &str = "read-token";
+pub(crate) const READ_TOKEN: &str = "read-token";
 
 pub(crate) fn settings() -> DaemonSettings {
     DaemonSettings::new(
@@ -59,7 +59,7 @@
     )
 }
 
-/// Writes a tokens file that lists these operators by the digests of their tokens.
+/// Returns the text of a tokens file for operators given by name, role and token.
 pub(crate) fn tokens_file(operators: &[(&str, &str, &str)]) -> String {
     let line = |(name, role, token): &(&str, &str, &str)| {
         let digest = blake3::hash(token.as_bytes());
@@ -68,39 +68,44 @@
     operators.iter().map(line).collect()
 }
 
-/// The API at work, and the control behind it.
+/// A running administration API and the control port behind it.
 pub(crate) struct AdminHarness {
-    pub(crate) control: Arc<ControlFake>,
-    pub(crate) guard: AdminGuard,
+    pub(crate) control: Arc<FakeControlPort>,
+    pub(crate) handle: AdminHandle,
 }
 
 impl AdminHarness {
     pub(crate) async fn start(settings: &DaemonSettings) -> Self {
-        Self::start_at(settings, Arc::new(SystemClock::new())).await
+        Self::start_with_clock(settings, Arc::new(SystemClock::new())).await
     }
 
-    /// Starts the API by the test's own clock.
-    pub(crate) async fn start_at(settings: &DaemonSettings, clock: Arc<dyn ClockSource>) -> Self {
-        let control = Arc::new(ControlFake::new());
-        let front = AdminFront::bind(settings).await.expect("free addresses");
+    /// Starts the API with a clock of the test.
+    pub(crate) async fn start_with_clock(
+        settings: &DaemonSettings,
+        clock: Arc<dyn ClockSource>,
+    ) -> Self {
+        let control = Arc::new(FakeControlPort::new());
+        let listeners = AdminListeners::bind(settings)
+            .await
+            .expect("free addresses");
         let port = Arc::clone(&control);
-        let guard = front.serve(port, MetricsHub::install(), clock);
-        let guard = guard.expect("addresses");
-        Self { control, guard }
+        let handle = listeners.serve(port, MetricsExporter::install(), clock);
+        let handle = handle.expect("addresses");
+        Self { control, handle }
     }
 
-    pub(crate) async fn call(&self, call: PlainCall) -> PlainAnswer {
-        call.send_to(self.guard.address()).await
+    pub(crate) async fn call(&self, call: HttpRequest) -> HttpResponse {
+        call.send_to(self.handle.address()).await
     }
 }
 
-/// A request as any HTTP client would send it.
-pub(crate) struct PlainCall {
+/// An HTTP request, sent on its own connection.
+pub(crate) struct HttpRequest {
     request: http::request::Builder,
     body: String,
 }
 
-impl PlainCall {
+impl HttpRequest {
     pub(crate) fn new(method: Method, path: &str) -> Self {
         Self {
             request: Request::builder()
@@ -125,17 +130,17 @@
         self
     }
 
-    pub(crate) async fn send_to(self, address: SocketAddr) -> PlainAnswer {
+    pub(crate) async fn send_to(self, address: SocketAddr) -> HttpResponse {
         let stream = TcpStream::connect(address).await.expect("a listener");
-        let shaken = http1::handshake(TokioIo::new(stream)).await;
-        let (mut sender, connection) = shaken.expect("a connection");
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (mut sender, connection) = handshake.expect("a connection");
         tokio::spawn(connection);
         let request = self.request.body(Full::new(Bytes::from(self.body)));
         let request = request.expect("a request");
         let response = sender.send_request(request).await.expect("an answer");
         let (head, body) = response.into_parts();
         let body = body.collect().await.expect("a whole answer").to_bytes();
-        PlainAnswer {
+        HttpResponse {
             status: head.status,
             headers: head.headers,
             body: String::from_utf8(body.to_vec()).expect("text"),
@@ -143,30 +148,30 @@
     }
 }
 
-/// An answer, whole.
+/// A complete HTTP response.
 #[derive(Debug)]
-pub(crate) struct PlainAnswer {
+pub(crate) struct HttpResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: String,
 }
 
-impl PlainAnswer {
+impl HttpResponse {
     pub(crate) fn outcome(&self) -> ChangeOutcome {
         serde_json::from_str(&self.body).expect("an outcome")
     }
 }
 
-/// Waits until `done`, and fails the test instead of hanging should that never come.
-pub(crate) async fn until<Done>(what: &str, mut done: Done)
+/// Polls `done` until it returns true, and panics after [`MAX_POLLS`] polls instead of hanging.
+pub(crate) async fn wait_until<Done>(what: &str, mut done: Done)
 where
     Done: AsyncFnMut() -> bool,
 {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if done().await {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("{what}: never");
 }
--- a/crates/jasminebend/tests/administration/job_pages.rs
+++ b/crates/jasminebend/tests/administration/job_pages.rs
@@ -1,16 +1,17 @@
-//! The list of jobs is read page by page.
+//! Pagination of the list of jobs.
 
 use http::Method;
 use serde_json::Value;
 
 use crate::harness::{
     AdminHarness,
-    PlainCall,
+    HttpRequest,
     settings, //
 };
 
-async fn page(harness: &AdminHarness, query: &str) -> (Vec<u64>, Option<String>) {
-    let call = PlainCall::new(Method::GET, &format!("/v1/jobs{query}"));
+/// Reads a page, and returns its jobs and the `after` of the next page.
+async fn read_page(harness: &AdminHarness, query: &str) -> (Vec<u64>, Option<String>) {
+    let call = HttpRequest::new(Method::GET, &format!("/v1/jobs{query}"));
     let answer = harness.call(call).await;
     assert_eq!(answer.status.as_u16(), 200, "{answer:?}");
     let answer: Value = serde_json::from_str(&answer.body).expect("JSON");
@@ -37,10 +38,10 @@
         harness.control.set_jobs((0..jobs).rev());
         let mut read = Vec::new();
         let mut next = String::new();
-        for (place, size) in sizes.iter().enumerate() {
-            let (jobs, after) = page(&harness, &format!("?{query}{next}")).await;
+        for (index, size) in sizes.iter().enumerate() {
+            let (jobs, after) = read_page(&harness, &format!("?{query}{next}")).await;
             assert_eq!(jobs.len(), *size, "{query}");
-            assert_eq!(after.is_none(), place + 1 == sizes.len(), "{query}");
+            assert_eq!(after.is_none(), index + 1 == sizes.len(), "{query}");
             next = after.map_or_else(String::new, |after| format!("&after={after}"));
             read.extend(jobs);
         }
@@ -48,26 +49,26 @@
     }
 }
 
-/// Between two pages the job that ended the first one is forgotten, and an earlier one arrives. By
-/// number the second page would leave a job out or repeat one; by identity it does neither.
+/// Between the requests of two pages, the last job of the first page is removed and a job with a lower identifier is
+/// added. Pages delimited by positions would skip or repeat a job.
 #[tokio::test]
-async fn jobs_that_come_and_go_shift_no_page() {
+async fn added_and_removed_jobs_shift_no_page() {
     let harness = AdminHarness::start(&settings()).await;
     harness.control.set_jobs([10, 20, 30, 40].into_iter());
-    let (first, after) = page(&harness, "?limit=2").await;
+    let (first, after) = read_page(&harness, "?limit=2").await;
     assert_eq!(first, [10, 20]);
     harness.control.set_jobs([5, 10, 30, 40].into_iter());
     let query = format!("?limit=2&after={}", after.expect("more"));
-    assert_eq!(page(&harness, &query).await, (vec![30, 40], None));
+    assert_eq!(read_page(&harness, &query).await, (vec![30, 40], None));
     assert_eq!(
-        page(&harness, "?after=1e").await.0,
+        read_page(&harness, "?after=1e").await.0,
         [40],
         "a short identity"
     );
 }
 
 #[tokio::test]
-async fn a_page_that_cannot_be_is_told() {
+async fn invalid_page_parameters_are_reported() {
     let harness = AdminHarness::start(&settings()).await;
     for query in [
         "limit=0",
@@ -77,10 +78,10 @@
         "after=x",
         "page=2",
     ] {
-        let call = PlainCall::new(Method::GET, &format!("/v1/jobs?{query}"));
+        let call = HttpRequest::new(Method::GET, &format!("/v1/jobs?{query}"));
         let answer = harness.call(call).await;
         assert_eq!(answer.status.as_u16(), 400, "{answer:?}");
-        let told = format!("`{query}` does not fit; give `limit=N` from 1 to 1000");
-        assert!(answer.body.contains(&told), "{answer:?}");
+        let expected = format!("`{query}` does not fit; give `limit=N` from 1 to 1000");
+        assert!(answer.body.contains(&expected), "{answer:?}");
     }
 }
--- a/crates/jasminebend/tests/administration/main.rs
+++ b/crates/jasminebend/tests/administration/main.rs
@@ -1,12 +1,12 @@
-//! The administration API, over a control that each test sets.
+//! Tests of the administration API over a fake control port.
 
 mod access;
 mod api;
-mod bodies;
 mod change_log;
-mod control_fake;
+mod fake_control_port;
+mod fuzzed_bodies;
 mod harness;
 mod job_pages;
 mod temporary_directory;
-mod token_tries;
-mod unread_answers;
+mod token_attempt_limiter;
+mod unread_responses;
--- a/crates/jasminebend/tests/command_line.rs
+++ b/crates/jasminebend/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! What the program's command line takes.
+//! Parsing of the program's command line.
 
 use std::ffi::OsString;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_fleet_daemon_has_every_part_of_the_policy() {
+fn fleet_enables_every_policy_part_by_default() {
     let command = parse("fleet").expect("it is a command");
     assert_eq!(command, CommandLine::Fleet(PolicySwitches::default()));
     for part in PolicyPart::ALL {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_trial_does_without_the_parts_that_it_names() {
+fn without_switches_off_the_named_policy_parts() {
     for part in PolicyPart::ALL {
         let command = parse(&format!("fleet --without {part}")).expect("it is a part");
         let switches = PolicySwitches::default().without(part);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_part_that_does_not_exist_is_named_beside_those_that_do() {
+fn an_unknown_policy_part_is_reported_with_the_known_ones() {
     let error = parse("fleet --without packing").expect_err("it is no part");
     let text = error.to_string();
     assert!(
--- a/crates/jasminebend/tests/daemon/balancer.rs
+++ b/crates/jasminebend/tests/daemon/balancer.rs
@@ -1,4 +1,4 @@
-//! A balancer, and callers behind it.
+//! A test balancer, and callers that use it.
 
 use std::{
     net::SocketAddr,
@@ -27,20 +27,23 @@
     caller::{
         CallerOutcome,
         is_ready,
-        order, //
+        send_order, //
     },
     program::RunningProgram, //
 };
 
-const LOOK: Duration = Duration::from_millis(50);
-const PAUSE: Duration = Duration::from_millis(5);
+const READINESS_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The delay of a caller before each request.
+const REQUEST_DELAY: Duration = Duration::from_millis(5);
 
-/// What became of the orders, and how many of each.
+/// The number of orders by outcome.
 pub(crate) type OrderCounts = IndexMap<CallerOutcome, usize>;
 
-/// A balancer that sends each request to the next daemon of those that were ready at its last look.
+/// A round-robin balancer over the daemons that were ready at its last check.
 pub(crate) struct TestBalancer {
-    listed: Mutex<Vec<(SocketAddr, SocketAddr)>>,
+    /// The caller and administration addresses of all daemons.
+    daemons: Mutex<Vec<(SocketAddr, SocketAddr)>>,
+    /// The caller addresses of the ready daemons.
     ready: Mutex<Vec<SocketAddr>>,
     next: AtomicUsize,
 }
@@ -48,29 +51,30 @@
 impl TestBalancer {
     pub(crate) fn new() -> Self {
         Self {
-            listed: Mutex::default(),
+            daemons: Mutex::default(),
             ready: Mutex::default(),
             next: AtomicUsize::new(0),
         }
     }
 
-    /// Lists the daemons that there are.
-    pub(crate) fn list(&self, programs: &[RunningProgram]) {
+    /// Sets the daemons.
+    pub(crate) fn set_daemons(&self, programs: &[RunningProgram]) {
         let addresses = programs.iter().map(|one| (one.callers, one.admin));
-        *self.listed.lock().expect("a list") = addresses.collect();
+        *self.daemons.lock().expect("a list") = addresses.collect();
     }
 
+    /// Returns the caller address of the next ready daemon; `None` if none is ready.
     fn pick(&self) -> Option<SocketAddr> {
         let ready = self.ready.lock().expect("a list");
-        let place = self.next.fetch_add(1, Ordering::Relaxed);
-        ready.get(place % ready.len().max(1)).copied()
+        let index = self.next.fetch_add(1, Ordering::Relaxed);
+        ready.get(index % ready.len().max(1)).copied()
     }
 
-    /// Looks at which are ready.
-    pub(crate) async fn look(&self) {
-        let listed = self.listed.lock().expect("a list").clone();
+    /// Checks which daemons are ready.
+    pub(crate) async fn check_readiness(&self) {
+        let daemons = self.daemons.lock().expect("a list").clone();
         let mut ready = Vec::new();
-        for (callers, admin) in listed {
+        for (callers, admin) in daemons {
             if is_ready(admin).await {
                 ready.push(callers);
             }
@@ -79,10 +83,10 @@
     }
 }
 
-/// Callers that send orders one after another through a balancer.
+/// Concurrent callers that send orders one after another through a balancer.
 pub(crate) struct TestLoad {
     stop: Arc<AtomicBool>,
-    looking: JoinHandle<()>,
+    readiness_checks: JoinHandle<()>,
     callers: JoinSet<OrderCounts>,
 }
 
@@ -98,16 +102,19 @@
             ));
         }
         Self {
-            looking: tokio::spawn(look_again(balancer, Arc::clone(&stop))),
+            readiness_checks: tokio::spawn(check_readiness_until_stopped(
+                balancer,
+                Arc::clone(&stop),
+            )),
             callers: orders,
             stop,
         }
     }
 
-    /// Lets every caller end its last order, and counts what became of all.
+    /// Stops the callers after their current orders, and returns the counts of all.
     pub(crate) async fn finish(self) -> OrderCounts {
         self.stop.store(true, Ordering::Relaxed);
-        self.looking.await.expect("an end");
+        self.readiness_checks.await.expect("an end");
         let mut total = OrderCounts::new();
         for counts in self.callers.join_all().await {
             for (outcome, count) in counts {
@@ -118,10 +125,10 @@
     }
 }
 
-async fn look_again(balancer: Arc<TestBalancer>, stop: Arc<AtomicBool>) {
+async fn check_readiness_until_stopped(balancer: Arc<TestBalancer>, stop: Arc<AtomicBool>) {
     while !stop.load(Ordering::Relaxed) {
-        balancer.look().await;
-        sleep(LOOK).await;
+        balancer.check_readiness().await;
+        sleep(READINESS_CHECK_INTERVAL).await;
     }
 }
 
@@ -133,11 +140,11 @@
     let mut counts = OrderCounts::new();
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
-        sleep(PAUSE).await;
+        sleep(REQUEST_DELAY).await;
         let Some(daemon) = balancer.pick() else {
             continue;
         };
-        let outcome = order(daemon, &format!("order-{caller}-{number}")).await;
+        let outcome = send_order(daemon, &format!("order-{caller}-{number}")).await;
         *counts.entry(outcome).or_default() += 1;
         number += 1;
     }
--- a/crates/jasminebend/tests/daemon/caller.rs
+++ b/crates/jasminebend/tests/daemon/caller.rs
@@ -1,4 +1,4 @@
-//! A caller, and an operator.
+//! Requests of callers and operators.
 
 use std::{
     net::SocketAddr,
@@ -30,31 +30,33 @@
     time::sleep, //
 };
 
-const PAUSE: Duration = Duration::from_millis(20);
-const MOST_LOOKS: usize = 3000;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_POLLS: usize = 3000;
 
-/// What became of a caller's request.
+/// The outcome of a caller's request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub(crate) enum CallerOutcome {
-    /// The whole answer to this request.
+    /// The complete answer to this request was received.
     Whole,
-    /// A refusal that says that the request was not run.
+    /// The request was refused with the statement that it was not run.
     NotRun,
-    /// No connection came about.
+    /// No connection was established.
     NoConnection,
-    /// Anything else; none of it may happen during a planned stop.
+    /// Any other outcome; must not happen during a planned stop.
     Lost,
 }
 
-/// Sends one request that must not run twice, on a connection of its own.
-pub(crate) async fn order(daemon: SocketAddr, id: &str) -> CallerOutcome {
+/// Sends an order, a request that must not run twice, on its own connection.
+pub(crate) async fn send_order(daemon: SocketAddr, id: &str) -> CallerOutcome {
     let Ok(stream) = TcpStream::connect(daemon).await else {
         return CallerOutcome::NoConnection;
     };
-    exchange(stream, id).await.unwrap_or(CallerOutcome::Lost)
+    exchange_order(stream, id)
+        .await
+        .unwrap_or(CallerOutcome::Lost)
 }
 
-async fn exchange(stream: TcpStream, id: &str) -> Result<CallerOutcome, hyper::Error> {
+async fn exchange_order(stream: TcpStream, id: &str) -> Result<CallerOutcome, hyper::Error> {
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::spawn(connection);
     let body = Bytes::from_static(b"an order");
@@ -77,31 +79,31 @@
     }
 }
 
-/// Waits until `done`, and fails the test instead of hanging should that never come.
-pub(crate) async fn until<Done>(what: &str, mut done: Done)
+/// Polls `done` until it returns true, and panics after [`MAX_POLLS`] polls instead of hanging.
+pub(crate) async fn wait_until<Done>(what: &str, mut done: Done)
 where
     Done: AsyncFnMut() -> bool,
 {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if done().await {
             return;
         }
-        sleep(PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
     panic!("{what}: never");
 }
 
-/// Waits until the daemon answers an order whole; each try has an identity of its own.
+/// Waits until the daemon answers an order completely; each attempt has its own request identifier.
 pub(crate) async fn wait_until_served(daemon: SocketAddr, id: &str) {
     let mut number = 0;
     let served = async || {
         number += 1;
-        order(daemon, &format!("{id}-{daemon}-{number}")).await == CallerOutcome::Whole
+        send_order(daemon, &format!("{id}-{daemon}-{number}")).await == CallerOutcome::Whole
     };
-    until("an answered order", served).await;
+    wait_until("an answered order", served).await;
 }
 
-/// Tells whether the balancer may send callers to a daemon; one that is gone is not ready.
+/// Returns whether a daemon's readiness check succeeds; false if the daemon does not answer.
 pub(crate) async fn is_ready(admin: SocketAddr) -> bool {
     let call = AdminRequest {
         method: http::Method::GET,
@@ -109,31 +111,31 @@
         expected_version: None,
         body: Default::default(),
     };
-    let answer = client(admin).call(&call).await;
+    let answer = admin_client(admin).call(&call).await;
     answer.is_ok_and(|answer| answer.status.is_success())
 }
 
-/// Makes one call of the administration API.
-pub(crate) async fn operate(daemon: SocketAddr, call: AdminRequest) -> AdminResponse {
-    client(daemon).call(&call).await.expect("an answer")
+/// Sends a request to the administration API.
+pub(crate) async fn send_admin_request(daemon: SocketAddr, call: AdminRequest) -> AdminResponse {
+    admin_client(daemon).call(&call).await.expect("an answer")
 }
 
-fn client(daemon: SocketAddr) -> AdminClient {
+fn admin_client(daemon: SocketAddr) -> AdminClient {
     let mut options = GlobalOptions::new();
     options.address = daemon.to_string();
     AdminClient::new(&options).expect("a client")
 }
 
-/// Makes the call of a command that reads no file.
-pub(crate) async fn command(daemon: SocketAddr, command: OperatorCommand) -> AdminResponse {
+/// Sends the request of a `jbctl` command, which must not read a file.
+pub(crate) async fn run_command(daemon: SocketAddr, command: OperatorCommand) -> AdminResponse {
     let call = AdminRequest::new(&command)
         .expect("a call")
         .expect("a call");
-    operate(daemon, call).await
+    send_admin_request(daemon, call).await
 }
 
-/// Makes the call that replaces the configuration of the same version.
-pub(crate) fn put(configuration: &Configuration) -> AdminRequest {
+/// Returns the request that replaces the configuration of the same version.
+pub(crate) fn put_configuration(configuration: &Configuration) -> AdminRequest {
     AdminRequest {
         method: http::Method::PUT,
         path: "/v1/configuration".to_owned(),
@@ -142,15 +144,15 @@
     }
 }
 
-/// Puts the first configuration, again and again until the daemon takes it.
+/// Sets the first configuration, and retries until the daemon accepts it.
 pub(crate) async fn configure(daemon: SocketAddr, configuration: &Configuration) {
-    let call = put(configuration);
-    let taken = async || operate(daemon, call.clone()).await.status == StatusCode::OK;
-    until("a configuration taken", taken).await;
+    let call = put_configuration(configuration);
+    let accepted = async || send_admin_request(daemon, call.clone()).await.status == StatusCode::OK;
+    wait_until("an accepted configuration", accepted).await;
 }
 
-/// Sends a plain request with these headers, and returns its status.
-pub(crate) async fn plain(
+/// Sends an HTTP request with these headers, and returns the status of the response.
+pub(crate) async fn request_status(
     daemon: SocketAddr,
     method: http::Method,
     path: &str,
@@ -158,8 +160,8 @@
     body: &'static str,
 ) -> StatusCode {
     let stream = TcpStream::connect(daemon).await.expect("a listener");
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = shaken.expect("a connection");
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.expect("a connection");
     tokio::spawn(connection);
     let mut request = Request::builder().method(method).uri(path);
     for (name, value) in headers {
--- a/crates/jasminebend/tests/daemon/change_faults.rs
+++ b/crates/jasminebend/tests/daemon/change_faults.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a change stays true, whatever the table service does.
+//! The outcome of a change that is reported to an operator is correct despite faults of the table service.
 
 use std::{
     net::SocketAddr,
@@ -24,11 +24,11 @@
 
 use crate::{
     caller::{
-        command,
         configure,
-        operate,
-        put,
-        until, //
+        put_configuration,
+        run_command,
+        send_admin_request,
+        wait_until, //
     },
     platform::{
         TestPlatform,
@@ -36,7 +36,7 @@
     }, //
 };
 
-/// A fault of the table service, and whether it lasts until the operator has an answer.
+/// The name of a fault of the table service, and the function that injects it.
 type Fault = (&'static str, fn(&FaultPlan));
 
 const FAULTS: &[Fault] = &[
@@ -78,7 +78,7 @@
     }),
 ];
 
-fn domain(state: DomainState) -> OperatorCommand {
+fn set_domain_b(state: DomainState) -> OperatorCommand {
     OperatorCommand::Domain {
         name: "b".to_owned(),
         state,
@@ -87,7 +87,7 @@
 }
 
 async fn state_of_b(admin: SocketAddr) -> String {
-    let read = command(admin, OperatorCommand::ConfigGet).await;
+    let read = run_command(admin, OperatorCommand::ConfigGet).await;
     let json = read.json().expect("JSON");
     json["domains"][1]["state"]
         .as_str()
@@ -95,22 +95,22 @@
         .to_owned()
 }
 
-async fn check((name, inject): Fault) {
+async fn check_fault((name, inject): Fault) {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
-    let daemon = platform.daemon("a", 1).await;
+    let daemon = platform.start_daemon("a", 1).await;
     let admin = daemon.admin_address();
     configure(admin, &configuration()).await;
     let faults = platform.table.faults();
     inject(faults);
-    let answer = command(admin, domain(DomainState::Out)).await;
+    let answer = run_command(admin, set_domain_b(DomainState::Out)).await;
     let outcome = answer.outcome().expect(name);
     faults.heal();
-    // Another change, made after the table service is well again, comes after all that the first
-    // one could still have done.
+    // Another change that succeeds after the table service has recovered is ordered after every possible effect of the
+    // first one.
     let mut other = configuration();
     other.teams.clear();
     let replaced = async || {
-        let read = command(admin, OperatorCommand::ConfigGet).await;
+        let read = run_command(admin, OperatorCommand::ConfigGet).await;
         other.version = read.json().expect("JSON")["version"]
             .as_u64()
             .expect("one")
@@ -119,10 +119,10 @@
             "out" => DomainState::Out,
             _ => DomainState::In,
         };
-        let call = put(&other);
-        operate(admin, call).await.status == StatusCode::OK
+        let call = put_configuration(&other);
+        send_admin_request(admin, call).await.status == StatusCode::OK
     };
-    until(name, replaced).await;
+    wait_until(name, replaced).await;
     let state = state_of_b(admin).await;
     match outcome {
         ChangeOutcome::Accepted { .. } => assert_eq!(state, "out", "{name}"),
@@ -133,15 +133,14 @@
     daemon.stop().await;
 }
 
-/// An operator takes a failure domain out while the table service fails. If the answer is that the
-/// change is accepted, it must be in force; if it is that it is not, it must never come; only the
-/// answer that nobody knows may be followed by either.
+/// An operator takes a failure domain out while the table service fails. If the response is `accepted`, the change must
+/// take effect; if it is `not_accepted`, the change must never take effect; only after `unknown` may it do either.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_outcome_stays_true() {
+async fn a_reported_outcome_stays_true() {
     let local = LocalSet::new();
     let mut checks = JoinSet::new();
     for fault in FAULTS {
-        checks.spawn_local_on(check(*fault), &local);
+        checks.spawn_local_on(check_fault(*fault), &local);
     }
     local.run_until(checks.join_all()).await;
 }
--- a/crates/jasminebend/tests/daemon/collector.rs
+++ b/crates/jasminebend/tests/daemon/collector.rs
@@ -1,4 +1,4 @@
-//! The stand-in of an OTLP/HTTP collector.
+//! Stand-in of an OTLP/HTTP collector.
 
 use std::{
     convert::Infallible,
@@ -32,7 +32,7 @@
     sync::mpsc, //
 };
 
-/// A collector that hands on the spans it is sent.
+/// An OTLP/HTTP collector that forwards the received spans to the test.
 pub(crate) struct CollectorStandIn {
     pub(crate) address: SocketAddr,
     pub(crate) spans: mpsc::UnboundedReceiver<Span>,
@@ -46,7 +46,7 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 let sender = sender.clone();
-                let service = service_fn(move |request| collect(request, sender.clone()));
+                let service = service_fn(move |request| handle_export(request, sender.clone()));
                 let connection = http1::Builder::new();
                 tokio::spawn(connection.serve_connection(TokioIo::new(stream), service));
             }
@@ -55,7 +55,7 @@
     }
 }
 
-async fn collect(
+async fn handle_export(
     request: Request<Incoming>,
     sender: mpsc::UnboundedSender<Span>,
 ) -> Result<Response<Empty<Bytes>>, Infallible> {
--- a/crates/jasminebend/tests/daemon/graceful_stop.rs
+++ b/crates/jasminebend/tests/daemon/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of the real program cuts nothing off.
+//! A graceful stop of the program aborts no request.
 
 use std::{
     net::SocketAddr,
@@ -30,8 +30,8 @@
         CallerOutcome,
         configure,
         is_ready,
-        order,
-        until,
+        send_order,
+        wait_until,
         wait_until_served, //
     },
     platform::{
@@ -44,10 +44,11 @@
     }, //
 };
 
-/// More callers than the eight slots: requests wait when the stop begins, and outlast its lag.
-const CALLERS: usize = 24;
+/// More callers than slots, of which there are eight, so that requests are queued when the stop begins and still are
+/// after the balancer's lag.
+const CALLER_COUNT: usize = 24;
 
-/// Sends orders one after another until it is told to stop, and counts what became of them.
+/// Sends orders one after another wait_until `stop` is set, and returns the number of orders by outcome.
 async fn send_orders(
     daemon: SocketAddr,
     caller: usize,
@@ -56,16 +57,16 @@
     let mut counts = IndexMap::new();
     let mut number = 0;
     while !stop.load(Ordering::Relaxed) {
-        let outcome = order(daemon, &format!("order-{caller}-{number}")).await;
+        let outcome = send_order(daemon, &format!("order-{caller}-{number}")).await;
         *counts.entry(outcome).or_default() += 1;
         number += 1;
     }
     counts
 }
 
-/// An operator replaces an entry VM while callers order. The balancer sees that the daemon is not
-/// ready and sends no more; an impatient script sends a second SIGTERM. What was sent must be
-/// answered whole, the slots must be given back, and the program must end with success.
+/// An operator stops a daemon while callers send orders. The balancer sees that the daemon is not ready and sends no
+/// more orders; a second SIGTERM follows. Every sent order must be answered completely, and the program must exit with
+/// success.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_under_load_answers_every_order() {
     let platform = TestPlatform::start(Duration::from_millis(200)).await;
@@ -74,15 +75,15 @@
     let (callers, admin) = (program.callers, program.admin);
     configure(admin, &configuration()).await;
     wait_until_served(callers, "first").await;
-    until("ready", async || is_ready(admin).await).await;
+    wait_until("ready", async || is_ready(admin).await).await;
     let stop = Arc::new(AtomicBool::new(false));
     let mut load = JoinSet::new();
-    for caller in 0..CALLERS {
+    for caller in 0..CALLER_COUNT {
         load.spawn(send_orders(callers, caller, Arc::clone(&stop)));
     }
     sleep(Duration::from_millis(700)).await;
     program.terminate();
-    until("not ready", async || !is_ready(admin).await).await;
+    wait_until("not ready", async || !is_ready(admin).await).await;
     stop.store(true, Ordering::Relaxed);
     program.terminate();
     let mut total = IndexMap::new();
@@ -94,18 +95,17 @@
     let (code, log) = spawn_blocking(move || program.wait()).await.unwrap();
     assert_eq!(code, Some(0), "{log:#?}");
     assert_eq!(total.len(), 1, "{total:?} {log:#?}");
-    assert!(total[&CallerOutcome::Whole] > CALLERS, "{total:?}");
+    assert!(total[&CallerOutcome::Whole] > CALLER_COUNT, "{total:?}");
     assert!(platform.ledger.repeated().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
-    let again = log.iter().filter(|line| line.contains("changes nothing"));
-    assert_eq!(again.count(), 1, "{log:#?}");
+    let ignored_signals = log.iter().filter(|line| line.contains("changes nothing"));
+    assert_eq!(ignored_signals.count(), 1, "{log:#?}");
 }
 
-/// The table service is down when an operator replaces the entry VM. What the daemon holds cannot
-/// be given back, and a stop that waited for it would hold up the replacement for as long as the
-/// outage lasts.
+/// The table service is down when an operator stops a daemon, so its resources cannot be released. A stop without a
+/// timeout would delay the replacement of the VM for as long as the outage lasts.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stop_without_the_table_ends_all_the_same() {
+async fn a_stop_without_the_table_service_ends_after_the_leave_timeout() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
     let lines = "drain:\n  balancer_lag: 0s\n  leave_timeout: 1s\n";
     let program = RunningProgram::start(&platform.settings_file(lines));
@@ -118,12 +118,14 @@
     program.terminate();
     let (code, log) = spawn_blocking(move || program.wait()).await.unwrap();
     assert_eq!(code, Some(0), "{log:#?}");
-    let waited = log.iter().any(|line| line.contains("takes nothing back"));
-    assert!(waited, "{log:#?}");
+    let timed_out = log
+        .iter()
+        .any(|line| line.contains("The held resources could not be released in time"));
+    assert!(timed_out, "{log:#?}");
 }
 
 #[test]
-fn wrong_settings_and_wrong_usage_end_with_their_own_code() {
+fn wrong_settings_and_wrong_usage_have_their_own_exit_code() {
     let table: &[(&[&str], i32, &str)] = &[
         (&[], 2, "nothing to do"),
         (&["start"], 2, "no command `start`"),
--- a/crates/jasminebend/tests/daemon/jobs.rs
+++ b/crates/jasminebend/tests/daemon/jobs.rs
@@ -1,4 +1,4 @@
-//! A job from an operator's submission to its end.
+//! Jobs from submission to completion.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
 
 use crate::{
     caller::{
-        command,
         configure,
-        operate,
-        until, //
+        run_command,
+        send_admin_request,
+        wait_until, //
     },
     platform::{
         TestPlatform,
@@ -30,7 +30,7 @@
     }, //
 };
 
-fn submission(job: &Value) -> AdminRequest {
+fn submission_request(job: &Value) -> AdminRequest {
     AdminRequest {
         method: Method::POST,
         path: "/v1/jobs".to_owned(),
@@ -40,9 +40,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_submitted_job_runs_to_its_end_and_another_is_cancelled() {
+async fn one_job_finishes_and_another_is_cancelled() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
-    let daemon = platform.daemon("a", 1).await;
+    let daemon = platform.start_daemon("a", 1).await;
     let admin = daemon.admin_address();
     configure(admin, &configuration()).await;
     let mut job = json!({
@@ -51,7 +51,7 @@
         "payload": TaskPayload::new(Duration::from_millis(10)).to_text(),
     });
     let submit = async |job: &Value| {
-        let answer = operate(admin, submission(job)).await;
+        let answer = send_admin_request(admin, submission_request(job)).await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
         answer.json().unwrap()["job"].as_str().unwrap().to_owned()
     };
@@ -59,18 +59,18 @@
     assert_eq!(submit(&job).await, short);
     let status = async |job: &str| {
         let read = OperatorCommand::JobStatus(job.to_owned());
-        command(admin, read).await.json().unwrap()
+        run_command(admin, read).await.json().unwrap()
     };
-    let ended = async || status(&short).await["phase"] == "finished";
-    until("a job finished", ended).await;
+    let finished = async || status(&short).await["phase"] == "finished";
+    wait_until("a job finished", finished).await;
     job["key"] = "night-2".into();
     job["payload"] = TaskPayload::new(Duration::from_secs(3600)).to_text().into();
     let long = submit(&job).await;
     let cancel = OperatorCommand::JobCancel(long.clone());
-    assert_eq!(command(admin, cancel).await.status, StatusCode::OK);
-    let ended = async || status(&long).await["phase"] == "cancelled";
-    until("a job cancelled", ended).await;
-    let listed = command(admin, OperatorCommand::JobList(JobListQuery::default()))
+    assert_eq!(run_command(admin, cancel).await.status, StatusCode::OK);
+    let cancelled = async || status(&long).await["phase"] == "cancelled";
+    wait_until("a job cancelled", cancelled).await;
+    let listed = run_command(admin, OperatorCommand::JobList(JobListQuery::default()))
         .await
         .json()
         .unwrap();
@@ -87,9 +87,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_job_that_cannot_be_taken_is_refused_with_its_reason() {
+async fn an_invalid_job_is_refused_with_a_reason() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
-    let daemon = platform.daemon("a", 1).await;
+    let daemon = platform.start_daemon("a", 1).await;
     let admin = daemon.admin_address();
     configure(admin, &configuration()).await;
     let good = json!({
@@ -126,12 +126,15 @@
     for (key, value, status, reason) in table {
         let mut bad = good.clone();
         bad[key] = value;
-        let answer = operate(admin, submission(&bad)).await;
+        let answer = send_admin_request(admin, submission_request(&bad)).await;
         let body = String::from_utf8_lossy(&answer.body);
         assert_eq!(answer.status, status, "{body}");
         assert!(body.contains(reason), "{body}");
     }
     let unknown = OperatorCommand::JobStatus("00000000000000ff".to_owned());
-    assert_eq!(command(admin, unknown).await.status, StatusCode::NOT_FOUND);
+    assert_eq!(
+        run_command(admin, unknown).await.status,
+        StatusCode::NOT_FOUND
+    );
     daemon.stop().await;
 }
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -1,4 +1,4 @@
-//! The platform and one endpoint, over real HTTP.
+//! Stand-ins of the platform, the endpoints and the workers, over HTTP.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
 };
 
 use jasminebend::{
-    DaemonEdges,
+    DaemonPorts,
     DaemonSettings,
     EntryDaemon,
     LimitSettings,
@@ -59,11 +59,12 @@
 };
 
 const SEED: u64 = 7;
-const SECRET: &str = "a secret of the tests";
-const SERVICE: &str = "shop";
-static NEXT: AtomicU32 = AtomicU32::new(0);
+const PEER_SECRET: &str = "a secret of the tests";
+const SERVICE_NAME: &str = "shop";
+/// The next number of a temporary directory and seed of a daemon.
+static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
 
-/// The platform, endpoints of the service `shop` and two workers, in the failure domain `a`.
+/// Stand-ins of the platform, endpoints of the service `shop` and two workers, in the failure domain `a`.
 pub(crate) struct TestPlatform {
     pub(crate) table: TableStandIn,
     pub(crate) objects: ObjectStandIn,
@@ -71,21 +72,22 @@
     pub(crate) ledger: Arc<EndpointLedger>,
     pub(crate) runs: Arc<RunLedger>,
     directory: PathBuf,
+    /// The settings that do not depend on the number of daemons.
     settings: String,
     _guards: Vec<ServerGuard>,
 }
 
 impl TestPlatform {
-    /// Starts a platform with one endpoint, which works so long on each request.
+    /// Starts a platform with one endpoint, which works for `service_time` on each request.
     pub(crate) async fn start(service_time: Duration) -> Self {
         Self::start_with(service_time, 1).await
     }
 
-    /// Starts a platform with so many endpoints.
+    /// Starts a platform with this number of endpoints.
     pub(crate) async fn start_with(service_time: Duration, endpoints: u32) -> Self {
         let ledger = Arc::new(EndpointLedger::new());
         let runs = Arc::new(RunLedger::new());
-        let mut fleet = fleet(&runs);
+        let mut fleet = worker_fleet(&runs);
         let worker_guards = fleet.start_servers().await.expect("free ports");
         let mut vms = fleet.records();
         let mut guards = worker_guards;
@@ -100,12 +102,12 @@
         let (table_address, table_guard) = table.start().await.expect("a free port");
         let objects = ObjectStandIn::new();
         let (objects_address, objects_guard) = objects.start().await.expect("a free port");
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let name = format!("jasminebend-daemon-{}-{number}", std::process::id());
         let directory = std::env::temp_dir().join(name);
         fs::create_dir_all(&directory).expect("a directory");
         let key_file = directory.join("peer.key");
-        fs::write(&key_file, SECRET).expect("a file");
+        fs::write(&key_file, PEER_SECRET).expect("a file");
         let settings = format!(
             "listen:\n  callers: 127.0.0.1:0\n  administration: 127.0.0.1:0\n  \
              peers: 127.0.0.1:0\nvm: entry-1\nfailure_domain: a\nregion: north\n\
@@ -127,11 +129,11 @@
     }
 
     /// Starts a daemon in the test's process.
-    pub(crate) async fn daemon(&self, domain: &str, seats: u8) -> EntryDaemon {
+    pub(crate) async fn start_daemon(&self, domain: &str, seats: u8) -> EntryDaemon {
         let settings = DaemonSettings::new(
             ListenSettings::new(),
             DomainName::from(domain),
-            PeerKeySource::Text(SecretText::new(SECRET)),
+            PeerKeySource::Text(SecretText::new(PEER_SECRET)),
         );
         let settings = settings
             .with_seats(seats)
@@ -142,28 +144,28 @@
                 ..LimitSettings::default()
             })
             .with_balancer_lag(Duration::ZERO);
-        let edges = DaemonEdges {
+        let ports = DaemonPorts {
             table: Arc::new(self.table.clone()),
             objects: Arc::new(self.objects.clone()),
             vm_list: Arc::new(self.vm_list.clone()),
             workers: Arc::new(HttpWorkers::new()),
             clock: Arc::new(SystemClock::new()),
-            seed: u64::from(NEXT.fetch_add(1, Ordering::Relaxed)),
+            seed: u64::from(NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)),
         };
-        EntryDaemon::start(settings, edges).await.expect("a daemon")
+        EntryDaemon::start(settings, ports).await.expect("a daemon")
     }
 
-    /// Writes a file beside the settings.
+    /// Writes a file in the directory of the settings file.
     pub(crate) fn write(&self, name: &str, content: &str) {
         fs::write(self.directory.join(name), content).expect("a file");
     }
 
-    /// Writes a settings file for the only daemon on this platform, with these lines after its own.
+    /// Writes a settings file for a single daemon, with `lines` appended.
     pub(crate) fn settings_file(&self, lines: &str) -> PathBuf {
         self.settings_file_of(1, lines)
     }
 
-    /// Writes a settings file for so many daemons.
+    /// Writes a settings file for this number of daemons, with `lines` appended.
     pub(crate) fn settings_file_of(&self, daemons: u8, lines: &str) -> PathBuf {
         let shares = u16::from(daemons) * 4;
         let path = self.directory.join("settings.yaml");
@@ -186,10 +188,10 @@
     let endpoint = EndpointStandIn::new(format!("vm-{number}"), Arc::clone(ledger), seed);
     let endpoint = endpoint.with_knobs(knobs);
     let (address, guard) = endpoint.start().await.expect("a free port");
-    (endpoint.record("a", SERVICE, address), guard)
+    (endpoint.record("a", SERVICE_NAME, address), guard)
 }
 
-fn fleet(runs: &Arc<RunLedger>) -> WorkerFleet {
+fn worker_fleet(runs: &Arc<RunLedger>) -> WorkerFleet {
     let clock: Arc<dyn ClockSource> = Arc::new(SystemClock::new());
     let shape = FleetShape {
         workers: 2,
@@ -206,7 +208,7 @@
     }
 }
 
-/// A configuration of two failure domains, the class `quotes` of the service, the batch class
+/// Returns a configuration with two failure domains, the class `quotes` of the service, the batch class
 /// `reconciliation`, and the team `benches`.
 pub(crate) fn configuration() -> Configuration {
     let domain = |name| FailureDomain {
@@ -216,7 +218,7 @@
     };
     Configuration {
         domains: vec![domain("a"), domain("b")],
-        classes: vec![quotes(), reconciliation()],
+        classes: vec![quotes_class(), reconciliation_class()],
         teams: vec![TeamQuota {
             name: TeamName::from("benches"),
             limit: ResourceAmount::new(8000, 8192),
@@ -225,12 +227,12 @@
     }
 }
 
-fn quotes() -> ServiceClass {
+fn quotes_class() -> ServiceClass {
     ServiceClass {
         name: ClassName::from("quotes"),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(Duration::from_secs(2)),
-        service: Some(ServiceName::from(SERVICE)),
+        service: Some(ServiceName::from(SERVICE_NAME)),
         route: Some(RouteRule {
             host: None,
             path_prefix: "/".to_owned(),
@@ -239,7 +241,7 @@
     }
 }
 
-fn reconciliation() -> ServiceClass {
+fn reconciliation_class() -> ServiceClass {
     ServiceClass {
         name: ClassName::from("reconciliation"),
         kind: ClassKind::Batch,
--- a/crates/jasminebend/tests/daemon/program.rs
+++ b/crates/jasminebend/tests/daemon/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a process of its own.
+//! The program `jasminebend` as a separate process.
 
 use std::{
     io::{
@@ -21,10 +21,10 @@
     thread, //
 };
 
-/// How many addresses the program tells as it starts.
-const ADDRESSES: usize = 2;
+/// The number of addresses that the program logs when it starts.
+const LOGGED_ADDRESS_COUNT: usize = 2;
 
-/// The real program, started on a settings file, with what it logs.
+/// A running daemon process and the log lines read from it.
 pub(crate) struct RunningProgram {
     child: Child,
     log: Arc<Mutex<Vec<String>>>,
@@ -33,16 +33,17 @@
 }
 
 impl RunningProgram {
-    /// Starts the program, and reads from its log where it listens.
+    /// Starts the program with a settings file, and reads its addresses from its log.
     pub(crate) fn start(settings: &Path) -> Self {
         Self::start_read_until(settings, |_| false)
     }
 
-    /// Starts the program, and reads no more of its log than where it listens. The log's pipe stays open.
+    /// Starts the program, and stops reading its log after the addresses. The log's pipe stays open.
     pub(crate) fn start_unread(settings: &Path) -> Self {
-        Self::start_read_until(settings, |told| told == ADDRESSES)
+        Self::start_read_until(settings, |logged| logged == LOGGED_ADDRESS_COUNT)
     }
 
+    /// Starts the program, and reads its log until `is_enough` returns true for the number of addresses read.
     fn start_read_until(settings: &Path, is_enough: fn(usize) -> bool) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_jasminebend"))
             .arg("--settings")
@@ -55,25 +56,25 @@
         let (sender, addresses) = mpsc::channel();
         let written = Arc::clone(&log);
         thread::spawn(move || {
-            let mut told = 0;
+            let mut address_count = 0;
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                 if let Some((_, rest)) = line.split_once(" are served on ") {
                     let end = rest.find(['"', ' ']).unwrap_or(rest.len());
                     drop(sender.send(rest[..end].trim_end_matches('.').to_owned()));
-                    told += 1;
+                    address_count += 1;
                 }
                 written.lock().expect("a log").push(line);
-                while is_enough(told) {
+                while is_enough(address_count) {
                     thread::park();
                 }
             }
         });
-        let next = || {
+        let next_address = || {
             let address = addresses.recv().expect("a started program");
             address.parse().expect("an address")
         };
-        let callers = next();
-        let admin = next();
+        let callers = next_address();
+        let admin = next_address();
         Self {
             child,
             log,
@@ -92,36 +93,36 @@
         self.signal(libc::SIGHUP);
     }
 
-    /// Stands the process still.
+    /// Pauses the process with SIGSTOP.
     pub(crate) fn pause(&self) {
         self.signal(libc::SIGSTOP);
     }
 
-    /// Lets a paused process go on; does nothing to another.
+    /// Resumes a paused process; has no effect on a running one.
     pub(crate) fn resume(&self) {
         self.signal(libc::SIGCONT);
     }
 
-    /// Tells whether the process has ended.
+    /// Returns whether the process has exited.
     pub(crate) fn has_ended(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_some()
     }
 
-    /// Tells whether a line with these words is in the log so far.
-    pub(crate) fn has_logged(&self, words: &str) -> bool {
+    /// Returns whether a log line read so far contains `text`.
+    pub(crate) fn has_logged(&self, text: &str) -> bool {
         let log = self.log.lock().expect("a log");
-        log.iter().any(|line| line.contains(words))
+        log.iter().any(|line| line.contains(text))
     }
 
     fn signal(&self, signal: i32) {
         let process = i32::try_from(self.child.id()).expect("a process");
-        // SAFETY: The call only sends a signal to the child, which is not waited for yet, so that
-        // its number cannot belong to another process.
+        // SAFETY: The call only sends a signal to the child, which has not been waited for yet, so its process ID
+        // cannot belong to another process.
         let sent = unsafe { libc::kill(process, signal) };
         assert_eq!(sent, 0);
     }
 
-    /// Waits for the end, and returns the exit code and the log.
+    /// Waits until the process exits, and returns the exit code and the log.
     pub(crate) fn wait(mut self) -> (Option<i32>, Vec<String>) {
         let status = self.child.wait().expect("an end");
         let log = self.log.lock().expect("a log").clone();
@@ -136,7 +137,7 @@
     }
 }
 
-/// Runs the program to its end.
+/// Runs the program until it exits.
 pub(crate) fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_jasminebend"));
     command.args(arguments).output().expect("the program")
--- a/crates/jasminebend/tests/daemon/rolling_replacement.rs
+++ b/crates/jasminebend/tests/daemon/rolling_replacement.rs
@@ -1,4 +1,4 @@
-//! Every entry VM is replaced, one after another, while callers order.
+//! Every daemon is replaced, one after another, while callers send orders.
 
 use std::{
     sync::Arc,
@@ -16,7 +16,7 @@
         CallerOutcome,
         configure,
         is_ready,
-        until,
+        wait_until,
         wait_until_served, //
     },
     platform::{
@@ -26,23 +26,24 @@
     program::RunningProgram, //
 };
 
-const DAEMONS: u8 = 3;
-const ENDPOINTS: u32 = 6;
-const CALLERS: usize = 6;
-const LINES: &str = "drain:\n  balancer_lag: 400ms\n";
+const DAEMON_COUNT: u8 = 3;
+const ENDPOINT_COUNT: u32 = 6;
+const CALLER_COUNT: usize = 6;
+const SETTINGS_LINES: &str = "drain:\n  balancer_lag: 400ms\n";
 
-/// What a daemon logs when it takes another one for gone: never of one that runs, or that left.
-const GONE: &str = "is gone";
+/// What a daemon logs when it considers another one terminated, which must not happen to a daemon that runs or that has
+/// left gracefully.
+const TERMINATED_LOG_TEXT: &str = "has terminated";
 
-/// Operators roll out a new image: each entry VM is stopped and another started in its place, while
-/// the balancer sends callers to those that are ready. No order may be cut off, lost or run twice,
-/// and the slots must move from the old daemons to the new ones without ever being used twice.
+/// Operators roll out a new image: each daemon is stopped and another one is started in its place, while the balancer
+/// sends callers to the ready ones. No order may be aborted, lost or run twice, and a slot that moves from an old daemon
+/// to a new one must never be used by both.
 #[tokio::test(flavor = "multi_thread")]
 async fn replacing_every_daemon_loses_no_order() {
-    let platform = TestPlatform::start_with(Duration::from_millis(5), ENDPOINTS).await;
-    let settings = platform.settings_file_of(DAEMONS, LINES);
+    let platform = TestPlatform::start_with(Duration::from_millis(5), ENDPOINT_COUNT).await;
+    let settings = platform.settings_file_of(DAEMON_COUNT, SETTINGS_LINES);
     let mut programs = Vec::new();
-    for _ in 0..DAEMONS {
+    for _ in 0..DAEMON_COUNT {
         programs.push(RunningProgram::start(&settings));
     }
     configure(programs[0].admin, &configuration()).await;
@@ -50,23 +51,30 @@
         wait_until_served(program.callers, "first").await;
     }
     let balancer = Arc::new(TestBalancer::new());
-    balancer.list(&programs);
-    balancer.look().await;
-    let load = TestLoad::start(Arc::clone(&balancer), CALLERS);
-    for _ in 0..DAEMONS {
+    balancer.set_daemons(&programs);
+    balancer.check_readiness().await;
+    let load = TestLoad::start(Arc::clone(&balancer), CALLER_COUNT);
+    for _ in 0..DAEMON_COUNT {
         let old = programs.remove(0);
         old.terminate();
         let (code, log) = spawn_blocking(move || old.wait()).await.expect("an end");
         assert_eq!(code, Some(0), "{log:#?}");
-        assert!(!log.iter().any(|line| line.contains(GONE)), "{log:#?}");
+        assert!(
+            !log.iter().any(|line| line.contains(TERMINATED_LOG_TEXT)),
+            "{log:#?}"
+        );
         programs.push(RunningProgram::start(&settings));
-        balancer.list(&programs);
+        balancer.set_daemons(&programs);
         let newest = programs.last().expect("a program").admin;
-        until("a replaced daemon ready", async || is_ready(newest).await).await;
+        wait_until("a replaced daemon ready", async || is_ready(newest).await).await;
     }
     let total = load.finish().await;
     println!("{total:?}");
-    assert!(!programs.iter().any(|program| program.has_logged(GONE)));
+    assert!(
+        !programs
+            .iter()
+            .any(|program| program.has_logged(TERMINATED_LOG_TEXT))
+    );
     assert_eq!(total.get(&CallerOutcome::Lost), None, "{total:?}");
     assert_eq!(total.get(&CallerOutcome::NoConnection), None, "{total:?}");
     assert!(total[&CallerOutcome::Whole] > 100, "{total:?}");
--- a/crates/jasminebend/tests/daemon/key_files.rs
+++ b/crates/jasminebend/tests/daemon/secret_files.rs
@@ -1,4 +1,4 @@
-//! Secrets and logs of the real program.
+//! Secret files and the log of the program.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 
 use crate::{
     caller::{
-        plain,
-        until, //
+        request_status,
+        wait_until, //
     },
     platform::TestPlatform,
     program::{
@@ -20,32 +20,32 @@
     }, //
 };
 
-/// Operators replace the key that daemons share, step by step, and one step has a slip. Neither may
-/// take a restart, and the slip must not lock the daemon out. A terminal that closes sends SIGHUP;
-/// that must not end the daemon either.
+/// Operators replace the key that daemons share, first by a valid file and then by an invalid one. The valid file must
+/// be applied without a restart, and the invalid one must not stop the daemon. SIGHUP, which a closing terminal sends,
+/// must not end the daemon either.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_peer_key_is_replaced_while_the_program_runs() {
+async fn a_changed_peer_key_is_reloaded() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
     let program = RunningProgram::start(&platform.settings_file("drain:\n  balancer_lag: 0s\n"));
     platform.write(
         "peer.key",
         "a secret of the tests\na new secret of the tests\n",
     );
-    until("a new key", async || {
+    wait_until("a new key", async || {
         program.has_logged("peer.key was replaced")
     })
     .await;
     platform.write("peer.key", "short\n");
-    until("a refused key", async || {
+    wait_until("a refused key", async || {
         program.has_logged("the old one stays")
     })
     .await;
     program.hang_up();
-    until("a signal heard", async || {
+    wait_until("a logged signal", async || {
         program.has_logged("SIGHUP changes nothing")
     })
     .await;
-    let alive = plain(program.admin, Method::GET, "/healthz", &[], "").await;
+    let alive = request_status(program.admin, Method::GET, "/healthz", &[], "").await;
     assert_eq!(alive, StatusCode::OK);
     program.terminate();
     let (code, log) = spawn_blocking(move || program.wait()).await.unwrap();
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_is_one_json_object_a_line_with_the_parts_prefix() {
+async fn json_log_lines_are_objects_whose_payload_has_a_part_prefix() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
     let lines = "log:\n  format: json\n  level: debug\ndrain:\n  balancer_lag: 0s\n";
     let program = RunningProgram::start(&platform.settings_file(lines));
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_check_reads_the_named_files_too() {
+async fn check_reads_the_named_files() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
     let settings = platform.settings_file("");
     let check = || {
--- a/crates/jasminebend/tests/daemon/three_daemons.rs
+++ b/crates/jasminebend/tests/daemon/three_daemons.rs
@@ -1,4 +1,4 @@
-//! Three daemons in three failure domains agree on one configuration.
+//! Three daemons in three failure domains share one configuration.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 use crate::{
     caller::{
-        command,
         configure,
-        until,
+        run_command,
+        wait_until,
         wait_until_served, //
     },
     platform::{
@@ -22,18 +22,18 @@
 };
 
 async fn status(daemon: &EntryDaemon) -> Value {
-    let read = command(daemon.admin_address(), OperatorCommand::Status).await;
+    let read = run_command(daemon.admin_address(), OperatorCommand::Status).await;
     read.json().expect("JSON")
 }
 
-/// An operator takes a failure domain out at one entry VM, and another operator looks at another.
-/// Then one entry VM is stopped; callers of the others must go on being answered.
+/// A failure domain is taken out at one daemon, and another daemon must apply the change. Then one daemon is stopped;
+/// the other two must go on answering callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_at_one_is_in_force_at_all_and_one_may_stop() {
+async fn a_change_reaches_the_other_daemons_and_one_may_stop() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
-    let first = platform.daemon("a", 3).await;
-    let second = platform.daemon("b", 3).await;
-    let third = platform.daemon("c", 3).await;
+    let first = platform.start_daemon("a", 3).await;
+    let second = platform.start_daemon("b", 3).await;
+    let third = platform.start_daemon("c", 3).await;
     configure(first.admin_address(), &configuration()).await;
     for daemon in [&first, &second, &third] {
         wait_until_served(daemon.caller_address(), "before").await;
@@ -43,11 +43,11 @@
         state: DomainState::Out,
         force: false,
     };
-    let answer = command(second.admin_address(), out).await;
+    let answer = run_command(second.admin_address(), out).await;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     let version = answer.json().unwrap()["version"].clone();
-    let followed = async || status(&third).await["configuration"] == version;
-    until("the change in force at another daemon", followed).await;
+    let applied = async || status(&third).await["configuration"] == version;
+    wait_until("the change in force at another daemon", applied).await;
     first.stop().await;
     wait_until_served(second.caller_address(), "after").await;
     wait_until_served(third.caller_address(), "after").await;
--- a/crates/jasminebend/tests/daemon/unread_log.rs
+++ b/crates/jasminebend/tests/daemon/unread_log.rs
@@ -1,4 +1,4 @@
-//! A daemon whose log nobody reads.
+//! A daemon whose log is not read.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     caller::{
         CallerOutcome,
         configure,
-        order,
+        send_order,
         wait_until_served, //
     },
     platform::{
@@ -22,27 +22,27 @@
     program::RunningProgram, //
 };
 
-const LINES: &str = "log:\n  level: debug\ndrain:\n  balancer_lag: 100ms\n";
-/// Each of them is told in a line; together they are more than a pipe holds.
-const CONNECTIONS: usize = 2000;
-/// So long that no case ends by it.
-const PATIENCE: Duration = Duration::from_secs(30);
+const SETTINGS_LINES: &str = "log:\n  level: debug\ndrain:\n  balancer_lag: 100ms\n";
+/// Each connection is logged in a line; together the lines exceed the capacity of a pipe.
+const CONNECTION_COUNT: usize = 2000;
+/// Long enough that a passing test never reaches it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Guards against a daemon that stands still with all its callers: the reader of its log did.
+/// Guards against a daemon that blocks, and its callers with it, because the reader of its log is blocked.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_log_that_nobody_reads_holds_nothing_up() {
+async fn an_unread_log_does_not_block_the_daemon() {
     let platform = TestPlatform::start(Duration::from_millis(1)).await;
-    let program = RunningProgram::start_unread(&platform.settings_file(LINES));
+    let program = RunningProgram::start_unread(&platform.settings_file(SETTINGS_LINES));
     configure(program.admin, &configuration()).await;
     wait_until_served(program.callers, "before").await;
-    for _ in 0..CONNECTIONS {
-        let connected = timeout(PATIENCE, TcpStream::connect(program.admin)).await;
+    for _ in 0..CONNECTION_COUNT {
+        let connected = timeout(TEST_TIMEOUT, TcpStream::connect(program.admin)).await;
         drop(connected.expect("it answers").expect("it listens"));
     }
-    let served = timeout(PATIENCE, order(program.callers, "after")).await;
+    let served = timeout(TEST_TIMEOUT, send_order(program.callers, "after")).await;
     assert_eq!(served, Ok(CallerOutcome::Whole));
     program.terminate();
-    let ended = timeout(PATIENCE, spawn_blocking(|| program.wait())).await;
+    let ended = timeout(TEST_TIMEOUT, spawn_blocking(|| program.wait())).await;
     let (code, _) = ended.expect("it ends").expect("it ended");
     assert_eq!(code, Some(0));
 }
--- a/crates/jasminebend/tests/panics.rs
+++ b/crates/jasminebend/tests/panics.rs
@@ -1,4 +1,4 @@
-//! What a panic in one of the daemon's tasks does.
+//! A panic in one of the daemon's tasks ends the process.
 
 use std::{
     env,
@@ -14,19 +14,19 @@
     time::Duration, //
 };
 
-use jasminebend::end_on_panic;
+use jasminebend::exit_on_panic;
 
-const PAUSE: Duration = Duration::from_millis(20);
-const MOST_LOOKS: usize = 1500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_POLLS: usize = 1500;
 /// Set in the process whose task panics.
-const CHILD: &str = "JASMINEBEND_TEST_PANIC";
+const CHILD_VARIABLE: &str = "JASMINEBEND_TEST_PANIC";
 
-/// Tasks of one worker lapse every five seconds though it is well and its owner answers: the owner's loop for that
-/// worker had panicked, and the rest of the process went on.
+/// Guards against a process that goes on after a panic in one task. If the owner's loop for one worker panics, that
+/// worker's tasks lapse every five seconds although the worker is healthy and the owner answers.
 #[test]
 fn a_panic_in_a_task_ends_the_process() {
-    if env::var_os(CHILD).is_some() {
-        end_on_panic();
+    if env::var_os(CHILD_VARIABLE).is_some() {
+        exit_on_panic();
         let task = thread::spawn(|| panic!("a task's fault"));
         drop(task.join());
         thread::sleep(Duration::from_secs(1));
@@ -40,19 +40,20 @@
             "a_panic_in_a_task_ends_the_process",
             "--nocapture",
         ])
-        .env(CHILD, "1")
+        .env(CHILD_VARIABLE, "1")
         .output()
         .expect("it runs");
     assert_eq!(child.status.code(), Some(101));
-    let told = String::from_utf8_lossy(&child.stderr);
-    assert!(told.contains("a task's fault"), "{told}");
+    let stderr = String::from_utf8_lossy(&child.stderr);
+    assert!(stderr.contains("a task's fault"), "{stderr}");
 }
 
-/// Guards against a process that stays, half alive, after a panic: the reader of its errors stood still.
+/// Guards against a process that goes on after a panic because the panic message cannot be written: its standard error
+/// is a full pipe that is not read.
 #[test]
-fn a_panic_ends_the_process_though_nobody_reads_its_errors() {
-    if env::var_os(CHILD).is_some() {
-        end_on_panic();
+fn a_panic_ends_the_process_when_stderr_is_not_read() {
+    if env::var_os(CHILD_VARIABLE).is_some() {
+        exit_on_panic();
         thread::spawn(|| while io::stderr().write_all(&[b'x'; 1024]).is_ok() {});
         thread::sleep(Duration::from_secs(1));
         panic!("a task's fault");
@@ -61,19 +62,19 @@
     let mut child = Command::new(test)
         .args([
             "--exact",
-            "a_panic_ends_the_process_though_nobody_reads_its_errors",
+            "a_panic_ends_the_process_when_stderr_is_not_read",
             "--nocapture",
         ])
-        .env(CHILD, "1")
+        .env(CHILD_VARIABLE, "1")
         .stderr(Stdio::piped())
         .spawn()
         .expect("it runs");
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if let Some(status) = child.try_wait().expect("a child") {
             assert_eq!(status.code(), Some(101));
             return;
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
     child.kill().expect("it is there");
     panic!("it never ended");
--- a/crates/jasminebend/tests/settings_page.rs
+++ b/crates/jasminebend/tests/settings_documentation.rs
@@ -1,14 +1,15 @@
-//! docs/SETTINGS.md lists every key that there is.
+//! docs/SETTINGS.md documents every key of the settings file.
 
 use jasminebend::{
     DaemonSettings,
     SettingsError, //
 };
 
-const PAGE: &str = include_str!("../../../docs/SETTINGS.md");
-const BOGUS: &str = "no_such_key: 1";
+const SETTINGS_PAGE: &str = include_str!("../../../docs/SETTINGS.md");
+const UNKNOWN_KEY: &str = "no_such_key: 1";
 
-fn keys(text: &str) -> Vec<String> {
+/// Returns the keys that exist where `text` has an unknown one, as its error lists them.
+fn known_keys(text: &str) -> Vec<String> {
     let error = DaemonSettings::from_yaml(text).expect_err("an unknown key");
     let SettingsError::UnknownKey { known, .. } = error else {
         panic!("{error}");
@@ -18,27 +19,27 @@
 }
 
 fn is_section(name: &str) -> bool {
-    let text = format!("{name}:\n  {BOGUS}\n");
+    let text = format!("{name}:\n  {UNKNOWN_KEY}\n");
     let error = DaemonSettings::from_yaml(&text).expect_err("an unknown key");
     matches!(error, SettingsError::UnknownKey { .. })
 }
 
 #[test]
-fn every_key_has_its_row() {
+fn every_key_is_documented() {
     let mut rows = 0;
-    for name in keys(BOGUS) {
+    for name in known_keys(UNKNOWN_KEY) {
         let listed = match is_section(&name) {
             false => vec![name],
             true => {
-                let inner = keys(&format!("{name}:\n  {BOGUS}\n"));
+                let inner = known_keys(&format!("{name}:\n  {UNKNOWN_KEY}\n"));
                 inner.iter().map(|key| format!("{name}.{key}")).collect()
             }
         };
         for key in listed {
-            assert!(PAGE.contains(&format!("\n| `{key}`")), "{key}");
+            assert!(SETTINGS_PAGE.contains(&format!("\n| `{key}`")), "{key}");
             rows += 1;
         }
     }
-    let table = PAGE.lines().filter(|line| line.starts_with("| `"));
+    let table = SETTINGS_PAGE.lines().filter(|line| line.starts_with("| `"));
     assert_eq!(table.count(), rows);
 }
--- a/crates/jasminebend/tests/bad_settings.rs
+++ b/crates/jasminebend/tests/settings_errors.rs
@@ -1,14 +1,14 @@
-//! Every fault of a settings file is told by its line, its key and what would do.
+//! Errors of settings files name the line, the key and an acceptable value.
 
 use jasminebend::{
     DaemonSettings,
     SettingsError, //
 };
 
-const EXAMPLE: &str = include_str!("../../../examples/jasminebend.yaml");
+const EXAMPLE_SETTINGS: &str = include_str!("../../../examples/jasminebend.yaml");
 
-/// A settings file with one line after another, all of it in order.
-const GOOD: &str = "\
+/// A valid settings file with only the required keys.
+const VALID_SETTINGS: &str = "\
 listen:
   callers: 10.0.0.5:8080
   administration: 127.0.0.1:9090
@@ -24,8 +24,8 @@
   vm_list: 10.0.0.9:7002
 ";
 
-/// Faults made by replacing one piece of the good file: the piece, its replacement, the sentence.
-const REPLACED: &[(&str, &str, &str)] = &[
+/// Errors caused by replacing a text of the valid file: the text, its replacement, the error message.
+const REPLACEMENT_ERRORS: &[(&str, &str, &str)] = &[
     (
         "listen:\n  callers: 10.0.0.5:8080\n  administration: 127.0.0.1:9090\n  peers: 10.0.0.5:7400\n",
         "",
@@ -152,8 +152,8 @@
     ),
 ];
 
-/// Faults made by adding lines to the good file, from its line 14 on: the lines, the sentence.
-const ADDED: &[(&str, &str)] = &[
+/// Errors caused by lines appended to the valid file, from its line 14 on: the lines, the error message.
+const APPENDED_LINE_ERRORS: &[(&str, &str)] = &[
     (
         "seats: many",
         "line 14: `seats` cannot be `many`; give a whole number from 1 to 63",
@@ -264,40 +264,40 @@
     ),
 ];
 
-/// Two daemons on two VMs, both set to `listen.peers: 127.0.0.1:7400`, could take each other's seat
-/// while both live, because a process that listens at a holder's address counts as its successor.
-/// A whole system on one machine has nobody else to mistake, so that it may stay on loopback.
+/// Loopback peer addresses are rejected if the platform is off loopback: two daemons on two VMs, both set to
+/// `listen.peers: 127.0.0.1:7400`, could take over each other's seat while both run, because a process that listens at
+/// a holder's address counts as its successor. A system on one machine has no such VMs, so it may use loopback.
 #[test]
-fn loopback_peers_need_a_loopback_platform() {
-    let alone = GOOD.replace("10.0.0.", "127.0.0.");
+fn loopback_peers_are_accepted_with_a_loopback_platform() {
+    let alone = VALID_SETTINGS.replace("10.0.0.", "127.0.0.");
     let settings = DaemonSettings::from_yaml(&alone).unwrap();
     assert!(settings.listen.peers.ip().is_loopback());
 }
 
-fn sentence(text: &str) -> String {
+fn error_message(text: &str) -> String {
     let error: SettingsError = DaemonSettings::from_yaml(text).expect_err(text);
     error.to_string()
 }
 
 #[test]
-fn a_replaced_piece_is_told() {
-    for (piece, replacement, expected) in REPLACED {
-        assert!(GOOD.contains(piece), "{piece}");
-        let bad = GOOD.replacen(piece, replacement, 1);
-        assert_eq!(sentence(&bad), *expected, "\n{bad}");
+fn replaced_text_is_reported_with_line_and_key() {
+    for (text, replacement, expected) in REPLACEMENT_ERRORS {
+        assert!(VALID_SETTINGS.contains(text), "{text}");
+        let bad = VALID_SETTINGS.replacen(text, replacement, 1);
+        assert_eq!(error_message(&bad), *expected, "\n{bad}");
     }
 }
 
 #[test]
-fn an_added_line_is_told() {
-    for (lines, expected) in ADDED {
-        let bad = format!("{GOOD}{lines}\n");
-        assert_eq!(sentence(&bad), *expected, "\n{bad}");
+fn appended_lines_are_reported_with_line_and_key() {
+    for (lines, expected) in APPENDED_LINE_ERRORS {
+        let bad = format!("{VALID_SETTINGS}{lines}\n");
+        assert_eq!(error_message(&bad), *expected, "\n{bad}");
     }
 }
 
 #[test]
-fn a_file_that_is_not_there_is_told() {
+fn a_missing_settings_file_is_reported() {
     let error = DaemonSettings::load("no-such-settings.yaml".as_ref()).unwrap_err();
     assert_eq!(
         error.to_string(),
@@ -307,9 +307,13 @@
 }
 
 #[test]
-fn a_named_file_that_is_not_there_is_told() {
+fn a_missing_named_file_is_reported() {
     let path = std::env::temp_dir().join(format!("jasminebend-{}.yaml", std::process::id()));
-    std::fs::write(&path, GOOD.replace("/etc/jasminebend/", "/no/such/")).unwrap();
+    std::fs::write(
+        &path,
+        VALID_SETTINGS.replace("/etc/jasminebend/", "/no/such/"),
+    )
+    .unwrap();
     let error = DaemonSettings::load(&path).unwrap_err();
     std::fs::remove_file(&path).unwrap();
     assert_eq!(
@@ -320,10 +324,10 @@
 }
 
 #[test]
-fn the_example_and_the_least_file_are_in_order() {
-    let example = DaemonSettings::from_yaml(EXAMPLE).unwrap();
-    let least = DaemonSettings::from_yaml(GOOD).unwrap();
-    assert_eq!(example.seats, least.seats);
-    assert_eq!(example.slot_shares, least.slot_shares);
-    assert_eq!(example.limits, least.limits);
+fn the_example_and_the_minimal_file_are_valid() {
+    let example = DaemonSettings::from_yaml(EXAMPLE_SETTINGS).unwrap();
+    let minimal = DaemonSettings::from_yaml(VALID_SETTINGS).unwrap();
+    assert_eq!(example.seats, minimal.seats);
+    assert_eq!(example.slot_shares, minimal.slot_shares);
+    assert_eq!(example.limits, minimal.limits);
 }
