--- a/crates/jasminebend/src/fleet_program.rs
+++ b/crates/jasminebend/src/fleet_program.rs
@@ -30,12 +30,12 @@
     LogEvent, //
 };
 use jasminebend_platform::{
-    AdviceCalls,
-    CallerFront,
+    AdviceClient,
+    CallerHandler,
     PlatformSettings,
-    StoreCalls,
-    VmCalls,
-    WorkerCalls, //
+    StoreClient,
+    VmClient,
+    WorkerClient, //
 };
 use jasminebend_ports::SystemClock;
 use serde::Serialize;
@@ -90,18 +90,18 @@
     let log = FleetLog::new(&settings.fleet.node, io::stdout());
     let stop = stop_on_signals(&log, &settings)?;
     let pool = Rc::new(HttpPool::new());
-    let advice = settings.advice.as_ref().map(|address| {
-        let calls = AdviceCalls::new(Rc::clone(&pool), address);
-        Rc::new(calls) as Rc<dyn FleetAdvice>
+    let advice = settings.advice_address.as_ref().map(|address| {
+        let client = AdviceClient::new(Rc::clone(&pool), address);
+        Rc::new(client) as Rc<dyn FleetAdvice>
     });
-    let vms = settings.vms.as_ref().map(|address| {
-        let calls = VmCalls::new(Rc::clone(&pool), address);
-        Rc::new(calls) as Rc<dyn FleetVms>
+    let vms = settings.vm_service_address.as_ref().map(|address| {
+        let client = VmClient::new(Rc::clone(&pool), address);
+        Rc::new(client) as Rc<dyn FleetVms>
     });
     let ports = FleetPorts {
         clock: Rc::new(SystemClock::new()),
-        store: Rc::new(StoreCalls::new(Rc::clone(&pool), settings.store)),
-        workers: Rc::new(WorkerCalls::new()),
+        store: Rc::new(StoreClient::new(Rc::clone(&pool), settings.store_address)),
+        workers: Rc::new(WorkerClient::new()),
         advice,
         vms,
         pool,
@@ -111,8 +111,8 @@
         exporter: MetricsExporter::install(),
     });
     let daemon = FleetDaemon::new(settings.fleet, ports, stop);
-    let front = Rc::new(CallerFront::new(daemon.job_api()));
-    daemon.run(front, metrics).await
+    let caller_handler = Rc::new(CallerHandler::new(daemon.job_api()));
+    daemon.run(caller_handler, metrics).await
 }
 
 /// Returns a receiver that becomes true at the first SIGTERM or SIGINT; further ones have no effect. SIGHUP reads the
