--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -203,14 +203,14 @@
     }
 
     async fn job(&self, job: &str) -> Result<serde_json::Value, ControlError> {
-        let status = self.planner.job(parse_job(job)?).await;
+        let status = self.planner.job_status(parse_job(job)?).await;
         status
             .map(|status| job_status_json(&status))
             .map_err(job_error)
     }
 
     async fn jobs(&self) -> Result<Vec<serde_json::Value>, ControlError> {
-        let statuses = self.planner.jobs().await;
+        let statuses = self.planner.job_statuses().await;
         let statuses = statuses.map_err(job_error)?;
         Ok(statuses.iter().map(job_status_json).collect())
     }
--- a/crates/jasminebend/src/entry_daemon.rs
+++ b/crates/jasminebend/src/entry_daemon.rs
@@ -17,8 +17,8 @@
     GatewaySettings, //
 };
 use jasminebend_planner::{
-    PlannerEdges,
     PlannerHandle,
+    PlannerPorts,
     PlannerSettings, //
 };
 use spdlog::{
@@ -254,7 +254,7 @@
     cluster: &ClusterHandle,
     ports: &DaemonPorts,
 ) -> PlannerHandle {
-    let ports = PlannerEdges {
+    let ports = PlannerPorts {
         ownership: cluster.ownership(),
         configuration: cluster.configuration(),
         vms: cluster.vm_list(),
--- a/crates/placement/src/wait_reason.rs
+++ b/crates/placement/src/wait_reason.rs
@@ -38,7 +38,8 @@
     DomainUnavailable,
     /// A new planner is taking over the shard.
     #[display("its shard is being taken over; it starts when its workers answered")]
-    TakeOver,
+    #[serde(rename = "take_over")]
+    Takeover,
     /// The table service does not respond.
     #[display("the table service gives no answer; it starts when a run can be committed")]
     #[serde(rename = "table")]
--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -32,8 +32,8 @@
 };
 use jasminebend_planner::{
     JobSpec,
-    PlannerEdges,
     PlannerHandle,
+    PlannerPorts,
     PlannerSettings, //
 };
 use jasminebend_ports::{
@@ -102,7 +102,7 @@
     async fn planner(&self, epoch: u64, objects: &ObjectStandIn) -> PlannerHandle {
         let shard = ResourceId::Shard(0);
         let ownership = FixedOwnership::new().with_held(shard, OwnerEpoch(epoch));
-        let ports = PlannerEdges {
+        let ports = PlannerPorts {
             ownership: Arc::new(ownership),
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
--- a/crates/planner/src/job_api.rs
+++ b/crates/planner/src/job_api.rs
@@ -35,7 +35,7 @@
 use crate::{
     JobError,
     JobStatus,
-    PlannerEdges,
+    PlannerPorts,
     PlannerSettings,
     RecordError,
     SubmitError,
@@ -63,12 +63,12 @@
 /// job's home shard.
 pub(crate) struct JobApi {
     settings: PlannerSettings,
-    ports: Arc<PlannerEdges>,
+    ports: Arc<PlannerPorts>,
     random: Mutex<StdRng>,
 }
 
 impl JobApi {
-    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerEdges>) -> Self {
+    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerPorts>) -> Self {
         let random = Mutex::new(StdRng::seed_from_u64(ports.seed));
         Self {
             settings,
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -17,8 +17,8 @@
 mod journal_store;
 mod journal_writer;
 mod link_phase;
-mod planner_edges;
 mod planner_handle;
+mod planner_ports;
 mod planner_settings;
 mod record_codec;
 mod record_error;
@@ -61,8 +61,8 @@
     job_phase::JobPhase,
     job_status::JobStatus,
     journal_error::JournalError,
-    planner_edges::PlannerEdges,
     planner_handle::PlannerHandle,
+    planner_ports::PlannerPorts,
     planner_settings::PlannerSettings,
     record_error::RecordError,
     submit_error::SubmitError, //
--- a/crates/planner/src/planner_handle.rs
+++ b/crates/planner/src/planner_handle.rs
@@ -26,7 +26,7 @@
 use crate::{
     JobError,
     JobStatus,
-    PlannerEdges,
+    PlannerPorts,
     PlannerSettings,
     SubmitError,
     cancellation_batcher::{
@@ -55,7 +55,7 @@
 
 impl PlannerHandle {
     /// Starts a planner, with its shard supervisor and cancellation batches.
-    pub async fn start(settings: PlannerSettings, ports: PlannerEdges) -> Self {
+    pub async fn start(settings: PlannerSettings, ports: PlannerPorts) -> Self {
         let ports = Arc::new(ports);
         let supervisor = Arc::new(ShardSupervisor::new(settings, Arc::clone(&ports)));
         let job_api = Arc::new(JobApi::new(settings, ports));
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// Any [`JobError`].
-    pub async fn job(&self, job: JobId) -> Result<JobStatus, JobError> {
+    pub async fn job_status(&self, job: JobId) -> Result<JobStatus, JobError> {
         let row = match self.job_api.read_job(job).await {
             Ok(row) => row,
             Err(JobError::Table(error)) => {
@@ -141,7 +141,7 @@
     /// # Errors
     ///
     /// Any [`JobError`].
-    pub async fn jobs(&self) -> Result<Vec<JobStatus>, JobError> {
+    pub async fn job_statuses(&self) -> Result<Vec<JobStatus>, JobError> {
         let rows = self.job_api.read_jobs().await?;
         let mut live = IndexMap::new();
         for actor in self.supervisor.actors() {
--- a/crates/planner/src/planner_edges.rs
+++ b/crates/planner/src/planner_ports.rs
@@ -17,7 +17,7 @@
 
 /// The services and inputs that a planner depends on.
 #[derive(Clone)]
-pub struct PlannerEdges {
+pub struct PlannerPorts {
     /// The shards and other resources that this daemon owns.
     pub ownership: Arc<dyn OwnershipView>,
     /// The newest cluster configuration.
--- a/crates/planner/src/shard_actor.rs
+++ b/crates/planner/src/shard_actor.rs
@@ -9,7 +9,7 @@
 };
 
 use crate::{
-    PlannerEdges,
+    PlannerPorts,
     PlannerSettings,
     in_flight_calls::InFlightCalls,
     shard_calls::ShardCalls,
@@ -26,7 +26,7 @@
 /// The arguments with which a shard's actor is started.
 pub(crate) struct ShardArguments {
     pub(crate) settings: PlannerSettings,
-    pub(crate) ports: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerPorts>,
     /// Checks whether this daemon may still act as the shard's owner.
     pub(crate) permit: ShardPermit,
     /// Counts the actor's calls in progress; shared with later actors of the shard.
--- a/crates/planner/src/shard_calls.rs
+++ b/crates/planner/src/shard_calls.rs
@@ -30,7 +30,7 @@
 use tokio::task::JoinSet;
 
 use crate::{
-    PlannerEdges,
+    PlannerPorts,
     in_flight_calls::InFlightCalls,
     journal_store,
     row_keys,
@@ -48,7 +48,7 @@
 /// message, so that a slow worker or table never blocks the actor. All end with the actor.
 pub(crate) struct ShardCalls {
     pub(crate) permit: ShardPermit,
-    pub(crate) ports: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerPorts>,
     actor: ActorRef<ShardMessage>,
     in_flight_calls: InFlightCalls,
     tasks: JoinSet<()>,
@@ -57,7 +57,7 @@
 impl ShardCalls {
     pub(crate) fn new(
         permit: ShardPermit,
-        ports: Arc<PlannerEdges>,
+        ports: Arc<PlannerPorts>,
         actor: ActorRef<ShardMessage>,
         in_flight_calls: InFlightCalls,
     ) -> Self {
@@ -281,7 +281,7 @@
 }
 
 async fn stop_run(
-    ports: &PlannerEdges,
+    ports: &PlannerPorts,
     permit: &ShardPermit,
     address: SocketAddr,
     run: TaskAttempt,
--- a/crates/planner/src/shard_plan.rs
+++ b/crates/planner/src/shard_plan.rs
@@ -115,7 +115,7 @@
                 }
                 Err(reason) => {
                     let reason = match unplaceable.no_worker_answered {
-                        true => WaitReason::TakeOver,
+                        true => WaitReason::Takeover,
                         false => reason,
                     };
                     self.wait_reasons.insert(job, reason);
--- a/crates/planner/src/shard_state.rs
+++ b/crates/planner/src/shard_state.rs
@@ -44,7 +44,7 @@
 
 use crate::{
     JobStatus,
-    PlannerEdges,
+    PlannerPorts,
     PlannerSettings,
     journal_writer::JournalWriter,
     shard_calls::ShardCalls,
@@ -58,7 +58,7 @@
 /// clock.
 pub(crate) struct ShardState {
     pub(crate) settings: PlannerSettings,
-    pub(crate) ports: Arc<PlannerEdges>,
+    pub(crate) ports: Arc<PlannerPorts>,
     pub(crate) calls: ShardCalls,
     pub(crate) random: StdRng,
     pub(crate) phase: ShardPhase,
@@ -146,7 +146,7 @@
 impl ShardState {
     pub(crate) fn new(
         settings: PlannerSettings,
-        ports: Arc<PlannerEdges>,
+        ports: Arc<PlannerPorts>,
         calls: ShardCalls,
         first_of_epoch: bool,
     ) -> Self {
--- a/crates/planner/src/shard_supervisor.rs
+++ b/crates/planner/src/shard_supervisor.rs
@@ -27,7 +27,7 @@
 };
 
 use crate::{
-    PlannerEdges,
+    PlannerPorts,
     PlannerSettings,
     in_flight_calls::InFlightCalls,
     shard_actor::{
@@ -47,7 +47,7 @@
 /// Starts and stops the actors of the shards that this daemon owns.
 pub(crate) struct ShardSupervisor {
     settings: PlannerSettings,
-    ports: Arc<PlannerEdges>,
+    ports: Arc<PlannerPorts>,
     held: Mutex<IndexMap<u16, HeldShard>>,
     /// Calls in progress, by shard.
     in_flight_calls: Vec<InFlightCalls>,
@@ -56,7 +56,7 @@
 }
 
 impl ShardSupervisor {
-    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerEdges>) -> Self {
+    pub(crate) fn new(settings: PlannerSettings, ports: Arc<PlannerPorts>) -> Self {
         let shards = usize::from(settings.shards);
         Self {
             settings,
--- a/crates/planner/tests/planner/outage.rs
+++ b/crates/planner/tests/planner/outage.rs
@@ -67,7 +67,7 @@
         };
         assert!(truthful, "{kind:?}: {error}");
         let reason = WaitReason::TableUnavailable;
-        let waiting = planner.handle.job(job).await.unwrap().phase;
+        let waiting = planner.handle.job_status(job).await.unwrap().phase;
         assert_eq!(waiting, JobPhase::Waiting { reason });
         sleep(seconds(570)).await;
         let running = bed.ledger.runs_of(services.0, 0);
--- a/crates/planner/tests/planner/submission.rs
+++ b/crates/planner/tests/planner/submission.rs
@@ -200,7 +200,7 @@
     sleep(seconds(500)).await;
     assert_eq!(planner.status(short).await.finished, 1);
     sleep(seconds(600)).await;
-    let error = planner.handle.job(short).await.unwrap_err();
+    let error = planner.handle.job_status(short).await.unwrap_err();
     assert_eq!(error, JobError::UnknownJob { job: short });
     assert_eq!(planner.status(long).await.running, 1);
 }
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -29,8 +29,8 @@
     JobPhase,
     JobSpec,
     JobStatus,
-    PlannerEdges,
     PlannerHandle,
+    PlannerPorts,
     PlannerSettings, //
 };
 use jasminebend_ports::{
@@ -139,7 +139,7 @@
         workers: Arc<dyn WorkerPort>,
     ) -> TestPlanner {
         let ownership = Arc::new(FixedOwnership::new().with_held(PLANNED_SHARD, OwnerEpoch(epoch)));
-        let ports = PlannerEdges {
+        let ports = PlannerPorts {
             ownership: Arc::clone(&ownership) as _,
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -204,7 +204,7 @@
 
 impl TestPlanner {
     pub(crate) async fn status(&self, job: JobId) -> JobStatus {
-        self.handle.job(job).await.unwrap()
+        self.handle.job_status(job).await.unwrap()
     }
 
     /// Waits until a job has ended and returns its status; fails if that takes longer than
