--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -17,9 +17,9 @@
     DomainName,
     DomainState,
     FailureDomain,
-    ServiceClass,
     TeamName,
     TeamQuota, //
+    WorkClass,
 };
 
 /// The configuration shared by all daemons: failure domains, classes of work with their targets,
@@ -35,7 +35,7 @@
     pub domains: Vec<FailureDomain>,
     /// The declared classes of work; names are unique.
     #[serde(default)]
-    pub classes: Vec<ServiceClass>,
+    pub classes: Vec<WorkClass>,
     /// The teams and their quotas; names are unique.
     #[serde(default)]
     pub teams: Vec<TeamQuota>,
@@ -47,8 +47,8 @@
     /// # Errors
     ///
     /// Returns the first fault found. A configuration in which every failure domain is out passes;
-    /// [`Configuration::check_domain_left`] checks that separately.
-    pub fn check(&self) -> Result<(), ConfigurationError> {
+    /// [`Configuration::check_any_domain_in`] checks that separately.
+    pub fn validate(&self) -> Result<(), ConfigurationError> {
         check_unique_names(
             "failure domain",
             self.domains.iter().map(|domain| domain.name.as_str()),
@@ -65,14 +65,15 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ConfigurationError::NoDomainIn`] if domains are declared and all of them are out.
-    pub fn check_domain_left(&self) -> Result<(), ConfigurationError> {
+    /// Returns [`ConfigurationError::AllDomainsOut`] if domains are declared and all of them are
+    /// out.
+    pub fn check_any_domain_in(&self) -> Result<(), ConfigurationError> {
         let all_out = self
             .domains
             .iter()
             .all(|domain| domain.state == DomainState::Out);
         if all_out && !self.domains.is_empty() {
-            return Err(ConfigurationError::NoDomainIn);
+            return Err(ConfigurationError::AllDomainsOut);
         }
         Ok(())
     }
@@ -86,7 +87,7 @@
     }
 
     /// Returns the class with this name; `None` if it is not declared.
-    pub fn class(&self, name: &ClassName) -> Option<&ServiceClass> {
+    pub fn class(&self, name: &ClassName) -> Option<&WorkClass> {
         self.classes.iter().find(|class| class.name == *name)
     }
 
@@ -131,12 +132,12 @@
 
 /// Checks that the target fits the kind of the class and is not zero, and that a service class has
 /// a service and a valid route.
-fn check_class(class: &ServiceClass) -> Result<(), ConfigurationError> {
+fn check_class(class: &WorkClass) -> Result<(), ConfigurationError> {
     let class_name = class.name.to_string();
     let target = match (class.kind, class.target) {
         (ClassKind::Service, ClassTarget::AnswerWithin(target)) => target,
         (ClassKind::Batch, ClassTarget::FinishWithin(target)) => target,
-        _ => return Err(ConfigurationError::TargetKind { class: class_name }),
+        _ => return Err(ConfigurationError::TargetKindMismatch { class: class_name }),
     };
     if target.is_zero() {
         return Err(ConfigurationError::ZeroTarget { class: class_name });
@@ -148,15 +149,15 @@
 }
 
 /// Checks that a service class has a service, and a route whose path prefix begins with `/`.
-fn check_route(class: &ServiceClass) -> Result<(), ConfigurationError> {
+fn check_route(class: &WorkClass) -> Result<(), ConfigurationError> {
     let class_name = class.name.to_string();
     let (Some(_), Some(route)) = (&class.service, &class.route) else {
-        return Err(ConfigurationError::MissingRoute { class: class_name });
+        return Err(ConfigurationError::MissingServiceOrRoute { class: class_name });
     };
     if route.path_prefix.starts_with('/') {
         return Ok(());
     }
-    Err(ConfigurationError::BadPrefix {
+    Err(ConfigurationError::InvalidPathPrefix {
         class: class_name,
         prefix: route.path_prefix.clone(),
     })
--- a/crates/base/src/configuration_error.rs
+++ b/crates/base/src/configuration_error.rs
@@ -26,7 +26,7 @@
     #[display(
         "class `{class}`: a service class takes `answer_within`, a batch class `finish_within`"
     )]
-    TargetKind {
+    TargetKindMismatch {
         /// The name of the class.
         class: String,
     },
@@ -38,13 +38,13 @@
     },
     /// A service class lacks its service or its route.
     #[display("class `{class}`: a service class needs `service` and `route`")]
-    MissingRoute {
+    MissingServiceOrRoute {
         /// The name of the class.
         class: String,
     },
     /// The path prefix of a route does not begin with a slash.
     #[display("class `{class}`: `path_prefix` must begin with `/`, not `{prefix}`")]
-    BadPrefix {
+    InvalidPathPrefix {
         /// The name of the class.
         class: String,
         /// The prefix as declared.
@@ -52,5 +52,5 @@
     },
     /// Every declared failure domain is out, so that no new work could start anywhere.
     #[display("every failure domain is out; leave one in, or use force to take out the last one")]
-    NoDomainIn,
+    AllDomainsOut,
 }
--- a/crates/base/src/executor_record.rs
+++ b/crates/base/src/endpoint_record.rs
@@ -12,7 +12,7 @@
 /// The VM list's record of an endpoint, which the VM list calls an executor: a process that serves
 /// the requests of one service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ExecutorRecord {
+pub struct EndpointRecord {
     /// The service whose requests the endpoint serves.
     pub service: ServiceName,
     /// The address on which the endpoint accepts requests.
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -12,7 +12,7 @@
 mod configuration_version;
 mod domain_name;
 mod domain_state;
-mod executor_record;
+mod endpoint_record;
 mod failure_domain;
 mod idempotency_rule;
 mod name_newtype;
@@ -22,7 +22,6 @@
 mod resource_id;
 mod route_rule;
 mod seat_number;
-mod service_class;
 mod service_name;
 mod team_name;
 mod team_quota;
@@ -30,6 +29,7 @@
 mod vm_record;
 mod vm_snapshot;
 mod vm_state;
+mod work_class;
 mod worker_record;
 
 pub use self::{
@@ -42,7 +42,7 @@
     configuration_version::ConfigurationVersion,
     domain_name::DomainName,
     domain_state::DomainState,
-    executor_record::ExecutorRecord,
+    endpoint_record::EndpointRecord,
     failure_domain::FailureDomain,
     idempotency_rule::IdempotencyRule,
     owner_epoch::OwnerEpoch,
@@ -50,7 +50,6 @@
     resource_id::ResourceId,
     route_rule::RouteRule,
     seat_number::SeatNumber,
-    service_class::ServiceClass,
     service_name::ServiceName,
     team_name::TeamName,
     team_quota::TeamQuota,
@@ -58,5 +57,6 @@
     vm_record::VmRecord,
     vm_snapshot::VmSnapshot,
     vm_state::VmState,
+    work_class::WorkClass,
     worker_record::WorkerRecord, //
 };
--- a/crates/base/src/vm_record.rs
+++ b/crates/base/src/vm_record.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     DomainName,
-    ExecutorRecord,
+    EndpointRecord,
     VmName,
     VmState,
     WorkerRecord, //
@@ -27,7 +27,7 @@
     pub state: VmState,
     /// The endpoint that runs on the VM, if any.
     #[serde(default)]
-    pub executor: Option<ExecutorRecord>,
+    pub executor: Option<EndpointRecord>,
     /// The worker that runs on the VM, if any.
     #[serde(default)]
     pub worker: Option<WorkerRecord>,
--- a/crates/base/src/service_class.rs
+++ b/crates/base/src/work_class.rs
@@ -16,8 +16,9 @@
 
 /// A class of work, as declared in the configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-#[serde(deny_unknown_fields)]
-pub struct ServiceClass {
+// The administration API returns this text in the error for a malformed configuration.
+#[serde(deny_unknown_fields, expecting = "struct ServiceClass")]
+pub struct WorkClass {
     /// The name of the class; unique in the configuration.
     pub name: ClassName,
     /// Whether the class consists of requests or of batch jobs.
--- a/crates/cluster/benches/shared.rs
+++ b/crates/cluster/benches/shared.rs
@@ -232,7 +232,7 @@
 
 /// Returns the number of resources that a daemon holds.
 fn held_count(handle: &ClusterHandle) -> usize {
-    handle.ownership().held().len()
+    handle.ownership().owned_resources().len()
 }
 
 /// Prints percentiles of durations.
@@ -337,7 +337,7 @@
             let held = bench
                 .handles
                 .iter()
-                .flat_map(|handle| handle.ownership().held());
+                .flat_map(|handle| handle.ownership().owned_resources());
             held.filter(|(id, _)| matches!(id, ResourceId::Shard(_)) == shard)
                 .count()
         };
@@ -400,7 +400,7 @@
     const OWNERSHIP_CHECKS: u32 = 1_000_000;
     let bench = BenchCluster::start(count).await;
     let view = bench.handles[0].ownership();
-    let (resource, _) = view.held()[0];
+    let (resource, _) = view.owned_resources()[0];
     let started = Instant::now();
     for _ in 0..OWNERSHIP_CHECKS {
         std::hint::black_box(view.may_act(resource));
--- a/crates/cluster/src/cluster_settings.rs
+++ b/crates/cluster/src/cluster_settings.rs
@@ -97,7 +97,7 @@
 
     /// Accepts a second peer key, so that keys can be replaced without a restart.
     pub fn with_next_key(mut self, key: PeerKey) -> Self {
-        self.keys = self.keys.with_next(key);
+        self.keys = self.keys.with_next_key(key);
         self
     }
 
--- a/crates/cluster/src/configuration_edit.rs
+++ b/crates/cluster/src/configuration_edit.rs
@@ -62,9 +62,9 @@
 ) -> Result<Configuration, RefusalReason> {
     let mut edited = replacement.clone();
     edited.version = current.version;
-    edited.check().map_err(RefusalReason::Invalid)?;
+    edited.validate().map_err(RefusalReason::Invalid)?;
     if current.domains != edited.domains {
-        check_domain_left(&edited)?;
+        check_any_domain_in(&edited)?;
     }
     Ok(edited)
 }
@@ -90,14 +90,14 @@
     let unchanged = domain.state == state;
     domain.state = state;
     if !force && !unchanged {
-        check_domain_left(&edited)?;
+        check_any_domain_in(&edited)?;
     }
     Ok(edited)
 }
 
 /// Rejects a document that declares failure domains and has all of them out.
-fn check_domain_left(edited: &Configuration) -> Result<(), RefusalReason> {
+fn check_any_domain_in(edited: &Configuration) -> Result<(), RefusalReason> {
     edited
-        .check_domain_left()
+        .check_any_domain_in()
         .map_err(|fault: ConfigurationError| RefusalReason::Invalid(fault))
 }
--- a/crates/cluster/src/held_resources_view.rs
+++ b/crates/cluster/src/held_resources_view.rs
@@ -43,12 +43,12 @@
         machine.may_act(self.clock.monotonic(), resource)
     }
 
-    fn held(&self) -> Vec<(ResourceId, OwnerEpoch)> {
+    fn owned_resources(&self) -> Vec<(ResourceId, OwnerEpoch)> {
         let machine = self.lock();
         machine.usable_resources(self.clock.monotonic())
     }
 
-    fn idle_for(&self, resource: ResourceId) -> Duration {
+    fn remaining_takeover_delay(&self, resource: ResourceId) -> Duration {
         let machine = self.lock();
         machine.idle_for(self.clock.monotonic(), resource)
     }
--- a/crates/cluster/src/table_access.rs
+++ b/crates/cluster/src/table_access.rs
@@ -153,7 +153,7 @@
     match result {
         Ok(Ok(CommitOutcome::Committed(_))) => WriteOutcome::Committed,
         Ok(Ok(CommitOutcome::Conflict { .. })) => WriteOutcome::Conflict,
-        Ok(Err(error)) if error.surely_not_run() => WriteOutcome::NotRun,
+        Ok(Err(error)) if error.certainly_had_no_effect() => WriteOutcome::NotRun,
         Ok(Err(_)) | Err(_) => WriteOutcome::Unknown,
     }
 }
--- a/crates/cluster/tests/cluster/configuration.rs
+++ b/crates/cluster/tests/cluster/configuration.rs
@@ -120,7 +120,7 @@
     wait_until_in_force(&handles, newest.0).await;
     let last = set_domain_state("west", DomainState::Out, false);
     let refused = handles[2].propose(last).await;
-    let reason = RefusalReason::Invalid(ConfigurationError::NoDomainIn);
+    let reason = RefusalReason::Invalid(ConfigurationError::AllDomainsOut);
     assert_eq!(refused, Err(ProposalError::NotAccepted(reason)));
     let forced = handles[2]
         .propose(set_domain_state("west", DomainState::Out, true))
@@ -253,7 +253,7 @@
         !partitioned.is_ready(),
         "neither the table nor peers confirm its seat"
     );
-    assert!(partitioned.ownership().held().is_empty());
+    assert!(partitioned.ownership().owned_resources().is_empty());
     let mid = set_domain_state("mid", DomainState::Out, false);
     let refused = partitioned.propose(mid.clone()).await;
     assert!(
--- a/crates/cluster/tests/cluster/frames.rs
+++ b/crates/cluster/tests/cluster/frames.rs
@@ -122,8 +122,8 @@
     let old = PeerKey::new(PEER_KEY);
     let new = PeerKey::from_secret("the secret that follows it").unwrap();
     let steps = [
-        KeyRing::new(old).with_next(new),
-        KeyRing::new(new).with_next(old),
+        KeyRing::new(old).with_next_key(new),
+        KeyRing::new(new).with_next_key(old),
         KeyRing::new(new),
     ];
     for ring in steps {
--- a/crates/cluster/tests/cluster/harness.rs
+++ b/crates/cluster/tests/cluster/harness.rs
@@ -291,7 +291,10 @@
     for _ in 0..millis / 50 {
         sleep_ms(50).await;
         let mut seen = IndexSet::new();
-        for (resource, _) in handles.iter().flat_map(|handle| handle.ownership().held()) {
+        for (resource, _) in handles
+            .iter()
+            .flat_map(|handle| handle.ownership().owned_resources())
+        {
             assert!(seen.insert(resource), "{resource} is held twice");
         }
         least = least.min(seen.len());
@@ -304,7 +307,10 @@
 pub(crate) async fn wait_until_balanced(handles: &[ClusterHandle]) {
     for _ in 0..600 {
         sleep_ms(100).await;
-        let held: Vec<usize> = handles.iter().map(|h| h.ownership().held().len()).collect();
+        let held: Vec<usize> = handles
+            .iter()
+            .map(|h| h.ownership().owned_resources().len())
+            .collect();
         let least = held.iter().min().unwrap();
         let most = held.iter().max().unwrap();
         let all = held.iter().sum::<usize>() == RESOURCE_COUNT;
--- a/crates/cluster/tests/cluster/membership.rs
+++ b/crates/cluster/tests/cluster/membership.rs
@@ -16,7 +16,7 @@
     let handles = cluster.start_all(6).await;
     let mut seen = IndexSet::new();
     for handle in &handles {
-        for (resource, _) in handle.ownership().held() {
+        for (resource, _) in handle.ownership().owned_resources() {
             assert!(seen.insert(resource), "{resource} is held twice");
         }
     }
@@ -31,9 +31,12 @@
     let mut handles = cluster.start_all(3).await;
     let leaving = handles.remove(0);
     leaving.leave().await;
-    assert!(leaving.ownership().held().is_empty());
+    assert!(leaving.ownership().owned_resources().is_empty());
     sleep_ms(1_500).await;
-    let held: usize = handles.iter().map(|h| h.ownership().held().len()).sum();
+    let held: usize = handles
+        .iter()
+        .map(|h| h.ownership().owned_resources().len())
+        .sum();
     assert_eq!(held, RESOURCE_COUNT);
 }
 
@@ -45,7 +48,10 @@
     handles.remove(1).stop();
     sleep_ms(15_000).await;
     wait_until_balanced(&handles).await;
-    let held: usize = handles.iter().map(|h| h.ownership().held().len()).sum();
+    let held: usize = handles
+        .iter()
+        .map(|h| h.ownership().owned_resources().len())
+        .sum();
     assert_eq!(held, RESOURCE_COUNT);
 }
 
@@ -62,7 +68,10 @@
         for step in 0..1_000 {
             sleep_ms(4).await;
             for handle in &staying {
-                assert!(!handle.ownership().held().is_empty(), "step {step}");
+                assert!(
+                    !handle.ownership().owned_resources().is_empty(),
+                    "step {step}"
+                );
             }
         }
         wait_until_balanced(&handles).await;
--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -10,14 +10,14 @@
     ClassKind,
     ClassTarget,
     Configuration,
-    ExecutorRecord,
+    EndpointRecord,
     OwnerEpoch,
     ResourceId,
     RouteRule,
-    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState, //
+    WorkClass,
 };
 use jasminebend_gateway::{
     Gateway,
@@ -76,7 +76,7 @@
         incarnation: 1,
         domain: "east".into(),
         state: VmState::Live,
-        executor: Some(ExecutorRecord {
+        executor: Some(EndpointRecord {
             service: "booking".into(),
             address: *address,
             slots,
@@ -88,7 +88,7 @@
 
 fn configuration(target: Duration) -> Configuration {
     Configuration {
-        classes: vec![ServiceClass {
+        classes: vec![WorkClass {
             name: "booking".into(),
             kind: ClassKind::Service,
             target: ClassTarget::AnswerWithin(target),
--- a/crates/gateway/src/gateway_state.rs
+++ b/crates/gateway/src/gateway_state.rs
@@ -80,8 +80,8 @@
     /// Returns the shares that this daemon holds and may use now: those whose idle time is over.
     pub(crate) fn held_shares(&self) -> HeldShares {
         let ownership = &self.ownership;
-        let held = ownership.held().into_iter();
-        held.filter(|(resource, _)| ownership.idle_for(*resource).is_zero())
+        let held = ownership.owned_resources().into_iter();
+        held.filter(|(resource, _)| ownership.remaining_takeover_delay(*resource).is_zero())
             .collect()
     }
 
--- a/crates/gateway/src/key_write.rs
+++ b/crates/gateway/src/key_write.rs
@@ -148,7 +148,7 @@
     /// the row as its own. When the deadline of its request has passed, the key is released in the
     /// same way, so that a repetition is not refused because of a request that never ran.
     pub(crate) fn on_error(mut self, error: TableError, now: Duration) -> Option<Self> {
-        let surely_not_run = error.surely_not_run();
+        let surely_not_run = error.certainly_had_no_effect();
         let WritePurpose::Reserve { reply, give_up_at } = self.purpose else {
             if error == TableError::TooLarge {
                 self.record.state = self.record.state.without_response();
--- a/crates/gateway/src/pool_updater.rs
+++ b/crates/gateway/src/pool_updater.rs
@@ -13,7 +13,7 @@
 use jasminebend_base::{
     Configuration,
     DomainState,
-    ExecutorRecord,
+    EndpointRecord,
     VmRecord,
     VmSnapshot,
     VmState, //
@@ -176,7 +176,7 @@
         &self,
         state: &mut PoolState,
         vm: &VmRecord,
-        executor: &ExecutorRecord,
+        executor: &EndpointRecord,
         configuration: &Configuration,
     ) {
         let settings = &self.shared.settings;
@@ -228,7 +228,7 @@
 }
 
 /// Returns the endpoint of the service of a pool on a VM.
-fn executor_for<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a ExecutorRecord> {
+fn executor_for<'a>(vm: &'a VmRecord, pool: &ServicePool) -> Option<&'a EndpointRecord> {
     vm.executor
         .as_ref()
         .filter(|executor| executor.service == pool.service)
@@ -249,7 +249,7 @@
 }
 
 /// Returns the key of an endpoint, which is resized or added as needed.
-fn endpoint_key(state: &mut PoolState, executor: &ExecutorRecord, shares: u16) -> EndpointKey {
+fn endpoint_key(state: &mut PoolState, executor: &EndpointRecord, shares: u16) -> EndpointKey {
     if let Some(key) = state.by_address.get(&executor.address).copied() {
         state.entry(key).resize(executor.slots, shares);
         return key;
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -12,16 +12,16 @@
     ClassTarget,
     Configuration,
     DomainState,
-    ExecutorRecord,
+    EndpointRecord,
     FailureDomain,
     IdempotencyRule,
     OwnerEpoch,
     ResourceId,
     RouteRule,
-    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState, //
+    WorkClass,
 };
 use jasminebend_gateway::{
     Gateway,
@@ -114,7 +114,7 @@
             incarnation: 1,
             domain: domain.into(),
             state: VmState::Live,
-            executor: Some(ExecutorRecord {
+            executor: Some(EndpointRecord {
                 service: "booking".into(),
                 address,
                 slots,
@@ -199,7 +199,7 @@
     };
     Configuration {
         domains: vec![domain("east"), domain("west")],
-        classes: vec![ServiceClass {
+        classes: vec![WorkClass {
             name: "booking".into(),
             kind: ClassKind::Service,
             target: ClassTarget::AnswerWithin(target),
--- a/crates/jasminebend/benches/administration_cost.rs
+++ b/crates/jasminebend/benches/administration_cost.rs
@@ -34,10 +34,10 @@
     DomainState,
     FailureDomain,
     IdempotencyRule,
-    ServiceClass, //
+    WorkClass, //
 };
 use jasminebend_ports::{
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 use jasminebend_standins::{
@@ -130,7 +130,7 @@
         table: Arc::new(TableStandIn::new()),
         objects: Arc::new(ObjectStandIn::new()),
         vm_list: Arc::new(VmListStandIn::new(Vec::new())),
-        workers: Arc::new(HttpWorkers::new()),
+        workers: Arc::new(HttpWorkerTransport::new()),
         clock: Arc::new(SystemClock::new()),
         seed: 7,
     };
@@ -139,7 +139,7 @@
 }
 
 fn configuration(classes: usize) -> Configuration {
-    let class = |number| ServiceClass {
+    let class = |number| WorkClass {
         name: ClassName::from(format!("reconciliation-{number}")),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(3600)),
--- a/crates/jasminebend/src/admin_change.rs
+++ b/crates/jasminebend/src/admin_change.rs
@@ -46,7 +46,7 @@
         let configuration: Configuration =
             serde_json::from_slice(body).map_err(|error| malformed(error.to_string()))?;
         configuration
-            .check()
+            .validate()
             .map_err(|error| malformed(error.to_string()))?;
         Ok(Self::Replace {
             configuration: Box::new(configuration),
--- a/crates/jasminebend/src/demo_environment.rs
+++ b/crates/jasminebend/src/demo_environment.rs
@@ -16,10 +16,10 @@
 };
 use jasminebend_ports::{
     ClockSource,
-    HttpObjects,
-    HttpTable,
+    HttpObjectStore,
+    HttpTableService,
     HttpVmList,
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 use jasminebend_standins::{
@@ -103,10 +103,12 @@
     pub(crate) fn ports(&self, seed: u64) -> DaemonPorts {
         let addresses = &self.addresses;
         DaemonPorts {
-            table: Arc::new(HttpTable::new(addresses.table).with_timeout(PLATFORM_TIMEOUT)),
-            objects: Arc::new(HttpObjects::new(addresses.objects).with_timeout(PLATFORM_TIMEOUT)),
+            table: Arc::new(HttpTableService::new(addresses.table).with_timeout(PLATFORM_TIMEOUT)),
+            objects: Arc::new(
+                HttpObjectStore::new(addresses.objects).with_timeout(PLATFORM_TIMEOUT),
+            ),
             vm_list: Arc::new(HttpVmList::new(addresses.vm_list).with_timeout(PLATFORM_TIMEOUT)),
-            workers: Arc::new(HttpWorkers::new().with_timeout(PLATFORM_TIMEOUT)),
+            workers: Arc::new(HttpWorkerTransport::new().with_timeout(PLATFORM_TIMEOUT)),
             clock: Arc::clone(&self.clock),
             seed,
         }
--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -122,9 +122,10 @@
     fn holds_slots(&self) -> bool {
         let ownership = self.cluster.ownership();
         let usable = |resource: ResourceId| {
-            matches!(resource, ResourceId::Slots(_)) && ownership.idle_for(resource).is_zero()
+            matches!(resource, ResourceId::Slots(_))
+                && ownership.remaining_takeover_delay(resource).is_zero()
         };
-        let held = ownership.held();
+        let held = ownership.owned_resources();
         held.iter().any(|(resource, _)| usable(*resource))
     }
 
@@ -252,7 +253,7 @@
 /// repeating it is safe.
 fn cancellation_error(error: JobError) -> ControlError {
     match error {
-        JobError::Table(cause) if !cause.surely_not_run() => ControlError::Unknown {
+        JobError::Table(cause) if !cause.certainly_had_no_effect() => ControlError::Unknown {
             find_out: error.to_string(),
         },
         other => job_error(other),
--- a/crates/jasminebend/src/peer_keys.rs
+++ b/crates/jasminebend/src/peer_keys.rs
@@ -46,7 +46,7 @@
         let ring = KeyRing::new(self.current);
         match self.next {
             None => ring,
-            Some(next) => ring.with_next(next),
+            Some(next) => ring.with_next_key(next),
         }
     }
 }
--- a/crates/jasminebend/src/platform_ports.rs
+++ b/crates/jasminebend/src/platform_ports.rs
@@ -7,10 +7,10 @@
 
 use jasminebend_ports::{
     AccessToken,
-    HttpObjects,
-    HttpTable,
+    HttpObjectStore,
+    HttpTableService,
     HttpVmList,
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 
@@ -32,10 +32,11 @@
 impl PlatformPorts {
     pub(crate) fn new(settings: &PlatformSettings, seed: u64) -> Result<Self, DaemonError> {
         let token = settings.token_file.as_deref().map(read_token).transpose()?;
-        let mut table = HttpTable::new(settings.table).with_timeout(settings.table_timeout);
-        let mut objects = HttpObjects::new(settings.objects).with_timeout(settings.objects_timeout);
+        let mut table = HttpTableService::new(settings.table).with_timeout(settings.table_timeout);
+        let mut objects =
+            HttpObjectStore::new(settings.objects).with_timeout(settings.objects_timeout);
         let mut vm_list = HttpVmList::new(settings.vm_list).with_timeout(settings.vm_list_timeout);
-        let mut workers = HttpWorkers::new().with_timeout(settings.worker_timeout);
+        let mut workers = HttpWorkerTransport::new().with_timeout(settings.worker_timeout);
         if let Some((token, _)) = &token {
             table = table.with_token(token.clone());
             objects = objects.with_token(token.clone());
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -33,15 +33,15 @@
     IdempotencyRule,
     ResourceAmount,
     RouteRule,
-    ServiceClass,
     ServiceName,
     TeamName,
     TeamQuota,
     VmRecord, //
+    WorkClass,
 };
 use jasminebend_ports::{
     ClockSource,
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 use jasminebend_standins::{
@@ -148,7 +148,7 @@
             table: Arc::new(self.table.clone()),
             objects: Arc::new(self.objects.clone()),
             vm_list: Arc::new(self.vm_list.clone()),
-            workers: Arc::new(HttpWorkers::new()),
+            workers: Arc::new(HttpWorkerTransport::new()),
             clock: Arc::new(SystemClock::new()),
             seed: u64::from(NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)),
         };
@@ -227,8 +227,8 @@
     }
 }
 
-fn quotes_class() -> ServiceClass {
-    ServiceClass {
+fn quotes_class() -> WorkClass {
+    WorkClass {
         name: ClassName::from("quotes"),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(Duration::from_secs(2)),
@@ -241,8 +241,8 @@
     }
 }
 
-fn reconciliation_class() -> ServiceClass {
-    ServiceClass {
+fn reconciliation_class() -> WorkClass {
+    WorkClass {
         name: ClassName::from("reconciliation"),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(3600)),
--- a/crates/jbctl/src/admin_request.rs
+++ b/crates/jbctl/src/admin_request.rs
@@ -87,7 +87,7 @@
         line: ConfigurationLines::parse(&text).line_of(&error),
         error,
     };
-    configuration.check().map_err(invalid)?;
+    configuration.validate().map_err(invalid)?;
     Ok(configuration)
 }
 
--- a/crates/jbctl/src/configuration_lines.rs
+++ b/crates/jbctl/src/configuration_lines.rs
@@ -41,14 +41,17 @@
                 same_name.filter(|entry| entry.name.value == *name).nth(1)
             }
             ConfigurationError::EmptyName { kind } => find_by_name(self.entries(kind), ""),
-            ConfigurationError::TargetKind { class } | ConfigurationError::ZeroTarget { class } => {
+            ConfigurationError::TargetKindMismatch { class }
+            | ConfigurationError::ZeroTarget { class } => {
                 let entry = find_by_name(&self.classes, class);
                 let target = entry.and_then(|entry| entry.target.as_ref());
                 return target.map_or(FALLBACK_LINE, |target| target.referenced.line());
             }
-            ConfigurationError::MissingRoute { class }
-            | ConfigurationError::BadPrefix { class, .. } => find_by_name(&self.classes, class),
-            ConfigurationError::NoDomainIn => self.domains.first(),
+            ConfigurationError::MissingServiceOrRoute { class }
+            | ConfigurationError::InvalidPathPrefix { class, .. } => {
+                find_by_name(&self.classes, class)
+            }
+            ConfigurationError::AllDomainsOut => self.domains.first(),
         };
         entry.map_or(FALLBACK_LINE, |entry| entry.name.referenced.line())
     }
--- a/crates/planner/benches/shard/in_memory_workers.rs
+++ b/crates/planner/benches/shard/in_memory_workers.rs
@@ -21,8 +21,8 @@
     ClockSource,
     EpochAdoption,
     LeaseRenewal,
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     TaskOrder,
     TaskUsage,
     WorkerError,
@@ -97,7 +97,7 @@
     let mut task = task.clone();
     if ends <= now {
         let result = "done".to_owned();
-        task.ended = Some(TaskEvent::Finished { result });
+        task.ended = Some(RunCompletion::Finished { result });
     }
     task
 }
--- a/crates/planner/src/job_api.rs
+++ b/crates/planner/src/job_api.rs
@@ -136,7 +136,7 @@
                 Ok(CommitOutcome::Conflict { found, .. }) => {
                     return resolve_conflict(job, row, write, found.as_ref());
                 }
-                Err(error) => unknown |= !error.surely_not_run(),
+                Err(error) => unknown |= !error.certainly_had_no_effect(),
             }
             sleep(RETRY_DELAY).await;
         }
--- a/crates/planner/src/shard_permit.rs
+++ b/crates/planner/src/shard_permit.rs
@@ -27,6 +27,7 @@
 
     /// Returns how long the shard must still stay idle after a takeover.
     pub(crate) fn idle_for(&self) -> Duration {
-        self.ownership.idle_for(ResourceId::Shard(self.shard))
+        self.ownership
+            .remaining_takeover_delay(ResourceId::Shard(self.shard))
     }
 }
--- a/crates/planner/src/shard_reconcile.rs
+++ b/crates/planner/src/shard_reconcile.rs
@@ -10,8 +10,8 @@
     WorkerKey, //
 };
 use jasminebend_ports::{
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     WorkerInventory,
     WorkerReport,
     WorkerTask, //
@@ -189,7 +189,7 @@
     /// Applies the reported end of a run. The worker repeats the report until it is acknowledged,
     /// which happens only once the end is committed, so that neither a lost answer nor a dead owner
     /// loses a result.
-    pub(crate) fn on_run_ended(&mut self, key: WorkerKey, run: TaskAttempt, event: &TaskEvent) {
+    pub(crate) fn on_run_ended(&mut self, key: WorkerKey, run: TaskAttempt, event: &RunCompletion) {
         if self.uncommitted_ends.contains(&run) {
             return;
         }
@@ -213,17 +213,17 @@
 }
 
 /// Converts a worker's event into the outcome of a run.
-fn outcome_of(event: &TaskEvent) -> RunOutcome {
+fn outcome_of(event: &RunCompletion) -> RunOutcome {
     match event {
-        TaskEvent::Finished { result } => RunOutcome::Finished {
+        RunCompletion::Finished { result } => RunOutcome::Finished {
             result: result.clone(),
         },
-        TaskEvent::Failed { code } => RunOutcome::Failed { code: *code },
-        TaskEvent::Checkpointed { checkpoint } => RunOutcome::Checkpointed {
+        RunCompletion::Failed { code } => RunOutcome::Failed { code: *code },
+        RunCompletion::Checkpointed { checkpoint } => RunOutcome::Checkpointed {
             checkpoint: CheckpointName::from(checkpoint.as_str()),
         },
-        TaskEvent::Stopped => RunOutcome::Stopped,
-        TaskEvent::Lapsed { checkpoint } => RunOutcome::Lost {
+        RunCompletion::Stopped => RunOutcome::Stopped,
+        RunCompletion::Lapsed { checkpoint } => RunOutcome::Lost {
             checkpoint: checkpoint
                 .as_ref()
                 .map(|name| CheckpointName::from(name.as_str())),
--- a/crates/planner/src/shard_usage.rs
+++ b/crates/planner/src/shard_usage.rs
@@ -93,7 +93,7 @@
     /// always leaves space for one batch run in addition; otherwise no batch run would ever be
     /// measured.
     pub(crate) fn usage_limit(&self, key: WorkerKey) -> u32 {
-        let held = self.ports.ownership.held();
+        let held = self.ports.ownership.owned_resources();
         let workers: usize = held
             .iter()
             .map(|(resource, _)| match resource {
--- a/crates/planner/tests/planner/counting_workers.rs
+++ b/crates/planner/tests/planner/counting_workers.rs
@@ -18,9 +18,9 @@
 };
 use jasminebend_ports::{
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest, //
+    WorkerTransport,
 };
 use jasminebend_standins::WorkerFleet;
 use tokio::{
@@ -107,7 +107,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for CountingWorkers {
+impl WorkerTransport for CountingWorkers {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/planner/tests/planner/crashing_ports.rs
+++ b/crates/planner/tests/planner/crashing_ports.rs
@@ -22,9 +22,9 @@
     TableRow,
     TableService,
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest,
+    WorkerTransport,
     WriteId, //
 };
 use jasminebend_standins::{
@@ -110,7 +110,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for CrashingPorts {
+impl WorkerTransport for CrashingPorts {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/ports/src/access_token.rs
+++ b/crates/ports/src/access_token.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the value of the `Authorization` header that carries the token.
-    pub fn header(&self) -> String {
+    pub fn authorization_header(&self) -> String {
         let text = self.0.read().unwrap_or_else(PoisonError::into_inner);
         format!("Bearer {text}")
     }
--- a/crates/ports/src/answer_format.rs
+++ b/crates/ports/src/answer_format.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns the encoding in which to answer a call with this `Accept` header; JSON without one.
-    pub fn from_accept(header: Option<&HeaderValue>) -> Self {
+    pub fn from_accept_header(header: Option<&HeaderValue>) -> Self {
         let text = header.and_then(|value| value.to_str().ok());
         match text {
             Some(text) if text.contains(Self::POSTCARD_TYPE) => Self::Postcard,
@@ -38,7 +38,7 @@
     }
 
     /// Returns the encoding of an answer with this `Content-Type` header; JSON without one.
-    pub fn from_content_type(header: Option<&HeaderValue>) -> Self {
+    pub fn from_content_type_header(header: Option<&HeaderValue>) -> Self {
         match header {
             Some(value) if value == Self::POSTCARD_TYPE => Self::Postcard,
             _ => Self::Json,
--- a/crates/ports/src/http_client.rs
+++ b/crates/ports/src/http_client.rs
@@ -167,7 +167,7 @@
         let uri = format!("http://{}{}", call.address, call.path);
         let mut request = Request::builder().method(call.method).uri(uri);
         if let Some(token) = &self.options.token {
-            request = request.header(AUTHORIZATION, token.header());
+            request = request.header(AUTHORIZATION, token.authorization_header());
         }
         if let Some(accept) = call.accept {
             request = request.header(ACCEPT, accept);
--- a/crates/ports/src/http_objects.rs
+++ b/crates/ports/src/http_object_store.rs
@@ -43,14 +43,14 @@
 
 /// The HTTP adapter to the object store, which calls `PUT`, `GET` and `DELETE` of `/bucket/key`.
 #[derive(Debug)]
-pub struct HttpObjects {
+pub struct HttpObjectStore {
     address: SocketAddr,
     bucket: String,
     options: HttpOptions,
     client: HttpClient,
 }
 
-impl HttpObjects {
+impl HttpObjectStore {
     /// Creates an adapter to the store at this address, with the bucket `jasminebend` and a timeout
     /// of 2 s for each call.
     pub fn new(address: SocketAddr) -> Self {
@@ -107,7 +107,7 @@
 }
 
 #[async_trait]
-impl ObjectStore for HttpObjects {
+impl ObjectStore for HttpObjectStore {
     async fn put(&self, key: &ObjectKey, body: Bytes) -> Result<(), ObjectError> {
         let call = self.build_call(Method::PUT, key, body);
         match self.client.send_write(call).await?.status {
--- a/crates/ports/src/http_table.rs
+++ b/crates/ports/src/http_table_service.rs
@@ -32,13 +32,13 @@
 
 /// The HTTP adapter to the table service, which sends each [`TableRequest`] as a `POST` in JSON.
 #[derive(Debug)]
-pub struct HttpTable {
+pub struct HttpTableService {
     address: SocketAddr,
     options: HttpOptions,
     client: HttpClient,
 }
 
-impl HttpTable {
+impl HttpTableService {
     /// Creates an adapter to the service at this address, with a timeout of 2 s for each call.
     pub fn new(address: SocketAddr) -> Self {
         Self::with_client(address, HttpOptions::default())
@@ -96,7 +96,7 @@
 }
 
 #[async_trait]
-impl TableService for HttpTable {
+impl TableService for HttpTableService {
     async fn read(&self, key: &RowKey) -> Result<Option<TableRow>, TableError> {
         let call = self.build_call(&TableRequest::Read { key: key.clone() })?;
         parse_response(self.client.send_read(call).await?)
--- a/crates/ports/src/http_workers.rs
+++ b/crates/ports/src/http_worker_transport.rs
@@ -25,9 +25,9 @@
     AccessToken,
     AnswerFormat,
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest,
+    WorkerTransport,
     call_error::CallError,
     http_client::{
         HttpCall,
@@ -39,14 +39,14 @@
 
 /// The HTTP adapter to the workers, with a connection pool for each worker.
 #[derive(Debug, Default)]
-pub struct HttpWorkers {
+pub struct HttpWorkerTransport {
     options: HttpOptions,
     format: AnswerFormat,
     /// The client of each worker, by the worker's address.
     clients: Mutex<IndexMap<SocketAddr, Arc<HttpClient>>>,
 }
 
-impl HttpWorkers {
+impl HttpWorkerTransport {
     /// Creates an adapter with a timeout of 2 s for each call.
     pub fn new() -> Self {
         Self::default()
@@ -93,7 +93,7 @@
 /// Parses the answer in the encoding that the response names; `None` if it is malformed or followed
 /// by other bytes.
 fn parse_answer(response: &HttpResponse) -> Option<WorkerAnswer> {
-    match AnswerFormat::from_content_type(response.content_type.as_ref()) {
+    match AnswerFormat::from_content_type_header(response.content_type.as_ref()) {
         AnswerFormat::Json => serde_json::from_slice(&response.body).ok(),
         AnswerFormat::Postcard => match postcard::take_from_bytes(&response.body) {
             Ok((answer, [])) => Some(answer),
@@ -115,7 +115,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for HttpWorkers {
+impl WorkerTransport for HttpWorkerTransport {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -11,10 +11,10 @@
 mod commit_outcome;
 mod epoch_adoption;
 mod http_client;
-mod http_objects;
-mod http_table;
+mod http_object_store;
+mod http_table_service;
 mod http_vm_list;
-mod http_workers;
+mod http_worker_transport;
 mod lease_renewal;
 mod object_error;
 mod object_key;
@@ -27,25 +27,25 @@
 mod row_key;
 mod row_value;
 mod row_version;
+mod run_completion;
 mod system_clock;
 mod table_error;
 mod table_request;
 mod table_row;
 mod table_service;
 mod task_attempt;
-mod task_event;
 mod task_order;
 mod task_usage;
 mod vm_list;
 mod vm_list_error;
 mod worker_answer;
-mod worker_calls;
 mod worker_error;
 mod worker_inventory;
 mod worker_port;
 mod worker_report;
 mod worker_request;
 mod worker_task;
+mod worker_transport;
 mod write_id;
 
 pub use self::{
@@ -55,10 +55,10 @@
     clock_source::ClockSource,
     commit_outcome::CommitOutcome,
     epoch_adoption::EpochAdoption,
-    http_objects::HttpObjects,
-    http_table::HttpTable,
+    http_object_store::HttpObjectStore,
+    http_table_service::HttpTableService,
     http_vm_list::HttpVmList,
-    http_workers::HttpWorkers,
+    http_worker_transport::HttpWorkerTransport,
     lease_renewal::LeaseRenewal,
     object_error::ObjectError,
     object_key::ObjectKey,
@@ -69,24 +69,24 @@
     row_expectation::RowExpectation,
     row_key::RowKey,
     row_version::RowVersion,
+    run_completion::RunCompletion,
     system_clock::SystemClock,
     table_error::TableError,
     table_request::TableRequest,
     table_row::TableRow,
     table_service::TableService,
     task_attempt::TaskAttempt,
-    task_event::TaskEvent,
     task_order::TaskOrder,
     task_usage::TaskUsage,
     vm_list::VmList,
     vm_list_error::VmListError,
     worker_answer::WorkerAnswer,
-    worker_calls::WorkerCalls,
     worker_error::WorkerError,
     worker_inventory::WorkerInventory,
     worker_port::WorkerPort,
     worker_report::WorkerReport,
     worker_request::WorkerRequest,
     worker_task::WorkerTask,
+    worker_transport::WorkerTransport,
     write_id::WriteId, //
 };
--- a/crates/ports/src/ownership_view.rs
+++ b/crates/ports/src/ownership_view.rs
@@ -17,9 +17,9 @@
     fn may_act(&self, resource: ResourceId) -> Option<OwnerEpoch>;
 
     /// Returns the resources on which this daemon may act now, and its epoch of each.
-    fn held(&self) -> Vec<(ResourceId, OwnerEpoch)>;
+    fn owned_resources(&self) -> Vec<(ResourceId, OwnerEpoch)>;
 
     /// Returns how long from now a resource that was taken over at its present epoch must stay
     /// idle, because actions of its former owner may still be in progress.
-    fn idle_for(&self, resource: ResourceId) -> Duration;
+    fn remaining_takeover_delay(&self, resource: ResourceId) -> Duration;
 }
--- a/crates/ports/src/task_event.rs
+++ b/crates/ports/src/run_completion.rs
@@ -10,7 +10,7 @@
 /// The end of a run, as the worker reports it. The worker reports it until it is acknowledged.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TaskEvent {
+pub enum RunCompletion {
     /// The task finished successfully.
     Finished {
         /// The result of the task.
--- a/crates/ports/src/table_error.rs
+++ b/crates/ports/src/table_error.rs
@@ -30,7 +30,7 @@
 
 impl TableError {
     /// Returns whether a write that failed with this error certainly had no effect.
-    pub fn surely_not_run(self) -> bool {
+    pub fn certainly_had_no_effect(self) -> bool {
         match self {
             Self::Unreachable | Self::Refused | Self::TooLarge => true,
             Self::Unknown | Self::Malformed => false,
--- a/crates/ports/src/table_service.rs
+++ b/crates/ports/src/table_service.rs
@@ -42,8 +42,8 @@
     ///
     /// # Errors
     ///
-    /// Any [`TableError`]; [`TableError::surely_not_run`] returns whether the commit certainly had
-    /// no effect.
+    /// Any [`TableError`]; [`TableError::certainly_had_no_effect`] returns whether the commit
+    /// certainly had no effect.
     async fn commit(
         &self,
         write: WriteId,
--- a/crates/ports/src/worker_error.rs
+++ b/crates/ports/src/worker_error.rs
@@ -28,7 +28,8 @@
     },
     /// The worker has too little free capacity for the task.
     #[display("the worker has too little free capacity for the task")]
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientCapacity,
     /// The order arrived too late, or the worker knows that this run or a later one of the task has
     /// ended.
     #[display("the order is out of date")]
--- a/crates/ports/src/worker_task.rs
+++ b/crates/ports/src/worker_task.rs
@@ -10,8 +10,8 @@
 };
 
 use crate::{
+    RunCompletion, //
     TaskAttempt,
-    TaskEvent, //
 };
 
 /// The worker's record of a run.
@@ -26,5 +26,5 @@
     /// The speed of the run, in thousandths of its full speed; 1000 unless it is throttled.
     pub speed_millis: u32,
     /// The end of the run; `None` while it is in progress.
-    pub ended: Option<TaskEvent>,
+    pub ended: Option<RunCompletion>,
 }
--- a/crates/ports/src/worker_calls.rs
+++ b/crates/ports/src/worker_transport.rs
@@ -22,7 +22,7 @@
 /// A transport that sends each call to a worker as one [`WorkerRequest`]. Every implementation is
 /// also a [`WorkerPort`].
 #[async_trait]
-pub trait WorkerCalls: Send + Sync {
+pub trait WorkerTransport: Send + Sync {
     /// Sends a request to the worker at this address and returns its answer.
     ///
     /// # Errors
@@ -38,7 +38,7 @@
 #[async_trait]
 impl<Calls> WorkerPort for Calls
 where
-    Calls: WorkerCalls,
+    Calls: WorkerTransport,
 {
     async fn adopt(
         &self,
--- a/crates/standins/benches/capacity/table.rs
+++ b/crates/standins/benches/capacity/table.rs
@@ -6,7 +6,7 @@
 };
 
 use jasminebend_ports::{
-    HttpTable,
+    HttpTableService,
     RowChange,
     RowExpectation,
     TableService,
@@ -49,11 +49,11 @@
     ];
     for (rows, bytes) in sizes {
         let server = serve_table(rows, bytes);
-        let poll = async |table: &HttpTable, _| {
+        let poll = async |table: &HttpTableService, _| {
             black_box(table.scan(&"row/".into(), None, rows).await.unwrap());
         };
-        let (sent, received) = count_wire_bytes(server, HttpTable::new, poll);
-        let table = HttpTable::new(server);
+        let (sent, received) = count_wire_bytes(server, HttpTableService::new, poll);
+        let table = HttpTableService::new(server);
         let runtime = runtime();
         let time = cpu_time_per_call(|| runtime.block_on(poll(&table, server)));
         println!("| {rows} | {bytes} | {sent} | {received} | {time} |");
@@ -67,12 +67,12 @@
     println!("|---|---|---|---|");
     for bytes in [100, 1_000, 10_000, 100_000] {
         let server = serve_table(0, 0);
-        let commit = async |table: &HttpTable, _| {
+        let commit = async |table: &HttpTableService, _| {
             let change = RowChange::put("row", RowExpectation::Any, vec![7; bytes]);
             black_box(table.commit(WriteId(1), vec![change]).await.unwrap());
         };
-        let (sent, received) = count_wire_bytes(server, HttpTable::new, commit);
-        let table = HttpTable::new(server);
+        let (sent, received) = count_wire_bytes(server, HttpTableService::new, commit);
+        let table = HttpTableService::new(server);
         let runtime = runtime();
         let time = cpu_time_per_call(|| runtime.block_on(commit(&table, server)));
         println!("| {bytes} | {sent} | {received} | {time} |");
--- a/crates/standins/benches/capacity/workers.rs
+++ b/crates/standins/benches/capacity/workers.rs
@@ -16,10 +16,10 @@
     AnswerFormat,
     ClockSource,
     EpochAdoption,
-    HttpWorkers,
+    HttpWorkerTransport,
     LeaseRenewal,
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     TaskOrder,
     TaskUsage,
     WorkerPort,
@@ -84,7 +84,7 @@
         class: "reconciliation".into(),
         reserved: ResourceAmount::new(500, 1_000),
         speed_millis: 1_000,
-        ended: Some(TaskEvent::Finished {
+        ended: Some(RunCompletion::Finished {
             result: "done 7/1".to_owned(),
         }),
     });
@@ -166,7 +166,7 @@
     })
 }
 
-async fn renew(workers: &HttpWorkers, address: SocketAddr) {
+async fn renew(workers: &HttpWorkerTransport, address: SocketAddr) {
     let renewal = LeaseRenewal {
         shard: 1,
         epoch: EPOCH,
@@ -190,7 +190,7 @@
 }
 
 fn print_renewals_row(server: SocketAddr, runs: u32, format: AnswerFormat) {
-    let make = |_| HttpWorkers::new().with_format(format);
+    let make = |_| HttpWorkerTransport::new().with_format(format);
     let (sent, received) = count_wire_bytes(server, make, renew);
     let workers = make(server);
     let runtime = runtime();
--- a/crates/standins/src/ended_runs.rs
+++ b/crates/standins/src/ended_runs.rs
@@ -2,8 +2,8 @@
 
 use indexmap::IndexMap;
 use jasminebend_ports::{
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     WorkerTask, //
 };
 
@@ -24,7 +24,7 @@
         self.unacknowledged.values().cloned()
     }
 
-    pub(crate) fn event_of(&self, attempt: TaskAttempt) -> Option<&TaskEvent> {
+    pub(crate) fn event_of(&self, attempt: TaskAttempt) -> Option<&RunCompletion> {
         self.unacknowledged.get(&attempt)?.ended.as_ref()
     }
 
--- a/crates/standins/src/endpoint_stand_in.rs
+++ b/crates/standins/src/endpoint_stand_in.rs
@@ -17,7 +17,7 @@
 
 use jasminebend_base::{
     DomainName,
-    ExecutorRecord,
+    EndpointRecord,
     ServiceName,
     VmName,
     VmRecord,
@@ -166,7 +166,7 @@
             incarnation: 1,
             domain: domain.into(),
             state: VmState::Live,
-            executor: Some(ExecutorRecord {
+            executor: Some(EndpointRecord {
                 service: service.into(),
                 address,
                 slots: self.slots,
--- a/crates/standins/src/fixed_ownership.rs
+++ b/crates/standins/src/fixed_ownership.rs
@@ -55,14 +55,14 @@
         self.lock().get(&resource).map(|(epoch, _)| *epoch)
     }
 
-    fn held(&self) -> Vec<(ResourceId, OwnerEpoch)> {
+    fn owned_resources(&self) -> Vec<(ResourceId, OwnerEpoch)> {
         let held = self.lock();
         held.iter()
             .map(|(resource, (epoch, _))| (*resource, *epoch))
             .collect()
     }
 
-    fn idle_for(&self, resource: ResourceId) -> Duration {
+    fn remaining_takeover_delay(&self, resource: ResourceId) -> Duration {
         self.lock()
             .get(&resource)
             .map_or(Duration::ZERO, |(_, idle)| *idle)
--- a/crates/standins/src/http_server.rs
+++ b/crates/standins/src/http_server.rs
@@ -159,5 +159,5 @@
     };
     head.headers
         .get(AUTHORIZATION)
-        .is_some_and(|value| value.as_bytes() == token.header().as_bytes())
+        .is_some_and(|value| value.as_bytes() == token.authorization_header().as_bytes())
 }
--- a/crates/standins/src/worker_fleet.rs
+++ b/crates/standins/src/worker_fleet.rs
@@ -22,9 +22,9 @@
 use jasminebend_ports::{
     ClockSource,
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest, //
+    WorkerTransport,
 };
 
 use crate::{
@@ -162,7 +162,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for WorkerFleet {
+impl WorkerTransport for WorkerFleet {
     async fn call(
         &self,
         worker: SocketAddr,
--- a/crates/standins/src/worker_run.rs
+++ b/crates/standins/src/worker_run.rs
@@ -8,8 +8,8 @@
     ResourceAmount, //
 };
 use jasminebend_ports::{
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     TaskOrder,
     WorkerTask, //
 };
@@ -65,7 +65,7 @@
         self
     }
 
-    pub(crate) fn to_task(&self, ended: Option<TaskEvent>) -> WorkerTask {
+    pub(crate) fn to_task(&self, ended: Option<RunCompletion>) -> WorkerTask {
         WorkerTask {
             attempt: self.attempt,
             class: self.class.clone(),
@@ -95,11 +95,11 @@
     }
 
     /// Returns the event of the run's completion: finished or failed.
-    pub(crate) fn completion_event(&self) -> TaskEvent {
+    pub(crate) fn completion_event(&self) -> RunCompletion {
         match (self.fails_at, self.payload.fails) {
-            (Some(_), _) => TaskEvent::Failed { code: 1 },
-            (None, Some(code)) => TaskEvent::Failed { code },
-            (None, None) => TaskEvent::Finished {
+            (Some(_), _) => RunCompletion::Failed { code: 1 },
+            (None, Some(code)) => RunCompletion::Failed { code },
+            (None, None) => RunCompletion::Finished {
                 result: format!("done {}/{}", self.attempt.job, self.attempt.index),
             },
         }
--- a/crates/standins/src/worker_stand_in.rs
+++ b/crates/standins/src/worker_stand_in.rs
@@ -38,10 +38,10 @@
     AnswerFormat,
     ClockSource,
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest,
     WorkerTask, //
+    WorkerTransport,
 };
 use tokio::net::TcpListener;
 
@@ -248,7 +248,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for WorkerStandIn {
+impl WorkerTransport for WorkerStandIn {
     async fn call(
         &self,
         _worker: SocketAddr,
@@ -277,7 +277,7 @@
         let Ok(request) = serde_json::from_slice(&body) else {
             return refused_response(StatusCode::BAD_REQUEST, "the body is no worker request");
         };
-        let format = AnswerFormat::from_accept(head.headers.get(ACCEPT));
+        let format = AnswerFormat::from_accept_header(head.headers.get(ACCEPT));
         match self.run_with_faults(request).await {
             Ok(Ok(answer)) => encode_answer(format, &answer),
             Ok(Err(error)) => json_response(StatusCode::CONFLICT, &error),
--- a/crates/standins/src/worker_state.rs
+++ b/crates/standins/src/worker_state.rs
@@ -17,8 +17,8 @@
     CheckpointId,
     EpochAdoption,
     LeaseRenewal,
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     TaskOrder,
     TaskUsage,
     WorkerError,
@@ -173,7 +173,7 @@
     ) -> Result<CheckpointId, WorkerError> {
         self.advance_to(now);
         self.lease.check_epoch(epoch)?;
-        if let Some(TaskEvent::Checkpointed { checkpoint }) = self.ended.event_of(attempt) {
+        if let Some(RunCompletion::Checkpointed { checkpoint }) = self.ended.event_of(attempt) {
             return Ok(checkpoint.clone());
         }
         if !self.running.contains(attempt) {
@@ -182,7 +182,7 @@
         let checkpoint = self
             .save_checkpoint(attempt)
             .ok_or(WorkerError::CheckpointFailed)?;
-        let event = TaskEvent::Checkpointed {
+        let event = RunCompletion::Checkpointed {
             checkpoint: checkpoint.clone(),
         };
         self.end_run(now, attempt, event);
@@ -197,7 +197,7 @@
     ) -> Result<(), WorkerError> {
         self.advance_to(now);
         self.lease.check_epoch(epoch)?;
-        self.end_run(now, attempt, TaskEvent::Stopped);
+        self.end_run(now, attempt, RunCompletion::Stopped);
         self.ended.record_ended(attempt);
         Ok(())
     }
@@ -261,7 +261,7 @@
             return Ok(());
         }
         self.ledger.count_over_capacity();
-        Err(WorkerError::NoRoom)
+        Err(WorkerError::InsufficientCapacity)
     }
 
     fn start_run(&mut self, now: Duration, order: &TaskOrder) {
@@ -296,7 +296,7 @@
         }
     }
 
-    fn end_run(&mut self, now: Duration, attempt: TaskAttempt, event: TaskEvent) {
+    fn end_run(&mut self, now: Duration, attempt: TaskAttempt, event: RunCompletion) {
         let Some(run) = self.running.remove(attempt) else {
             return;
         };
@@ -326,7 +326,7 @@
         let attempts: Vec<_> = self.running.runs().map(|run| run.attempt).collect();
         for attempt in attempts {
             let checkpoint = self.save_batch_checkpoint(attempt);
-            self.end_run(now, attempt, TaskEvent::Lapsed { checkpoint });
+            self.end_run(now, attempt, RunCompletion::Lapsed { checkpoint });
         }
     }
 
@@ -353,12 +353,14 @@
     }
 }
 
-fn ledger_end(event: &TaskEvent) -> (RunEnd, Option<CheckpointId>) {
+fn ledger_end(event: &RunCompletion) -> (RunEnd, Option<CheckpointId>) {
     match event {
-        TaskEvent::Finished { .. } => (RunEnd::Finished, None),
-        TaskEvent::Failed { .. } => (RunEnd::Failed, None),
-        TaskEvent::Checkpointed { checkpoint } => (RunEnd::Checkpointed, Some(checkpoint.clone())),
-        TaskEvent::Stopped => (RunEnd::Stopped, None),
-        TaskEvent::Lapsed { checkpoint } => (RunEnd::Lapsed, checkpoint.clone()),
+        RunCompletion::Finished { .. } => (RunEnd::Finished, None),
+        RunCompletion::Failed { .. } => (RunEnd::Failed, None),
+        RunCompletion::Checkpointed { checkpoint } => {
+            (RunEnd::Checkpointed, Some(checkpoint.clone()))
+        }
+        RunCompletion::Stopped => (RunEnd::Stopped, None),
+        RunCompletion::Lapsed { checkpoint } => (RunEnd::Lapsed, checkpoint.clone()),
     }
 }
--- a/crates/standins/tests/contracts/harness.rs
+++ b/crates/standins/tests/contracts/harness.rs
@@ -10,10 +10,10 @@
 use jasminebend_ports::{
     AnswerFormat,
     ClockSource,
-    HttpObjects,
-    HttpTable,
+    HttpObjectStore,
+    HttpTableService,
     HttpVmList,
-    HttpWorkers,
+    HttpWorkerTransport,
     ObjectStore,
     TableService,
     VmList,
@@ -64,7 +64,7 @@
     let stand_in = TableStandIn::new();
     let (address, guard) = stand_in.start().await.unwrap();
     Harness {
-        port: Arc::new(HttpTable::new(address).with_timeout(timeout)),
+        port: Arc::new(HttpTableService::new(address).with_timeout(timeout)),
         stand_in,
         guard: Some(guard),
     }
@@ -121,15 +121,15 @@
 }
 
 pub(crate) async fn worker_over_http(timeout: Duration) -> WorkerHarness {
-    serve_worker(HttpWorkers::new().with_timeout(timeout)).await
+    serve_worker(HttpWorkerTransport::new().with_timeout(timeout)).await
 }
 
 pub(crate) async fn worker_in_json(timeout: Duration) -> WorkerHarness {
-    let workers = HttpWorkers::new().with_format(AnswerFormat::Json);
+    let workers = HttpWorkerTransport::new().with_format(AnswerFormat::Json);
     serve_worker(workers.with_timeout(timeout)).await
 }
 
-async fn serve_worker(workers: HttpWorkers) -> WorkerHarness {
+async fn serve_worker(workers: HttpWorkerTransport) -> WorkerHarness {
     let (stand_in, clock, ledger) = make_worker();
     let (address, guard) = stand_in.start_server().await.unwrap();
     WorkerHarness {
@@ -158,7 +158,7 @@
     let stand_in = ObjectStandIn::new().with_max_object_bytes(MAX_OBJECT_BYTES);
     let (address, guard) = stand_in.start().await.unwrap();
     Harness {
-        port: Arc::new(HttpObjects::new(address).with_timeout(timeout)),
+        port: Arc::new(HttpObjectStore::new(address).with_timeout(timeout)),
         stand_in,
         guard: Some(guard),
     }
--- a/crates/standins/tests/contracts/limits.rs
+++ b/crates/standins/tests/contracts/limits.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use jasminebend_ports::{
-    HttpTable,
+    HttpTableService,
     RowChange,
     RowExpectation,
     TableError,
@@ -34,7 +34,7 @@
 async fn a_response_above_the_size_limit_is_rejected() {
     let server = EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1);
     let (address, _guard) = server.start().await.unwrap();
-    let table = HttpTable::new(address).with_timeout(LONG_TIMEOUT);
+    let table = HttpTableService::new(address).with_timeout(LONG_TIMEOUT);
     let cases = [
         (1000, Ok(None)),
         (BYTES_ABOVE_RESPONSE_LIMIT, Err(TableError::Malformed)),
@@ -52,7 +52,7 @@
 async fn a_request_above_the_size_limit_is_not_sent() {
     let server = EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1);
     let (address, _guard) = server.start().await.unwrap();
-    let table = HttpTable::new(address).with_timeout(LONG_TIMEOUT);
+    let table = HttpTableService::new(address).with_timeout(LONG_TIMEOUT);
     let value = vec![7; BYTES_ABOVE_REQUEST_LIMIT];
     let change = RowChange::put("a", RowExpectation::Any, value);
     let answer = table.commit(WriteId(1), vec![change]).await;
--- a/crates/standins/tests/contracts/table.rs
+++ b/crates/standins/tests/contracts/table.rs
@@ -163,7 +163,10 @@
         let found = table.port.read(&key(&row)).await.unwrap();
         assert!(case.errors.contains(&error), "{fault:?} gave {error:?}");
         assert_eq!(found.is_some(), case.effect, "{fault:?}");
-        assert!(!(error.surely_not_run() && found.is_some()), "{fault:?}");
+        assert!(
+            !(error.certainly_had_no_effect() && found.is_some()),
+            "{fault:?}"
+        );
     }
 }
 
--- a/crates/standins/tests/contracts/token.rs
+++ b/crates/standins/tests/contracts/token.rs
@@ -2,8 +2,8 @@
 
 use jasminebend_ports::{
     AccessToken,
-    HttpObjects,
-    HttpTable,
+    HttpObjectStore,
+    HttpTableService,
     HttpVmList,
     ObjectError,
     ObjectStore,
@@ -22,10 +22,10 @@
 async fn a_wrong_token_is_refused_and_a_replaced_one_accepted() {
     let table = TableStandIn::new().with_token(AccessToken::new("right"));
     let (address, _guard) = table.start().await.unwrap();
-    let open = HttpTable::new(address);
+    let open = HttpTableService::new(address);
     assert_eq!(open.read(&"a".into()).await, Err(TableError::Refused));
     let token = AccessToken::new("wrong");
-    let client = HttpTable::new(address).with_token(token.clone());
+    let client = HttpTableService::new(address).with_token(token.clone());
     let refused = client.commit(WriteId(1), Vec::new()).await;
     assert_eq!(refused, Err(TableError::Refused));
     token.replace("right");
@@ -37,7 +37,7 @@
     let token = AccessToken::new("right");
     let objects = ObjectStandIn::new().with_token(token.clone());
     let (address, _objects) = objects.start().await.unwrap();
-    let refused = HttpObjects::new(address).get(&"a".into()).await;
+    let refused = HttpObjectStore::new(address).get(&"a".into()).await;
     assert_eq!(refused, Err(ObjectError::Refused));
     let list = VmListStandIn::new(Vec::new()).with_token(token.clone());
     let (address, _list) = list.start().await.unwrap();
@@ -49,6 +49,6 @@
 #[test]
 fn a_token_is_never_printed() {
     let token = AccessToken::new("secret");
-    let client = HttpTable::new(([127, 0, 0, 1], 1).into()).with_token(token.clone());
+    let client = HttpTableService::new(([127, 0, 0, 1], 1).into()).with_token(token.clone());
     assert!(!format!("{token:?} {client:?}").contains("secret"));
 }
--- a/crates/standins/tests/contracts/worker_calls.rs
+++ b/crates/standins/tests/contracts/worker_calls.rs
@@ -11,8 +11,8 @@
     CheckpointId,
     EpochAdoption,
     LeaseRenewal,
+    RunCompletion,
     TaskAttempt,
-    TaskEvent,
     TaskOrder,
     WorkerError,
     WorkerInventory,
@@ -112,7 +112,7 @@
         self.port.checkpoint(self.address, EPOCH, attempt).await
     }
 
-    pub(crate) async fn completions(&self) -> Vec<(TaskAttempt, Option<TaskEvent>)> {
+    pub(crate) async fn completions(&self) -> Vec<(TaskAttempt, Option<RunCompletion>)> {
         let report = self.renew(&[]).await.unwrap();
         let ended = report.ended.into_iter();
         ended.map(|task| (task.attempt, task.ended)).collect()
--- a/crates/standins/tests/contracts/worker_orders.rs
+++ b/crates/standins/tests/contracts/worker_orders.rs
@@ -9,8 +9,8 @@
 };
 use jasminebend_ports::{
     EpochAdoption,
-    HttpWorkers,
-    TaskEvent,
+    HttpWorkerTransport,
+    RunCompletion,
     TaskOrder,
     WorkerError,
     WorkerPort, //
@@ -106,7 +106,7 @@
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     worker.clock.advance(4 * SECOND);
-    let finished = TaskEvent::Finished {
+    let finished = RunCompletion::Finished {
         result: "done 7/1".to_owned(),
     };
     for _ in 0..2 {
@@ -179,7 +179,7 @@
         let expected = if fits {
             Ok(())
         } else {
-            Err(WorkerError::NoRoom)
+            Err(WorkerError::InsufficientCapacity)
         };
         assert_eq!(worker.start(order).await, expected, "{reserved:?}");
     }
@@ -270,7 +270,7 @@
         epoch: EPOCH.next(),
         lease: LEASE,
     };
-    let other = HttpWorkers::new().with_local_address(cut_off);
+    let other = HttpWorkerTransport::new().with_local_address(cut_off);
     let answer = other.adopt(worker.address, adoption).await;
     assert_eq!(answer, Err(WorkerError::Unknown));
     worker.adopt(EPOCH).await.unwrap();
--- a/crates/standins/tests/contracts/worker_runs.rs
+++ b/crates/standins/tests/contracts/worker_runs.rs
@@ -4,7 +4,7 @@
 
 use jasminebend_base::ResourceAmount;
 use jasminebend_ports::{
-    TaskEvent,
+    RunCompletion,
     TaskOrder,
     WorkerError, //
 };
@@ -43,8 +43,8 @@
     assert_eq!(worker.stand_in.running(), []);
     let tasks = worker.adopt(EPOCH).await.unwrap().tasks;
     let ends: Vec<_> = tasks.into_iter().map(|task| task.ended).collect();
-    assert_eq!(ends[0], Some(TaskEvent::Lapsed { checkpoint: None }));
-    let Some(TaskEvent::Lapsed { checkpoint }) = ends[1].clone() else {
+    assert_eq!(ends[0], Some(RunCompletion::Lapsed { checkpoint: None }));
+    let Some(RunCompletion::Lapsed { checkpoint }) = ends[1].clone() else {
         panic!("{ends:?}");
     };
     let resumed = TaskOrder {
@@ -218,7 +218,7 @@
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     worker.clock.advance(SECOND);
-    let failed = TaskEvent::Failed { code: 1 };
+    let failed = RunCompletion::Failed { code: 1 };
     assert_eq!(worker.completions().await, [(run(1, 1), Some(failed))]);
 }
 
--- a/crates/standins/tests/fuzz/adapters.rs
+++ b/crates/standins/tests/fuzz/adapters.rs
@@ -12,9 +12,9 @@
 use jasminebend_ports::{
     AnswerFormat,
     CommitOutcome,
-    HttpTable,
+    HttpTableService,
     HttpVmList,
-    HttpWorkers,
+    HttpWorkerTransport,
     LeaseRenewal,
     TableError,
     TableService,
@@ -77,12 +77,12 @@
         let answer = mutate_input(source, &valid)?;
         let refuses = answer.starts_with(b"HTTP/1.1 4");
         server.once(EndpointFault::Raw(answer.clone().into()));
-        let table = HttpTable::new(address).with_timeout(CALL_TIMEOUT);
+        let table = HttpTableService::new(address).with_timeout(CALL_TIMEOUT);
         let outcome = runtime.block_on(table.commit(WriteId(1), Vec::new()));
         let contradicts = match outcome {
             Ok(CommitOutcome::Committed(_)) => false,
             Ok(CommitOutcome::Conflict { .. }) => true,
-            Err(error) => error.surely_not_run() && !refuses,
+            Err(error) => error.certainly_had_no_effect() && !refuses,
         };
         assert!(!contradicts, "{outcome:?} for {}", answer.escape_ascii());
         Ok(())
@@ -102,11 +102,11 @@
         usage_limit: 1000,
     };
     runtime.block_on(async {
-        let table = HttpTable::new(address);
+        let table = HttpTableService::new(address);
         let read = table.read(&"a".into()).await;
         assert_eq!(read, Err(TableError::Malformed));
         assert!(HttpVmList::new(address).read().await.is_err());
-        let report = HttpWorkers::new().renew(address, renewal).await;
+        let report = HttpWorkerTransport::new().renew(address, renewal).await;
         assert_eq!(report, Err(WorkerError::Unknown));
     });
 }
@@ -133,7 +133,7 @@
             acknowledged: Vec::new(),
             usage_limit: 1000,
         };
-        let workers = HttpWorkers::new().with_timeout(CALL_TIMEOUT);
+        let workers = HttpWorkerTransport::new().with_timeout(CALL_TIMEOUT);
         let report = runtime.block_on(workers.renew(address, renewal));
         let unreached = report == Err(WorkerError::Unreachable);
         assert!(!unreached || refuses, "{}", answer.escape_ascii());
@@ -157,7 +157,7 @@
                 acknowledged: Vec::new(),
                 usage_limit: 1000,
             };
-            let report = runtime.block_on(HttpWorkers::new().renew(address, renewal));
+            let report = runtime.block_on(HttpWorkerTransport::new().renew(address, renewal));
             assert_eq!(report.is_ok(), is_report, "{format:?} {suffix}");
         }
     }
--- a/crates/standins/tests/fuzz/configuration.rs
+++ b/crates/standins/tests/fuzz/configuration.rs
@@ -38,7 +38,7 @@
 #[test]
 fn the_document_under_test_is_valid() {
     let document: Configuration = serde_saphyr::from_str(DOCUMENT).unwrap();
-    assert_eq!(document.check(), Ok(()));
+    assert_eq!(document.validate(), Ok(()));
     assert_eq!((document.domains.len(), document.classes.len()), (2, 2));
 }
 
@@ -54,10 +54,10 @@
         };
         accepted += 1;
         // The check of any document terminates, and the stored form of the document is read back unchanged.
-        let checked = document.check();
+        let checked = document.validate();
         let kept = serde_json::to_vec(&document).unwrap();
         let again: Configuration = serde_json::from_slice(&kept).unwrap();
-        assert_eq!(again.check(), checked, "{text}");
+        assert_eq!(again.validate(), checked, "{text}");
         assert_eq!(again, document, "{text}");
         Ok(())
     });
--- a/crates/wire/src/key_ring.rs
+++ b/crates/wire/src/key_ring.rs
@@ -25,7 +25,7 @@
     }
 
     /// Sets a further key with which frames are accepted.
-    pub fn with_next(mut self, next: PeerKey) -> Self {
+    pub fn with_next_key(mut self, next: PeerKey) -> Self {
         self.next = Some(next);
         self
     }
--- a/crates/wire/tests/peer_codec.rs
+++ b/crates/wire/tests/peer_codec.rs
@@ -151,8 +151,8 @@
 fn daemons_in_successive_steps_of_a_key_replacement_accept_each_other() {
     let rings = [
         KeyRing::new(key_of_byte(1)),
-        KeyRing::new(key_of_byte(1)).with_next(key_of_byte(2)),
-        KeyRing::new(key_of_byte(2)).with_next(key_of_byte(1)),
+        KeyRing::new(key_of_byte(1)).with_next_key(key_of_byte(2)),
+        KeyRing::new(key_of_byte(2)).with_next_key(key_of_byte(1)),
         KeyRing::new(key_of_byte(2)),
     ];
     for pair in rings.windows(2) {
