--- a/crates/jasminebend/src/access_keys.rs
+++ b/crates/jasminebend/src/access_keys.rs
@@ -38,6 +38,7 @@
     current: RwLock<LoadedKeys>,
 }
 
+/// The keys as last loaded; `None` where the settings name no file.
 #[derive(Clone, Debug)]
 struct LoadedKeys {
     tls: Option<Arc<ServerConfig>>,
--- a/crates/jasminebend/src/daemon_runner.rs
+++ b/crates/jasminebend/src/daemon_runner.rs
@@ -45,7 +45,7 @@
         () = signals.ignore_further() => {}
     }
     drop(watcher_stop);
-    // The exporter's thread needs the runtime for its last request, so waiting for the thread must not block the runtime.
+    // The exporter's thread needs the runtime for its last request, so waiting for it must not block the runtime.
     drop(spawn_blocking(move || traces.finish()).await);
     Ok(())
 }
--- a/crates/jasminebend/src/demo_callers.rs
+++ b/crates/jasminebend/src/demo_callers.rs
@@ -56,7 +56,7 @@
 const EXECUTED_HEADER: &str = "jasminebend-executed";
 const REASON_HEADER: &str = "jasminebend-reason";
 
-/// A class of requests that the demonstration's callers send.
+/// A class of requests that the demonstration's callers send, with its statistics.
 pub(crate) struct RequestKind {
     pub(crate) name: &'static str,
     pub(crate) method: Method,
--- a/crates/jasminebend/src/demo_daemons.rs
+++ b/crates/jasminebend/src/demo_daemons.rs
@@ -65,7 +65,7 @@
         };
         for domain in DOMAINS {
             daemons
-                .start_one(environment, &DomainName::from(domain))
+                .start_daemon(environment, &DomainName::from(domain))
                 .await?;
         }
         tokio::spawn(daemons.balancer.clone().watch());
@@ -74,7 +74,7 @@
     }
 
     /// Starts a daemon on a new VM.
-    pub(crate) async fn start_one(
+    pub(crate) async fn start_daemon(
         &mut self,
         environment: &DemoEnvironment,
         domain: &DomainName,
@@ -90,7 +90,7 @@
     }
 
     /// Kills the daemon that was started last, as if its VM was lost.
-    pub(crate) fn kill_one(&mut self, environment: &DemoEnvironment) {
+    pub(crate) fn kill_newest(&mut self, environment: &DemoEnvironment) {
         let Some((name, daemon)) = self.running.pop() else {
             return;
         };
--- a/crates/jasminebend/src/demo_faults.rs
+++ b/crates/jasminebend/src/demo_faults.rs
@@ -156,8 +156,8 @@
     daemons: &mut DemoDaemons,
 ) -> Result<(), DemoError> {
     println!("The daemon in `{REPLACED_DAEMON_DOMAIN}` is lost, and another one is started.");
-    daemons.kill_one(environment);
+    daemons.kill_newest(environment);
     daemons
-        .start_one(environment, &DomainName::from(REPLACED_DAEMON_DOMAIN))
+        .start_daemon(environment, &DomainName::from(REPLACED_DAEMON_DOMAIN))
         .await
 }
--- a/crates/jasminebend/src/demo_operator.rs
+++ b/crates/jasminebend/src/demo_operator.rs
@@ -41,10 +41,10 @@
     ) -> Result<(), OperatorRequestError> {
         let body = serde_json::to_vec(configuration).unwrap_or_default();
         let expected = configuration.version.to_string();
-        let call = OperatorRequest::new(Method::PUT, "/v1/configuration")
+        let request = OperatorRequest::new(Method::PUT, "/v1/configuration")
             .with_body(body)
             .with_version(expected);
-        self.send(daemon, call).await.map(drop)
+        self.send(daemon, request).await.map(drop)
     }
 
     /// Takes a failure domain out or in.
@@ -54,8 +54,8 @@
         domain: &DomainName,
         state: DomainState,
     ) -> Result<(), OperatorRequestError> {
-        let call = OperatorRequest::new(Method::POST, &format!("/v1/domains/{domain}/{state}"));
-        self.send(daemon, call).await.map(drop)
+        let request = OperatorRequest::new(Method::POST, &format!("/v1/domains/{domain}/{state}"));
+        self.send(daemon, request).await.map(drop)
     }
 
     /// Submits a job and returns its identifier.
@@ -64,16 +64,17 @@
         daemon: SocketAddr,
         job: &Value,
     ) -> Result<String, OperatorRequestError> {
-        let call = OperatorRequest::new(Method::POST, "/v1/jobs").with_body(job.to_string().into());
-        let answer = self.send(daemon, call).await?;
+        let request =
+            OperatorRequest::new(Method::POST, "/v1/jobs").with_body(job.to_string().into());
+        let answer = self.send(daemon, request).await?;
         let job = answer.get("job").and_then(Value::as_str);
         Ok(job.unwrap_or_default().to_owned())
     }
 
     /// Returns whether the daemon's readiness check succeeds.
     pub(crate) async fn is_ready(&self, daemon: SocketAddr) -> bool {
-        let call = OperatorRequest::new(Method::GET, "/readyz");
-        match self.client.call(daemon, call.request()).await {
+        let request = OperatorRequest::new(Method::GET, "/readyz");
+        match self.client.call(daemon, request.to_http()).await {
             Ok(response) => response.status() == StatusCode::OK,
             Err(_) => false,
         }
@@ -83,15 +84,15 @@
     async fn send(
         &self,
         daemon: SocketAddr,
-        call: OperatorRequest,
+        request: OperatorRequest,
     ) -> Result<Value, OperatorRequestError> {
-        let answered = self.client.call(daemon, call.request()).await;
-        let Ok(response) = answered else {
-            return Err(call.error(0, "no answer"));
+        let result = self.client.call(daemon, request.to_http()).await;
+        let Ok(response) = result else {
+            return Err(request.error(0, "no answer"));
         };
         let text = String::from_utf8_lossy(response.body());
         if !response.status().is_success() {
-            return Err(call.error(response.status().as_u16(), &text));
+            return Err(request.error(response.status().as_u16(), &text));
         }
         Ok(serde_json::from_str(&text).unwrap_or_default())
     }
@@ -126,22 +127,23 @@
         self
     }
 
-    fn request(&self) -> Request<Full<Bytes>> {
-        let mut request = Request::new(Full::from(self.body.clone()));
-        *request.method_mut() = self.method.clone();
+    fn to_http(&self) -> Request<Full<Bytes>> {
+        let mut http_request = Request::new(Full::from(self.body.clone()));
+        *http_request.method_mut() = self.method.clone();
         if let Ok(uri) = self.path.parse() {
-            *request.uri_mut() = uri;
+            *http_request.uri_mut() = uri;
         }
         let version = self
             .version
             .as_ref()
             .and_then(|version| version.parse().ok());
         if let Some(version) = version {
-            request.headers_mut().insert(IF_MATCH, version);
+            http_request.headers_mut().insert(IF_MATCH, version);
         }
-        request
+        http_request
     }
 
+    /// Builds the error of this request from the status and body of its response.
     fn error(&self, status: u16, answer: &str) -> OperatorRequestError {
         OperatorRequestError {
             request: format!("{} {}", self.method, self.path),
--- a/crates/jasminebend/src/demo_request_stats.rs
+++ b/crates/jasminebend/src/demo_request_stats.rs
@@ -36,6 +36,7 @@
     state: Mutex<StatsState>,
 }
 
+/// The data behind the lock of [`RequestStats`].
 struct StatsState {
     sent: u64,
     /// The identifier and outcome of each completed request.
--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -96,7 +96,7 @@
     ///
     /// A daemon that started while the VM list was unreachable knows no endpoints and would refuse every caller, while
     /// the other daemons still know the list that they read before.
-    fn knows_vms(&self) -> bool {
+    fn has_vm_list(&self) -> bool {
         let configuration = self.configuration();
         let mut classes = configuration.classes.iter();
         let has_services = classes.any(|class| class.kind == ClassKind::Service);
@@ -157,7 +157,7 @@
     fn ready(&self) -> bool {
         !self.is_stopping()
             && self.cluster.is_ready()
-            && self.knows_vms()
+            && self.has_vm_list()
             && self.slots_ready.load(Ordering::Relaxed)
     }
 
@@ -271,7 +271,7 @@
     }
 }
 
-/// Converts a job's status to JSON, with the job's identifier as sixteen hexadecimal digits, as a submission returns it.
+/// Converts a job's status to JSON. The job's identifier has sixteen hexadecimal digits, as a submission returns it.
 ///
 /// Many JSON parsers lose the last digits of so large a number.
 fn job_status_json(status: &JobStatus) -> serde_json::Value {
--- a/crates/jasminebend/src/limit_settings.rs
+++ b/crates/jasminebend/src/limit_settings.rs
@@ -70,6 +70,7 @@
     }
 }
 
+/// The unparsed section `limits`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawLimits {
--- a/crates/jasminebend/src/listen_settings.rs
+++ b/crates/jasminebend/src/listen_settings.rs
@@ -79,6 +79,7 @@
     }
 }
 
+/// The unparsed section `listen`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawListen {
@@ -142,12 +143,10 @@
             ("listen.health", listen.health, &self.health),
         ];
         for (index, (key, address, raw)) in all.iter().enumerate() {
-            let duplicate = all[..index]
+            let earlier = all[..index]
                 .iter()
                 .find(|(_, other, _)| same_fixed_address(*address, *other));
-            let Some((other, ..)) = duplicate else {
-                continue;
-            };
+            let Some((other, ..)) = earlier else { continue };
             return Err(SettingsError::SharedAddress {
                 line: line_of(raw.as_ref()),
                 key,
--- a/crates/jasminebend/src/log_settings.rs
+++ b/crates/jasminebend/src/log_settings.rs
@@ -22,6 +22,7 @@
     pub level: LogLevel,
 }
 
+/// The unparsed section `log`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawLog {
--- a/crates/jasminebend/src/metrics_exporter.rs
+++ b/crates/jasminebend/src/metrics_exporter.rs
@@ -27,8 +27,8 @@
         self.handle.render()
     }
 
-    /// Aggregates the histogram values that were recorded since the last call. Must be called every few seconds to bound
-    /// the memory that histograms use between two scrapes.
+    /// Aggregates the histogram values that were recorded since the last call. Must be called every few seconds to
+    /// bound the memory that histograms use between two scrapes.
     pub fn run_maintenance(&self) {
         self.handle.run_upkeep();
     }
--- a/crates/jasminebend/src/platform_settings.rs
+++ b/crates/jasminebend/src/platform_settings.rs
@@ -67,6 +67,7 @@
     address.ip().to_canonical().is_loopback()
 }
 
+/// The unparsed section `platform`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawPlatform {
--- a/crates/jasminebend/src/raw_settings.rs
+++ b/crates/jasminebend/src/raw_settings.rs
@@ -81,12 +81,14 @@
     drain: OptionalKey<Spanned<RawDrain>>,
 }
 
+/// The unparsed section `peers`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawPeers {
     pub(crate) key_file: OptionalKey<RawText>,
 }
 
+/// The unparsed section `drain`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 struct RawDrain {
@@ -117,10 +119,10 @@
 
     /// Rejects a loopback peer address while the platform is off loopback.
     ///
-    /// A different daemon that answers at a seat holder's peer address proves that the holder has terminated. If two VMs
-    /// used the same loopback address, each daemon would take itself for that proof against the other, and both would
-    /// use the slots of one seat. An address of the VM itself belongs to no other VM, and a platform on loopback has no
-    /// daemons on other VMs.
+    /// A different daemon that answers at a seat holder's peer address proves that the holder has terminated. If two
+    /// VMs used the same loopback address, each daemon would be that proof against the other, and both would use the
+    /// slots of one seat. An address of the VM itself belongs to no other VM, and a platform on loopback has no daemons
+    /// on other VMs.
     fn check_peers(
         &self,
         listen: ListenSettings,
--- a/crates/jasminebend/src/tls_settings.rs
+++ b/crates/jasminebend/src/tls_settings.rs
@@ -26,6 +26,7 @@
     pub key_file: PathBuf,
 }
 
+/// The unparsed section `tls`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawTls {
--- a/crates/jasminebend/src/token_attempt_limiter.rs
+++ b/crates/jasminebend/src/token_attempt_limiter.rs
@@ -32,6 +32,7 @@
     last_logged: Option<Duration>,
 }
 
+/// The token bucket of one address.
 #[derive(Clone, Copy, Debug)]
 struct AttemptBucket {
     /// The number of attempts left at the time of `updated`.
@@ -130,6 +131,7 @@
 }
 
 impl AttemptBucket {
+    /// Returns the number of attempts left at the time `now`.
     fn level_at(self, now: Duration) -> f64 {
         let gained = now.saturating_sub(self.updated).as_secs_f64() * ATTEMPTS_PER_SECOND;
         (self.level + gained).min(MAX_BURST_ATTEMPTS)
--- a/crates/jasminebend/src/token_table.rs
+++ b/crates/jasminebend/src/token_table.rs
@@ -16,6 +16,7 @@
     entries: Vec<TokenEntry>,
 }
 
+/// An operator and the digest of their token.
 #[derive(Clone, Debug)]
 struct TokenEntry {
     identity: OperatorIdentity,
--- a/crates/jasminebend/src/trace_settings.rs
+++ b/crates/jasminebend/src/trace_settings.rs
@@ -27,8 +27,8 @@
 pub struct TraceSettings {
     /// The address of the OTLP/HTTP collector.
     pub collector: SocketAddr,
-    /// The ratio, from 0 to 1, of the traces started by this daemon that are sampled. A trace started by a caller follows
-    /// the caller's sampling decision.
+    /// The ratio, from 0 to 1, of the traces started by this daemon that are sampled. A trace started by a caller
+    /// follows the caller's sampling decision.
     pub sample_ratio: f64,
     /// The greatest number of spans that wait to be exported; further spans are dropped.
     pub queue: usize,
@@ -51,6 +51,7 @@
     }
 }
 
+/// The unparsed section `traces`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(crate) struct RawTraces {
--- a/crates/jasminebend/tests/daemon/peer_faults.rs
+++ b/crates/jasminebend/tests/daemon/peer_faults.rs
@@ -55,7 +55,8 @@
     range.unwrap_or(DEFAULT_SEEDS)
 }
 
-/// Kills, pauses, resumes or gracefully replaces a random daemon. The exit codes of replaced daemons go to `exit_codes`.
+/// Kills, pauses, resumes or gracefully replaces a random daemon. `exit_codes` gets the exit codes of gracefully
+/// replaced daemons.
 fn inject_fault(
     programs: &mut Vec<RunningProgram>,
     random: &mut StdRng,
--- a/crates/jasminebend/tests/daemon/rolling_replacement.rs
+++ b/crates/jasminebend/tests/daemon/rolling_replacement.rs
@@ -31,8 +31,8 @@
 const CALLER_COUNT: usize = 6;
 const SETTINGS_LINES: &str = "drain:\n  balancer_lag: 400ms\n";
 
-/// What a daemon logs when it considers another one terminated, which must not happen to a daemon that runs or that has
-/// left gracefully.
+/// What a daemon logs when it considers another one terminated, which must not happen to a daemon that runs or has left
+/// gracefully.
 const TERMINATED_LOG_TEXT: &str = "has terminated";
 
 /// Operators roll out a new image: each daemon is stopped and another one is started in its place, while the balancer
