--- a/crates/jasminebend/tests/daemon/crash.rs
+++ b/crates/jasminebend/tests/daemon/crash.rs
@@ -39,8 +39,8 @@
 /// take over its seat.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_daemons_slots_and_seat_are_taken_over() {
-    let platform = TestPlatform::start_with(SERVICE_TIME, ENDPOINT_COUNT).await;
-    let settings = platform.settings_file_of(DAEMON_COUNT, SETTINGS_LINES);
+    let platform = TestPlatform::start_with_endpoints(SERVICE_TIME, ENDPOINT_COUNT).await;
+    let settings = platform.settings_file_for(DAEMON_COUNT, SETTINGS_LINES);
     let mut programs: Vec<_> = (0..DAEMON_COUNT)
         .map(|_| RunningProgram::start(&settings))
         .collect();
--- a/crates/jasminebend/tests/daemon/peer_faults.rs
+++ b/crates/jasminebend/tests/daemon/peer_faults.rs
@@ -87,8 +87,8 @@
 async fn daemons_survive_faults_of_their_peers() {
     for seed in seeds() {
         let mut random = StdRng::seed_from_u64(seed);
-        let platform = TestPlatform::start_with(SERVICE_TIME, ENDPOINT_COUNT).await;
-        let settings = platform.settings_file_of(DAEMON_COUNT, SETTINGS_LINES);
+        let platform = TestPlatform::start_with_endpoints(SERVICE_TIME, ENDPOINT_COUNT).await;
+        let settings = platform.settings_file_for(DAEMON_COUNT, SETTINGS_LINES);
         let start = || RunningProgram::start(&settings);
         let mut programs: Vec<_> = (0..DAEMON_COUNT).map(|_| start()).collect();
         configure(programs[0].admin, &configuration()).await;
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -80,11 +80,11 @@
 impl TestPlatform {
     /// Starts a platform with one endpoint, which works for `service_time` on each request.
     pub(crate) async fn start(service_time: Duration) -> Self {
-        Self::start_with(service_time, 1).await
+        Self::start_with_endpoints(service_time, 1).await
     }
 
     /// Starts a platform with this number of endpoints.
-    pub(crate) async fn start_with(service_time: Duration, endpoints: u32) -> Self {
+    pub(crate) async fn start_with_endpoints(service_time: Duration, endpoints: u32) -> Self {
         let ledger = Arc::new(EndpointLedger::new());
         let runs = Arc::new(RunLedger::new());
         let mut fleet = worker_fleet(&runs);
@@ -162,11 +162,11 @@
 
     /// Writes a settings file for a single daemon, with `lines` appended.
     pub(crate) fn settings_file(&self, lines: &str) -> PathBuf {
-        self.settings_file_of(1, lines)
+        self.settings_file_for(1, lines)
     }
 
     /// Writes a settings file for this number of daemons, with `lines` appended.
-    pub(crate) fn settings_file_of(&self, daemons: u8, lines: &str) -> PathBuf {
+    pub(crate) fn settings_file_for(&self, daemons: u8, lines: &str) -> PathBuf {
         let shares = u16::from(daemons) * 4;
         let path = self.directory.join("settings.yaml");
         let sizes = format!("seats: {daemons}\nslot_shares: {shares}\n");
--- a/crates/jasminebend/tests/daemon/rolling_replacement.rs
+++ b/crates/jasminebend/tests/daemon/rolling_replacement.rs
@@ -40,8 +40,9 @@
 /// to a new one must never be used by both.
 #[tokio::test(flavor = "multi_thread")]
 async fn replacing_every_daemon_loses_no_order() {
-    let platform = TestPlatform::start_with(Duration::from_millis(5), ENDPOINT_COUNT).await;
-    let settings = platform.settings_file_of(DAEMON_COUNT, SETTINGS_LINES);
+    let platform =
+        TestPlatform::start_with_endpoints(Duration::from_millis(5), ENDPOINT_COUNT).await;
+    let settings = platform.settings_file_for(DAEMON_COUNT, SETTINGS_LINES);
     let mut programs = Vec::new();
     for _ in 0..DAEMON_COUNT {
         programs.push(RunningProgram::start(&settings));
