--- a/crates/cluster/src/health_report.rs
+++ b/crates/cluster/src/health_report.rs
@@ -29,8 +29,8 @@
         match may_start {
             true => info!("[cluster] This daemon may start work."),
             false => warn!(
-                "[cluster] This daemon may not start work: neither the table nor more than half of \
-                 the members confirm its seat and its configuration."
+                "[cluster] This daemon starts no work: it cannot confirm its seat and the \
+                 configuration, by the table or by more than half of the members."
             ),
         }
     }
--- a/crates/cluster/src/table_access.rs
+++ b/crates/cluster/src/table_access.rs
@@ -138,8 +138,8 @@
     /// Logs when the table becomes unreadable or readable.
     pub(crate) fn record_table_error(&mut self, error: Option<&RowError>) {
         match (error, self.table_unreadable) {
-            (Some(error), false) => warn!("[cluster] The shared rows cannot be read: {}.", error),
-            (None, true) => info!("[cluster] The shared rows can be read again."),
+            (Some(error), false) => warn!("[cluster] The table cannot be read: {}.", error),
+            (None, true) => info!("[cluster] The table can be read again."),
             _ => (),
         }
         self.table_unreadable = error.is_some();
--- a/crates/gateway/src/caller_server.rs
+++ b/crates/gateway/src/caller_server.rs
@@ -79,7 +79,7 @@
         };
         let Ok((stream, address)) = accepted else {
             // The likely cause is the limit of open files; retrying at once would be a busy loop.
-            warn!("[gateway] Accepting a connection failed; retrying.");
+            warn!("[gateway] Cannot accept callers for now.");
             sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -160,7 +160,7 @@
     loop {
         let Ok((pool_updater, completion)) = Actor::spawn(None, PoolUpdater, state.clone()).await
         else {
-            error!("[gateway] The pool updater did not start; retrying.");
+            error!("[gateway] The keeper of the pools did not start.");
             sleep(POOL_UPDATER_RESTART_DELAY).await;
             continue;
         };
@@ -174,7 +174,7 @@
         if gateway.strong_count() == 0 {
             return;
         }
-        error!("[gateway] The pool updater stopped early; restarting it.");
+        error!("[gateway] The keeper of the pools ended early and starts anew.");
         sleep(POOL_UPDATER_RESTART_DELAY).await;
     }
 }
--- a/crates/gateway/src/key_store.rs
+++ b/crates/gateway/src/key_store.rs
@@ -170,18 +170,14 @@
         let mut running_requests = self.running_requests.subscribe();
         let all_complete = running_requests.wait_for(|count| *count == 0);
         if timeout(longest_request, all_complete).await.is_err() {
-            warn!(
-                "[gateway] Requests with idempotency keys are still running after the longest request; not waiting for them."
-            );
+            warn!("[gateway] Requests with idempotency keys are still running at the end.");
         }
         let Some(writer) = self.live_writer() else {
             return;
         };
         let flush_result = writer.call(WriterMessage::Flush, Some(FLUSH_TIMEOUT)).await;
         if !matches!(flush_result, Ok(CallResult::Success(()))) {
-            error!(
-                "[gateway] The outcomes of some requests with idempotency keys were not written in time."
-            );
+            error!("[gateway] Some requests' outcomes were not kept before the end.");
         }
     }
 
--- a/crates/gateway/src/key_sweeper.rs
+++ b/crates/gateway/src/key_sweeper.rs
@@ -51,7 +51,7 @@
             Ok(false) => idle_pause,
             Err(error) => {
                 warn!(
-                    "[gateway] Removing expired idempotency keys failed: {}.",
+                    "[gateway] Old idempotency keys were not removed: {}.",
                     error
                 );
                 idle_pause
--- a/crates/gateway/src/key_writer.rs
+++ b/crates/gateway/src/key_writer.rs
@@ -108,9 +108,7 @@
             WritePurpose::Reserve { .. } => {
                 drop(write.on_error(TableError::Refused, Duration::MAX))
             }
-            WritePurpose::RecordOutcome => error!(
-                "[gateway] Too many writes are pending; dropped the outcome of a request with an idempotency key."
-            ),
+            WritePurpose::RecordOutcome => error!("[gateway] Gave up keeping a request's outcome."),
         }
     }
 
@@ -177,7 +175,7 @@
                 });
             }
             Err(error) => {
-                warn!("[gateway] Writing idempotency keys failed: {}.", error);
+                warn!("[gateway] Idempotency keys were not written: {}.", error);
                 let now = self.clock.monotonic();
                 self.requeue(batch, |write| write.on_error(error, now));
                 myself.send_after(RETRY_DELAY, || WriterMessage::Resume);
--- a/crates/gateway/src/keyed_delivery.rs
+++ b/crates/gateway/src/keyed_delivery.rs
@@ -89,7 +89,7 @@
     Delivery: Future<Output = Result<Response<ResponseBody>, Refusal>> + Send + 'static,
 {
     tokio::spawn(delivery).await.unwrap_or_else(|_| {
-        warn!("[gateway] The task of a request with an idempotency key failed; its outcome is unknown.");
+        warn!("[gateway] A request's task ended early.");
         Err(Refusal::EndpointFailed)
     })
 }
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -236,10 +236,7 @@
         drop(state);
         counter!(SILENT_CONNECTIONS_METRIC, "service" => self.service.to_string()).increment(1);
         if may_warn {
-            warn!(
-                "[gateway] A connection to an endpoint of service {} went silent.",
-                self.service
-            );
+            warn!("[gateway] A connection to {} went silent.", self.service);
         }
     }
 
--- a/crates/jasminebend/src/admin_change.rs
+++ b/crates/jasminebend/src/admin_change.rs
@@ -101,7 +101,7 @@
                 format!("replaced the configuration of version {expected}")
             }
             Self::SetDomain { name, state, force } => {
-                let force = if *force { " with force=true" } else { "" };
+                let force = if *force { " by force" } else { "" };
                 format!("took the failure domain {name} {state}{force}")
             }
             Self::SubmitJob(body) => format!("submitted a job of {} bytes", body.len()),
