--- a/crates/cluster/tests/cluster/configuration.rs
+++ b/crates/cluster/tests/cluster/configuration.rs
@@ -171,9 +171,9 @@
             let (cluster, handles) = start_with_domains(3).await;
             wait_until_in_force(&handles, 1).await;
             for _ in 0..skipped {
-                cluster.table.faults().pass(CallKind::Commit);
+                cluster.table.faults().queue_success(CallKind::Commit);
             }
-            cluster.table.faults().once(CallKind::Commit, fault);
+            cluster.table.faults().queue_fault(CallKind::Commit, fault);
             let change = set_domain_state("east", DomainState::Out, false);
             let version = handles[0].propose(change).await;
             let version = version.unwrap_or_else(|error| panic!("{fault:?} {skipped}: {error}"));
--- a/crates/cluster/tests/cluster/outages.rs
+++ b/crates/cluster/tests/cluster/outages.rs
@@ -267,7 +267,7 @@
     cluster
         .table
         .faults()
-        .once(CallKind::Commit, FaultKind::LoseAnswer);
+        .queue_fault(CallKind::Commit, FaultKind::LoseAnswer);
     check_exclusive_holders(&handles, 20_000).await;
     wait_until_balanced(&handles).await;
 }
--- a/crates/dispatch/tests/common/fleet.rs
+++ b/crates/dispatch/tests/common/fleet.rs
@@ -21,9 +21,9 @@
     WorkerKey, //
 };
 use jasminebend_standins::{
-    StepWorker,
+    SimulatedWorker,
     TaskWork,
-    WorkerDeed, //
+    WorkerEvent, //
 };
 use rand::{
     SeedableRng,
@@ -70,7 +70,7 @@
 /// The workers, owners, stored records and messages in flight of a simulated fleet.
 pub(crate) struct Fleet {
     pub(crate) now: Duration,
-    pub(crate) workers: Vec<StepWorker>,
+    pub(crate) workers: Vec<SimulatedWorker>,
     /// The time until which each worker is unreachable.
     pub(crate) unreachable_until: Vec<Duration>,
     /// Whether each worker has left for good.
@@ -94,7 +94,7 @@
 /// Returns work of one core for 300 ms.
 fn default_work(_task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(300),
+        run_time: ms(300),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
@@ -105,10 +105,10 @@
     /// worker are 2% slow.
     pub(crate) fn new(workers: usize, seed: u64) -> Self {
         let start = ms(1000);
-        let workers: Vec<StepWorker> = (0..workers)
+        let workers: Vec<SimulatedWorker> = (0..workers)
             .map(|number| {
                 let rate = if number % 2 == 0 { 98 } else { 100 };
-                StepWorker::new(
+                SimulatedWorker::new(
                     &format!("worker-{number}"),
                     ResourceAmount::new(4000, 4000),
                     rate,
@@ -214,7 +214,7 @@
 
     /// Removes a worker for good: nothing listens at its address any more.
     pub(crate) fn remove_worker(&mut self, worker: usize) {
-        self.workers[worker].reboot(self.now);
+        self.workers[worker].restart(self.now);
         self.has_left[worker] = true;
         self.unreachable_until[worker] = Duration::MAX;
     }
@@ -233,9 +233,11 @@
 
     /// Returns how many runs of a job's tasks began.
     pub(crate) fn begin_count(&self, key: JobKey) -> usize {
-        let deeds = self.workers.iter().flat_map(|worker| worker.deeds());
-        deeds
-            .filter(|(_, deed)| matches!(deed, WorkerDeed::Began(task, _) if task.job() == key))
+        let events = self.workers.iter().flat_map(|worker| worker.events());
+        events
+            .filter(
+                |(_, event)| matches!(event, WorkerEvent::Started(task, _) if task.job() == key),
+            )
             .count()
     }
 
@@ -244,19 +246,19 @@
     pub(crate) fn check_invariants(&mut self) -> Vec<String> {
         let now = self.now;
         for worker in &mut self.workers {
-            worker.settle(now);
+            worker.advance_to(now);
         }
-        let mut deeds: Vec<(Duration, &WorkerDeed)> = Vec::new();
+        let mut events: Vec<(Duration, &WorkerEvent)> = Vec::new();
         for worker in &self.workers {
-            deeds.extend(worker.deeds().iter().map(|(at, deed)| (*at, deed)));
+            events.extend(worker.events().iter().map(|(at, event)| (*at, event)));
         }
-        deeds.sort_by_key(|(at, _)| *at);
+        events.sort_by_key(|(at, _)| *at);
         let mut running: IndexMap<TaskKey, u32> = IndexMap::new();
         let mut noted: IndexMap<TaskKey, Duration> = IndexMap::new();
         let mut violations = std::mem::take(&mut self.violations);
-        for (at, deed) in deeds {
-            match deed {
-                WorkerDeed::Began(task, run) => {
+        for (at, event) in events {
+            match event {
+                WorkerEvent::Started(task, run) => {
                     let count = running.entry(*task).or_insert(0);
                     *count += 1;
                     if *count > 1 {
@@ -266,14 +268,14 @@
                         violations.push(format!("{task} began at {at:?} after its end was noted"));
                     }
                 }
-                WorkerDeed::Ended(task, ..) => {
+                WorkerEvent::Ended(task, ..) => {
                     let count = running.entry(*task).or_insert(1);
                     *count = count.saturating_sub(1);
                 }
-                WorkerDeed::Noted(task, RunResult::Done) => {
+                WorkerEvent::Acknowledged(task, RunResult::Done) => {
                     noted.entry(*task).or_insert(at);
                 }
-                WorkerDeed::Noted(..) => {}
+                WorkerEvent::Acknowledged(..) => {}
             }
         }
         violations
--- a/crates/dispatch/tests/common/fleet_messages.rs
+++ b/crates/dispatch/tests/common/fleet_messages.rs
@@ -164,7 +164,7 @@
                         Err(OrderOutcome::Refused(OrderRefusal::Closed))
                     }
                     true => Err(OrderOutcome::Unknown),
-                    false => self.workers[key.index()].hold(now, owner as u64 + 1, order),
+                    false => self.workers[key.index()].renew_lease(now, owner as u64 + 1, order),
                 };
                 let wait = if is_unreachable {
                     CALL_TIMEOUT
--- a/crates/dispatch/tests/long_running_admission.rs
+++ b/crates/dispatch/tests/long_running_admission.rs
@@ -43,7 +43,7 @@
 fn job_work(task: TaskKey) -> TaskWork {
     let lasts = task.job() >= JobKey::new(FIRST_LONG_RUNNING_KEY);
     TaskWork {
-        lasts: ms(if lasts { 90_000 } else { 500 }),
+        run_time: ms(if lasts { 90_000 } else { 500 }),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
--- a/crates/dispatch/tests/overload.rs
+++ b/crates/dispatch/tests/overload.rs
@@ -113,7 +113,7 @@
 #[test]
 fn stops_are_not_repeated_to_a_silent_worker() {
     let mut fleet = Fleet::new(1, 1).with_work(|_| jasminebend_standins::TaskWork {
-        lasts: ms(60_000),
+        run_time: ms(60_000),
         fails: false,
         size: jasminebend_base::ResourceAmount::new(1000, 100),
     });
--- a/crates/dispatch/tests/placement.rs
+++ b/crates/dispatch/tests/placement.rs
@@ -31,16 +31,16 @@
 };
 use jasminebend_standins::{
     TaskWork,
-    WorkerDeed, //
+    WorkerEvent, //
 };
 
 const COMPLETED: Option<JobProgress> = Some(JobProgress::Ended(JobOutcome::Completed));
 
 /// Returns the tasks that a worker has begun, in order.
 fn tasks_begun(fleet: &Fleet, worker: usize) -> Vec<TaskKey> {
-    let deeds = fleet.workers[worker].deeds().iter();
-    let tasks_begun = deeds.filter_map(|(_, deed)| match deed {
-        WorkerDeed::Began(task, _) => Some(*task),
+    let events = fleet.workers[worker].events().iter();
+    let tasks_begun = events.filter_map(|(_, event)| match event {
+        WorkerEvent::Started(task, _) => Some(*task),
         _ => None,
     });
     tasks_begun.collect()
@@ -50,32 +50,32 @@
 fn first_event_time(
     fleet: &Fleet,
     task: &str,
-    wanted: fn(&WorkerDeed) -> bool,
+    wanted: fn(&WorkerEvent) -> bool,
 ) -> Option<Duration> {
     let task: TaskKey = task.parse().unwrap();
-    let deeds = fleet.workers.iter().flat_map(|worker| worker.deeds());
-    let mut times = deeds.filter_map(|(at, deed)| {
-        let named = match deed {
-            WorkerDeed::Began(named, _) | WorkerDeed::Ended(named, ..) => *named,
-            WorkerDeed::Noted(named, _) => *named,
+    let events = fleet.workers.iter().flat_map(|worker| worker.events());
+    let mut times = events.filter_map(|(at, event)| {
+        let named = match event {
+            WorkerEvent::Started(named, _) | WorkerEvent::Ended(named, ..) => *named,
+            WorkerEvent::Acknowledged(named, _) => *named,
         };
-        (named == task && wanted(deed)).then_some(*at)
+        (named == task && wanted(event)).then_some(*at)
     });
     times.next()
 }
 
-fn is_begun(deed: &WorkerDeed) -> bool {
-    matches!(deed, WorkerDeed::Began(..))
+fn is_begun(event: &WorkerEvent) -> bool {
+    matches!(event, WorkerEvent::Started(..))
 }
 
-fn is_end(deed: &WorkerDeed) -> bool {
-    matches!(deed, WorkerDeed::Ended(..))
+fn is_end(event: &WorkerEvent) -> bool {
+    matches!(event, WorkerEvent::Ended(..))
 }
 
 /// Work of one core for a minute; the default is one core for 300 ms.
 fn one_minute_work(_task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(60_000),
+        run_time: ms(60_000),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
@@ -191,7 +191,7 @@
 
 fn always_fails(_task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(50),
+        run_time: ms(50),
         fails: true,
         size: ResourceAmount::new(1000, 100),
     }
@@ -303,7 +303,7 @@
 #[test]
 fn maintenance_drains_a_worker_within_the_tolerated_unavailability() {
     let mut fleet = Fleet::new(3, 1).with_work(|task| TaskWork {
-        lasts: Duration::MAX,
+        run_time: Duration::MAX,
         ..one_minute_work(task)
     });
     let lasting = StepSpec {
--- a/crates/dispatch/tests/schedules.rs
+++ b/crates/dispatch/tests/schedules.rs
@@ -78,7 +78,7 @@
 #[test]
 fn occurrences_start_when_due_and_may_overlap() {
     let mut fleet = Fleet::new(3, 1).with_work(|_| jasminebend_standins::TaskWork {
-        lasts: ms(3000),
+        run_time: ms(3000),
         fails: false,
         size: jasminebend_base::ResourceAmount::new(1000, 100),
     });
--- a/crates/dispatch/tests/simulation.rs
+++ b/crates/dispatch/tests/simulation.rs
@@ -24,7 +24,7 @@
 };
 use jasminebend_standins::{
     TaskWork,
-    WorkerDeed, //
+    WorkerEvent, //
 };
 use rand::{
     RngExt,
@@ -48,7 +48,7 @@
 /// Returns work of one core that lasts between 0.1 s and 2 s, by the task's index.
 fn mixed_work(task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(100 + u64::from(task.index) * 170 % 1900),
+        run_time: ms(100 + u64::from(task.index) * 170 % 1900),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
@@ -99,8 +99,8 @@
         2 => fleet.owner().suspended_until = now + time,
         3 => fleet.unreachable_until[worker] = now + time,
         4 => {
-            fleet.workers[worker].settle(now);
-            fleet.workers[worker].reboot(now);
+            fleet.workers[worker].advance_to(now);
+            fleet.workers[worker].restart(now);
             // A booting worker does not answer.
             fleet.unreachable_until[worker] = fleet.unreachable_until[worker].max(now + BOOT_TIME);
         }
@@ -146,9 +146,9 @@
 
 /// Returns the number of tasks of a job, over all its occurrences, that some worker has completed.
 fn completed_tasks(fleet: &Fleet, job: JobKey) -> usize {
-    let deeds = fleet.workers.iter().flat_map(|worker| worker.deeds());
-    let ended = deeds.filter_map(|(_, deed)| match deed {
-        WorkerDeed::Ended(task, _, RunResult::Done) if task.job() == job => Some(*task),
+    let events = fleet.workers.iter().flat_map(|worker| worker.events());
+    let ended = events.filter_map(|(_, event)| match event {
+        WorkerEvent::Ended(task, _, RunResult::Done) if task.job() == job => Some(*task),
         _ => None,
     });
     ended.collect::<std::collections::BTreeSet<TaskKey>>().len()
--- a/crates/dispatch/tests/takeover.rs
+++ b/crates/dispatch/tests/takeover.rs
@@ -19,7 +19,7 @@
 /// Returns work of one core that fails for the first task of a step.
 fn first_task_fails(task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(200),
+        run_time: ms(200),
         fails: task.index == 0,
         size: ResourceAmount::new(1000, 100),
     }
@@ -28,7 +28,7 @@
 /// Returns work of one core for 1.5 s.
 fn long_work(_task: TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(1500),
+        run_time: ms(1500),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
@@ -94,7 +94,7 @@
 #[test]
 fn tasks_on_an_unreachable_worker_wait_for_its_lease_to_lapse() {
     let mut fleet = Fleet::new(2, 3).with_work(|_| TaskWork {
-        lasts: ms(4000),
+        run_time: ms(4000),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     });
--- a/crates/dispatch/tests/unreachable_workers.rs
+++ b/crates/dispatch/tests/unreachable_workers.rs
@@ -22,7 +22,7 @@
 /// Returns work of one core for 3 s.
 fn long_work(_task: jasminebend_dispatch::TaskKey) -> TaskWork {
     TaskWork {
-        lasts: ms(3000),
+        run_time: ms(3000),
         fails: false,
         size: ResourceAmount::new(1000, 100),
     }
@@ -88,7 +88,7 @@
 #[test]
 fn quarantined_worker_is_probed_while_services_run_on_it() {
     let mut fleet = Fleet::new(1, 4).with_work(|task| TaskWork {
-        lasts: if task.job() == JobKey::new(1) {
+        run_time: if task.job() == JobKey::new(1) {
             Duration::MAX
         } else {
             ms(50)
--- a/crates/fleet/tests/daemons/takeover.rs
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -56,7 +56,7 @@
                 ticket: None,
             };
             let work = TaskWork {
-                lasts: run_time,
+                run_time,
                 fails: false,
                 size: ResourceAmount::new(1000, 100),
             };
--- a/crates/fleet/tests/daemons/test_fleet.rs
+++ b/crates/fleet/tests/daemons/test_fleet.rs
@@ -76,7 +76,7 @@
 };
 use jasminebend_standins::{
     PortBlock,
-    StepWorker,
+    SimulatedWorker,
     TaskWork, //
 };
 use serde::Serialize;
@@ -110,7 +110,7 @@
 /// In-memory workers, and the calls to them.
 pub(crate) struct MemoryWorkers {
     clock: Rc<dyn ClockSource>,
-    workers: RefCell<BTreeMap<String, StepWorker>>,
+    workers: RefCell<BTreeMap<String, SimulatedWorker>>,
     /// How long a run takes.
     pub(crate) run_time: Cell<Duration>,
     /// Whether a lease renewal is answered only when a run ends or its wait is over.
@@ -130,7 +130,7 @@
     fn with_reachable_worker<Answer>(
         &self,
         address: &WorkerAddress,
-        act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
+        act: impl FnOnce(&mut SimulatedWorker, Duration) -> Answer,
     ) -> Option<Answer> {
         match self.partitioned.borrow().contains(address.id.as_ref()) {
             true => None,
@@ -142,7 +142,7 @@
     pub(crate) fn with_worker<Answer>(
         &self,
         id: &str,
-        act: impl FnOnce(&mut StepWorker, Duration) -> Answer,
+        act: impl FnOnce(&mut SimulatedWorker, Duration) -> Answer,
     ) -> Option<Answer> {
         let now = self.now();
         let mut workers = self.workers.borrow_mut();
@@ -162,7 +162,7 @@
                 acknowledged: 0,
                 max_wait: Duration::ZERO,
             };
-            worker.hold(now, token, order).unwrap();
+            worker.renew_lease(now, token, order).unwrap();
         });
     }
 
@@ -181,8 +181,9 @@
         worker: &WorkerAddress,
         order: LeaseRenewal,
     ) -> Result<RenewalReport, OrderOutcome> {
-        let report =
-            self.with_reachable_worker(worker, |state, now| state.hold(now, worker.token, order));
+        let report = self.with_reachable_worker(worker, |state, now| {
+            state.renew_lease(now, worker.token, order)
+        });
         report.unwrap_or(Err(UNANSWERED))
     }
 
@@ -205,9 +206,9 @@
     /// Returns how many runs all workers have started.
     pub(crate) fn started_runs(&self) -> usize {
         let workers = self.workers.borrow();
-        let deeds = workers.values().flat_map(|worker| worker.deeds());
-        deeds
-            .filter(|(_, deed)| matches!(deed, jasminebend_standins::WorkerDeed::Began(..)))
+        let events = workers.values().flat_map(|worker| worker.events());
+        events
+            .filter(|(_, event)| matches!(event, jasminebend_standins::WorkerEvent::Started(..)))
             .count()
     }
 }
@@ -256,7 +257,7 @@
     ) -> OrderOutcome {
         time::sleep(Duration::from_millis(1)).await;
         let work = TaskWork {
-            lasts: self.run_time.get(),
+            run_time: self.run_time.get(),
             fails: false,
             size: ResourceAmount::new(1000, 100),
         };
@@ -348,7 +349,7 @@
             let capacity = ResourceAmount::new(4000, 4000);
             all.insert(
                 id.clone(),
-                StepWorker::new(&id, capacity, 98, Duration::from_secs(1)),
+                SimulatedWorker::new(&id, capacity, 98, Duration::from_secs(1)),
             );
         }
         let listed = all.values().map(|worker| worker.record().clone()).collect();
--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -45,7 +45,7 @@
 ) -> SocketAddr {
     let ownership = FixedOwnership::new();
     for share in 0..SHARE_COUNT {
-        ownership.hold(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
+        ownership.set_owned(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
     }
     let configuration = watch::Sender::new(Arc::new(configuration(target)));
     let vms = watch::Sender::new(Arc::new(VmSnapshot {
--- a/crates/gateway/tests/requests/idempotency_keys.rs
+++ b/crates/gateway/tests/requests/idempotency_keys.rs
@@ -141,7 +141,7 @@
         FaultKind::LoseRequest,
     ] {
         let (endpoint, table, first, second) = start_two_daemons().await;
-        table.faults().once(CallKind::Commit, fault);
+        table.faults().queue_fault(CallKind::Commit, fault);
         let (own, other) = tokio::join!(first.post_keyed("a", "k1"), second.post_keyed("a", "k1"));
         let answered = [&own, &other]
             .iter()
@@ -183,7 +183,7 @@
         // The outage outlasts the request: a reservation that was committed without a response is
         // released.
         sleep(Duration::from_millis(200)).await;
-        table.faults().heal();
+        table.faults().clear_faults();
         wait_until_answered(async || gateway.post_keyed("a", "k1").await).await;
         assert_eq!(endpoint.request_count(), 1);
     }
--- a/crates/gateway/tests/requests/slot_limits.rs
+++ b/crates/gateway/tests/requests/slot_limits.rs
@@ -334,11 +334,11 @@
 fn hold_after_idle(gateway: &TestGateway, share: u16, epoch: OwnerEpoch, idle: Duration) {
     let resource = ResourceId::Slots(share);
     let ownership = gateway.ownership.clone();
-    ownership.hold(resource, epoch, idle);
+    ownership.set_owned(resource, epoch, idle);
     tokio::spawn(async move {
         sleep(idle).await;
         if ownership.may_act(resource) == Some(epoch) {
-            ownership.hold(resource, epoch, Duration::ZERO);
+            ownership.set_owned(resource, epoch, Duration::ZERO);
         }
     });
 }
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -156,7 +156,7 @@
     pub(crate) async fn start(self) -> TestGateway {
         let ownership = Arc::new(FixedOwnership::new());
         for share in self.shares {
-            ownership.hold(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
+            ownership.set_owned(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
         }
         let configuration = watch::Sender::new(Arc::new(configuration(self.target, self.rule)));
         let vms = watch::Sender::new(Arc::new(VmSnapshot {
@@ -255,14 +255,14 @@
     pub(crate) fn hold_shares(&self, shares: Range<u16>, idle: Duration) {
         for share in shares {
             self.ownership
-                .hold(ResourceId::Slots(share), OwnerEpoch(2), idle);
+                .set_owned(ResourceId::Slots(share), OwnerEpoch(2), idle);
         }
     }
 
     /// Makes the daemon lose these shares.
     pub(crate) fn release_shares(&self, shares: Range<u16>) {
         for share in shares {
-            self.ownership.lose(ResourceId::Slots(share));
+            self.ownership.remove(ResourceId::Slots(share));
         }
     }
 
--- a/crates/jasminebend/src/demo_environment.rs
+++ b/crates/jasminebend/src/demo_environment.rs
@@ -23,8 +23,8 @@
     SystemClock, //
 };
 use jasminebend_standins::{
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     FleetShape,
     ObjectStandIn,
@@ -142,15 +142,15 @@
         for index in 0..ENDPOINT_COUNT {
             let domain = DomainName::from(DOMAINS[index % DOMAINS.len()]);
             let name = VmName::from(format!("endpoint-{index}"));
-            let knobs = EndpointKnobs {
+            let settings = EndpointSettings {
                 service_time: ServiceTime::Exponential(MEAN_SERVICE_TIME),
-                ..EndpointKnobs::default()
+                ..EndpointSettings::default()
             };
             // CAST: `index` is below `ENDPOINT_COUNT`.
             let seed = seed.wrapping_add(index as u64);
             let endpoint = EndpointStandIn::new(name.clone(), Arc::clone(&self.requests), seed)
                 .with_clock(Arc::clone(&self.clock))
-                .with_knobs(knobs);
+                .with_settings(settings);
             let (address, guard) = endpoint.start().await?;
             self.vm_list
                 .add(endpoint.record(domain.clone(), SERVICE_NAME, address));
--- a/crates/jasminebend/tests/daemon/change_faults.rs
+++ b/crates/jasminebend/tests/daemon/change_faults.rs
@@ -41,31 +41,31 @@
 
 const FAULTS: &[Fault] = &[
     ("one answer is lost", |faults| {
-        faults.once(CallKind::Commit, FaultKind::LoseAnswer);
+        faults.queue_fault(CallKind::Commit, FaultKind::LoseAnswer);
     }),
     ("one answer is cut", |faults| {
-        faults.once(CallKind::Commit, FaultKind::CutAnswer);
+        faults.queue_fault(CallKind::Commit, FaultKind::CutAnswer);
     }),
     ("one answer is malformed", |faults| {
-        faults.once(CallKind::Commit, FaultKind::Malformed);
+        faults.queue_fault(CallKind::Commit, FaultKind::Malformed);
     }),
     ("one request is lost", |faults| {
-        faults.once(CallKind::Commit, FaultKind::LoseRequest);
+        faults.queue_fault(CallKind::Commit, FaultKind::LoseRequest);
     }),
     ("one commit is refused", |faults| {
-        faults.once(CallKind::Commit, FaultKind::Refuse);
+        faults.queue_fault(CallKind::Commit, FaultKind::Refuse);
     }),
     ("one effect comes late", |faults| {
-        faults.once(
+        faults.queue_fault(
             CallKind::Commit,
             FaultKind::Slow(Duration::from_millis(700)),
         );
     }),
     ("all answers are lost", |faults| {
-        faults.always(CallKind::Commit, FaultKind::LoseAnswer);
+        faults.set_fault(CallKind::Commit, FaultKind::LoseAnswer);
     }),
     ("all requests are lost", |faults| {
-        faults.always(CallKind::Commit, FaultKind::LoseRequest);
+        faults.set_fault(CallKind::Commit, FaultKind::LoseRequest);
     }),
     ("writes are refused", |faults| {
         faults.set_outage(OutageState::ReadsOnly(FaultKind::Refuse));
@@ -104,7 +104,7 @@
     inject(faults);
     let answer = run_command(admin, set_domain_b(DomainState::Out)).await;
     let outcome = answer.outcome().expect(name);
-    faults.heal();
+    faults.clear_faults();
     // Another change that succeeds after the table service has recovered is ordered after every possible effect of the
     // first one.
     let mut other = configuration();
--- a/crates/jasminebend/tests/daemon/crash.rs
+++ b/crates/jasminebend/tests/daemon/crash.rs
@@ -77,6 +77,6 @@
     // Each caller had at most one order in flight when the daemon was killed.
     let lost = total.get(&CallerOutcome::Lost).copied().unwrap_or(0);
     assert!(lost <= CALLER_COUNT, "{total:?}");
-    assert!(platform.ledger.repeated().is_empty());
+    assert!(platform.ledger.repeated_request_ids().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
 }
--- a/crates/jasminebend/tests/daemon/end_to_end.rs
+++ b/crates/jasminebend/tests/daemon/end_to_end.rs
@@ -112,7 +112,7 @@
         assert!(!daemon.ready());
         sleep(SLOT_READY_DELAY).await;
     }
-    faults.heal();
+    faults.clear_faults();
     wait_until("ready", async || daemon.ready()).await;
     daemon.stop().await;
 }
--- a/crates/jasminebend/tests/daemon/graceful_stop.rs
+++ b/crates/jasminebend/tests/daemon/graceful_stop.rs
@@ -96,7 +96,7 @@
     assert_eq!(code, Some(0), "{log:#?}");
     assert_eq!(total.len(), 1, "{total:?} {log:#?}");
     assert!(total[&CallerOutcome::Whole] > CALLER_COUNT, "{total:?}");
-    assert!(platform.ledger.repeated().is_empty());
+    assert!(platform.ledger.repeated_request_ids().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
     let ignored_signals = log.iter().filter(|line| line.contains("changes nothing"));
     assert_eq!(ignored_signals.count(), 1, "{log:#?}");
--- a/crates/jasminebend/tests/daemon/peer_faults.rs
+++ b/crates/jasminebend/tests/daemon/peer_faults.rs
@@ -115,7 +115,10 @@
         let total = load.finish().await;
         println!("seed {seed}: {total:?}");
         assert!(total[&CallerOutcome::Whole] > CALLER_COUNT, "{total:?}");
-        assert!(platform.ledger.repeated().is_empty(), "seed {seed}");
+        assert!(
+            platform.ledger.repeated_request_ids().is_empty(),
+            "seed {seed}"
+        );
         assert_eq!(platform.ledger.over_slots(), 0, "seed {seed}");
         spawn_blocking(move || drop(programs))
             .await
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -45,8 +45,8 @@
     SystemClock, //
 };
 use jasminebend_standins::{
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     FleetShape,
     ObjectStandIn,
@@ -180,13 +180,13 @@
     service_time: Duration,
     ledger: &Arc<EndpointLedger>,
 ) -> (VmRecord, ServerGuard) {
-    let knobs = EndpointKnobs {
+    let settings = EndpointSettings {
         service_time: ServiceTime::Fixed(service_time),
-        ..EndpointKnobs::default()
+        ..EndpointSettings::default()
     };
     let seed = SEED + u64::from(number);
     let endpoint = EndpointStandIn::new(format!("vm-{number}"), Arc::clone(ledger), seed);
-    let endpoint = endpoint.with_knobs(knobs);
+    let endpoint = endpoint.with_settings(settings);
     let (address, guard) = endpoint.start().await.expect("a free port");
     (endpoint.record("a", SERVICE_NAME, address), guard)
 }
--- a/crates/jasminebend/tests/daemon/rolling_replacement.rs
+++ b/crates/jasminebend/tests/daemon/rolling_replacement.rs
@@ -78,6 +78,6 @@
     assert_eq!(total.get(&CallerOutcome::Lost), None, "{total:?}");
     assert_eq!(total.get(&CallerOutcome::NoConnection), None, "{total:?}");
     assert!(total[&CallerOutcome::Whole] > 100, "{total:?}");
-    assert!(platform.ledger.repeated().is_empty());
+    assert!(platform.ledger.repeated_request_ids().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
 }
--- a/crates/jasminebend/tests/daemon/three_daemons.rs
+++ b/crates/jasminebend/tests/daemon/three_daemons.rs
@@ -51,7 +51,7 @@
     first.stop().await;
     wait_until_served(second.caller_address(), "after").await;
     wait_until_served(third.caller_address(), "after").await;
-    assert!(platform.ledger.repeated().is_empty());
+    assert!(platform.ledger.repeated_request_ids().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
     second.stop().await;
     third.stop().await;
--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -101,7 +101,7 @@
 
     async fn planner(&self, epoch: u64, objects: &ObjectStandIn) -> PlannerHandle {
         let shard = ResourceId::Shard(0);
-        let ownership = FixedOwnership::new().with_held(shard, OwnerEpoch(epoch));
+        let ownership = FixedOwnership::new().with_owned(shard, OwnerEpoch(epoch));
         let ports = PlannerEdges {
             ownership: Arc::new(ownership),
             configuration: self.configuration.subscribe(),
--- a/crates/planner/tests/planner/cancellation.rs
+++ b/crates/planner/tests/planner/cancellation.rs
@@ -81,8 +81,8 @@
             let planner = bed.start_planner(1).await;
             bed.each_worker(|worker| {
                 if let Some(kind) = fault {
-                    worker.faults().once(CallKind::Start, kind);
-                    worker.faults().once(CallKind::Stop, kind);
+                    worker.faults().queue_fault(CallKind::Start, kind);
+                    worker.faults().queue_fault(CallKind::Stop, kind);
                 }
             });
             let job = planner
@@ -111,7 +111,7 @@
         let bed = TestBed::new(4);
         let planner = bed.start_planner(1).await;
         let fault = FaultKind::Slow(seconds(1) * slow / 1000);
-        bed.table.faults().always(CallKind::Scan, fault);
+        bed.table.faults().set_fault(CallKind::Scan, fault);
         let mut jobs = Vec::new();
         for _ in 0..3 {
             for _ in 0..300 {
--- a/crates/planner/tests/planner/crash_at_each_call.rs
+++ b/crates/planner/tests/planner/crash_at_each_call.rs
@@ -30,7 +30,7 @@
 async fn run_until_crash(crash_point: CrashPoint) -> usize {
     let bed = TestBed::new(3);
     let submitter = bed.start_planner(0).await;
-    submitter.ownership.lose(crate::test_bed::PLANNED_SHARD);
+    submitter.ownership.remove(crate::test_bed::PLANNED_SHARD);
     let job = submitter
         .handle
         .submit(batch_job(4, seconds(12)))
--- a/crates/planner/tests/planner/damaged_records.rs
+++ b/crates/planner/tests/planner/damaged_records.rs
@@ -65,10 +65,10 @@
 /// Overwrites a record.
 fn overwrite_record(bed: &TestBed, place: &RecordPlace, value: Vec<u8>) {
     match place {
-        RecordPlace::Object(key) => bed.objects.damage(key.clone(), Bytes::from(value)),
+        RecordPlace::Object(key) => bed.objects.corrupt(key.clone(), Bytes::from(value)),
         RecordPlace::Row(key) => {
             let change = RowChange::put(key.clone(), RowExpectation::Any, value);
-            bed.table.commit_surely(WriteId(7), &[change]);
+            bed.table.commit_without_faults(WriteId(7), &[change]);
         }
     }
 }
@@ -98,7 +98,7 @@
         jobs.push(job.unwrap());
         sleep(seconds(5)).await;
     }
-    first.ownership.lose(crate::test_bed::PLANNED_SHARD);
+    first.ownership.remove(crate::test_bed::PLANNED_SHARD);
     let last = first
         .handle
         .submit(batch_job(TASKS_PER_JOB, seconds(2)))
@@ -171,7 +171,7 @@
     let key = RowKey::from("planner/shard/00000/head");
     let head = bed.table.rows(key.clone()).remove(0).value;
     let delete = RowChange::delete(key.clone(), RowExpectation::Any);
-    bed.table.commit_surely(WriteId(7), &[delete]);
+    bed.table.commit_without_faults(WriteId(7), &[delete]);
     let before = bed.ledger.summary();
 
     let second = bed.start_planner(2).await;
--- a/crates/planner/tests/planner/eviction.rs
+++ b/crates/planner/tests/planner/eviction.rs
@@ -19,7 +19,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_failed_or_lost_checkpoint_loses_work_but_no_task() {
     let modes = [
-        CheckpointMode::Kept,
+        CheckpointMode::Saved,
         CheckpointMode::Fails,
         CheckpointMode::Lost,
     ];
@@ -42,10 +42,10 @@
                 .unwrap();
             sleep(seconds(12)).await;
             bed.each_worker(|worker| {
-                worker.set_knobs(|knobs| knobs.checkpoints = mode);
+                worker.update_settings(|settings| settings.checkpoints = mode);
                 for _ in 0..3 {
                     if let Some(kind) = fault {
-                        worker.faults().once(CallKind::Checkpoint, kind);
+                        worker.faults().queue_fault(CallKind::Checkpoint, kind);
                     }
                 }
             });
@@ -70,9 +70,9 @@
         let bed = TestBed::new(6);
         let planner = bed.start_planner(1).await;
         bed.each_worker(|worker| {
-            worker.set_knobs(|knobs| knobs.checkpoints = CheckpointMode::Fails);
+            worker.update_settings(|settings| settings.checkpoints = CheckpointMode::Fails);
             let slow = FaultKind::Slow(seconds(1));
-            worker.faults().always(CallKind::Stop, slow);
+            worker.faults().set_fault(CallKind::Stop, slow);
         });
         let job = planner
             .handle
--- a/crates/planner/tests/planner/failing_work.rs
+++ b/crates/planner/tests/planner/failing_work.rs
@@ -53,7 +53,7 @@
 async fn a_worker_on_which_everything_fails_is_quarantined_probed_and_used_again() {
     let bed = TestBed::new(6);
     bed.worker(2)
-        .set_knobs(|knobs| knobs.fails_every_task = true);
+        .update_settings(|settings| settings.fails_every_task = true);
     let planner = bed.start_planner(1).await;
     let mut jobs = Vec::new();
     for _ in 0..12 {
@@ -74,7 +74,7 @@
     let failures = bed.check().failures;
     assert!((3..=16).contains(&failures), "{failures}");
     bed.worker(2)
-        .set_knobs(|knobs| knobs.fails_every_task = false);
+        .update_settings(|settings| settings.fails_every_task = false);
     let steady = planner
         .handle
         .submit(batch_job(400, seconds(20)))
--- a/crates/planner/tests/planner/failure_domain.rs
+++ b/crates/planner/tests/planner/failure_domain.rs
@@ -37,7 +37,7 @@
         let planner = bed.start_planner(1).await;
         sleep(seconds(3)).await;
         if let Some((CallKind::Commit, kind)) = fault {
-            bed.table.faults().always(CallKind::Commit, kind);
+            bed.table.faults().set_fault(CallKind::Commit, kind);
         }
         let job = planner
             .handle
@@ -46,7 +46,7 @@
             .unwrap();
         bed.each_worker(|worker| {
             if let Some((CallKind::Start, kind)) = fault {
-                worker.faults().once(CallKind::Start, kind);
+                worker.faults().queue_fault(CallKind::Start, kind);
             }
         });
         sleep(seconds(2)).await;
--- a/crates/planner/tests/planner/outage.rs
+++ b/crates/planner/tests/planner/outage.rs
@@ -77,7 +77,7 @@
         assert!((52..=58).contains(&finishes), "{kind:?}: {finishes}");
         bed.table.faults().set_outage(OutageState::Up);
         let slow = FaultKind::Slow(seconds(2));
-        bed.table.faults().always(CallKind::Commit, slow);
+        bed.table.faults().set_fault(CallKind::Commit, slow);
         assert_eq!(
             planner.wait_until_ended(job, seconds(900)).await.finished,
             160
--- a/crates/planner/tests/planner/random_faults.rs
+++ b/crates/planner/tests/planner/random_faults.rs
@@ -50,8 +50,8 @@
         let services = planner.handle.submit(service_job(5)).await.unwrap();
         sleep(seconds(5)).await;
         let faults = random_fault_mix(&mut random);
-        bed.table.faults().mix(faults);
-        bed.each_worker(|worker| worker.faults().mix(faults));
+        bed.table.faults().set_random_faults(faults);
+        bed.each_worker(|worker| worker.faults().set_random_faults(faults));
         let mut jobs = Vec::new();
         let mut cancelled = Vec::new();
         for epoch in 2..6 {
@@ -80,8 +80,8 @@
             planner = bed.start_planner(epoch).await;
         }
         sleep(seconds(60)).await;
-        bed.table.faults().heal();
-        bed.each_worker(|worker| worker.faults().heal());
+        bed.table.faults().clear_faults();
+        bed.each_worker(|worker| worker.faults().clear_faults());
         for job in jobs {
             let status = planner.wait_until_ended(job, seconds(600)).await;
             assert_eq!(status.finished, 15, "seed {seed}");
--- a/crates/planner/tests/planner/submission.rs
+++ b/crates/planner/tests/planner/submission.rs
@@ -119,7 +119,7 @@
         let bed = TestBed::new(4);
         let planner = bed.start_planner(1).await;
         sleep(seconds(2)).await;
-        bed.table.faults().once(CallKind::Commit, fault);
+        bed.table.faults().queue_fault(CallKind::Commit, fault);
         let mut spec = batch_job(2, seconds(5));
         spec.key = Some("nightly".to_owned());
         let job = planner.handle.submit(spec.clone()).await.unwrap();
@@ -172,10 +172,10 @@
         .await
         .unwrap();
     let faults = bed.table.faults();
-    faults.once(CallKind::Commit, FaultKind::Slow(seconds(3)));
-    faults.pass(CallKind::Scan);
-    faults.pass(CallKind::Scan);
-    faults.once(CallKind::Scan, FaultKind::SlowAnswer(seconds(40)));
+    faults.queue_fault(CallKind::Commit, FaultKind::Slow(seconds(3)));
+    faults.queue_success(CallKind::Scan);
+    faults.queue_success(CallKind::Scan);
+    faults.queue_fault(CallKind::Scan, FaultKind::SlowAnswer(seconds(40)));
     planner.wait_until_ended(job, seconds(30)).await;
     sleep(seconds(60)).await;
     assert_eq!(bed.check().starts, 1);
@@ -216,7 +216,9 @@
     });
     let planner = bed.start_planner(1).await;
     let other = ResourceId::Shard(1);
-    planner.ownership.hold(other, OwnerEpoch(1), seconds(0));
+    planner
+        .ownership
+        .set_owned(other, OwnerEpoch(1), seconds(0));
     for _ in 0..12 {
         planner
             .handle
--- a/crates/planner/tests/planner/takeover.rs
+++ b/crates/planner/tests/planner/takeover.rs
@@ -64,7 +64,7 @@
     sleep(seconds(8)).await;
     bed.worker(0).block_caller(IpAddr::from([10, 9, 0, 2]));
     // The former planner is paused with unsent renewals, which it sends when it resumes.
-    old.ownership.lose(PLANNED_SHARD);
+    old.ownership.remove(PLANNED_SHARD);
     let new = bed.start_planner(2).await;
     sleep(seconds(90)).await;
     assert_eq!(new.status(job).await.running, 3);
@@ -115,7 +115,7 @@
     let bed = bed.with_settings(PlannerSettings::new(2));
     let new = bed.start_planner(8).await;
     new.ownership
-        .hold(ResourceId::Shard(1), OwnerEpoch(1), seconds(0));
+        .set_owned(ResourceId::Shard(1), OwnerEpoch(1), seconds(0));
     let mut jobs = Vec::new();
     for _ in 0..20 {
         jobs.push(new.handle.submit(batch_job(4, seconds(5))).await.unwrap());
@@ -148,7 +148,7 @@
         sleep(seconds(4)).await;
         bed.each_worker(|worker| {
             let fault = FaultKind::LateEffect(seconds(late));
-            worker.faults().once(CallKind::Start, fault);
+            worker.faults().queue_fault(CallKind::Start, fault);
         });
         let job = old.handle.submit(batch_job(6, seconds(20))).await.unwrap();
         sleep(seconds(2)).await;
@@ -203,7 +203,7 @@
         let mut row = bed.table.rows("planner/shard/00000/log/").remove(0);
         damage(&mut row.value);
         let change = RowChange::put(row.key, RowExpectation::Any, row.value);
-        bed.table.commit_surely(WriteId(7), &[change]);
+        bed.table.commit_without_faults(WriteId(7), &[change]);
         let second = bed.start_planner(2).await;
         second
             .handle
@@ -226,7 +226,7 @@
         .await
         .unwrap();
     sleep(seconds(3)).await;
-    first.ownership.lose(PLANNED_SHARD);
+    first.ownership.remove(PLANNED_SHARD);
     first.handle.wait_idle(PLANNED_SHARD).await;
     let starts = bed.ledger.summary().starts;
     sleep(seconds(5)).await;
@@ -238,7 +238,7 @@
     );
     first
         .ownership
-        .hold(PLANNED_SHARD, OwnerEpoch(3), seconds(0));
+        .set_owned(PLANNED_SHARD, OwnerEpoch(3), seconds(0));
     drop(second);
     let more = first.handle.submit(batch_job(3, seconds(1))).await.unwrap();
     first.wait_until_ended(more, seconds(60)).await;
@@ -255,7 +255,7 @@
     sleep(seconds(7)).await;
     bed.each_worker(|worker| {
         let late = FaultKind::LateEffect(seconds(6));
-        worker.faults().always(CallKind::Start, late);
+        worker.faults().set_fault(CallKind::Start, late);
     });
     planner
         .handle
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -138,7 +138,8 @@
         table: Arc<dyn TableService>,
         workers: Arc<dyn WorkerPort>,
     ) -> TestPlanner {
-        let ownership = Arc::new(FixedOwnership::new().with_held(PLANNED_SHARD, OwnerEpoch(epoch)));
+        let ownership =
+            Arc::new(FixedOwnership::new().with_owned(PLANNED_SHARD, OwnerEpoch(epoch)));
         let ports = PlannerEdges {
             ownership: Arc::clone(&ownership) as _,
             configuration: self.configuration.subscribe(),
--- a/crates/planner/tests/planner/worker_faults.rs
+++ b/crates/planner/tests/planner/worker_faults.rs
@@ -71,7 +71,7 @@
         sleep(seconds(3)).await;
         bed.each_worker(|worker| {
             for _ in 0..8 {
-                worker.faults().once(CallKind::Start, fault);
+                worker.faults().queue_fault(CallKind::Start, fault);
             }
         });
         let job = planner
@@ -176,8 +176,8 @@
             ),
             (FaultKind::Slow(seconds(random.random_range(1..4))), 30),
         ];
-        bed.table.faults().mix(mix);
-        bed.each_worker(|worker| worker.faults().mix(mix));
+        bed.table.faults().set_random_faults(mix);
+        bed.each_worker(|worker| worker.faults().set_random_faults(mix));
         let mut planner = bed.start_planner(1).await;
         let mut jobs = Vec::new();
         for epoch in 2..6 {
@@ -190,8 +190,8 @@
             planner = bed.start_planner(epoch).await;
         }
         sleep(seconds(60)).await;
-        bed.table.faults().heal();
-        bed.each_worker(|worker| worker.faults().heal());
+        bed.table.faults().clear_faults();
+        bed.each_worker(|worker| worker.faults().clear_faults());
         for job in jobs {
             assert_eq!(
                 planner.wait_until_ended(job, seconds(600)).await.finished,
@@ -215,7 +215,7 @@
             let planner = bed.start_planner(1).await;
             sleep(seconds(4)).await;
             let faults = bed.worker(1).faults();
-            faults.always(CallKind::Start, stuck);
+            faults.set_fault(CallKind::Start, stuck);
             let job = planner
                 .handle
                 .submit(batch_job(40, seconds(200)))
@@ -224,7 +224,7 @@
             sleep(seconds(2)).await;
             faults.set_outage(OutageState::Down(others));
             sleep(seconds(55)).await;
-            faults.heal();
+            faults.clear_faults();
             assert_eq!(
                 planner.wait_until_ended(job, seconds(1200)).await.finished,
                 40
--- a/crates/standins/benches/capacity/table.rs
+++ b/crates/standins/benches/capacity/table.rs
@@ -29,7 +29,7 @@
         let rows = (0..rows).map(|row| {
             RowChange::put(format!("row/{row:06}"), RowExpectation::Any, vec![7; bytes])
         });
-        table.commit_surely(WriteId(1), &rows.collect::<Vec<_>>());
+        table.commit_without_faults(WriteId(1), &rows.collect::<Vec<_>>());
         table.start().await.unwrap()
     })
 }
--- a/crates/standins/benches/capacity/workers.rs
+++ b/crates/standins/benches/capacity/workers.rs
@@ -146,9 +146,9 @@
             Arc::new(RunLedger::new()),
             1,
         );
-        worker.set_knobs(|knobs| {
-            knobs.usage_period = Duration::ZERO;
-            knobs.usage_lag = (Duration::ZERO, Duration::ZERO);
+        worker.update_settings(|settings| {
+            settings.usage_period = Duration::ZERO;
+            settings.usage_lag = (Duration::ZERO, Duration::ZERO);
         });
         let (address, guard) = worker.start_server().await.unwrap();
         let adoption = EpochAdoption {
--- a/crates/standins/src/endpoint_ledger.rs
+++ b/crates/standins/src/endpoint_ledger.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the `X-Request-Id` of each request that was processed more than once.
-    pub fn repeated(&self) -> Vec<String> {
+    pub fn repeated_request_ids(&self) -> Vec<String> {
         let state = self.lock();
         let repeated = state.runs.iter().filter(|(_, runs)| **runs > 1);
         repeated.map(|(id, _)| id.clone()).collect()
--- a/crates/standins/src/endpoint_plan.rs
+++ b/crates/standins/src/endpoint_plan.rs
@@ -13,13 +13,13 @@
 
 use crate::{
     EndpointFault,
-    EndpointKnobs, //
+    EndpointSettings, //
 };
 
 /// Chooses the fault and the service time of each request to a stand-in endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct EndpointPlan {
-    pub(crate) knobs: EndpointKnobs,
+    pub(crate) settings: EndpointSettings,
     queued_faults: VecDeque<EndpointFault>,
     rng: SmallRng,
 }
@@ -27,7 +27,7 @@
 impl EndpointPlan {
     pub(crate) fn new(seed: u64) -> Self {
         Self {
-            knobs: EndpointKnobs::default(),
+            settings: EndpointSettings::default(),
             queued_faults: VecDeque::new(),
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -40,27 +40,27 @@
     /// Returns the fault of the next request: the refusal of a leaving endpoint, else the next queued fault, else the
     /// fault of every request, else a random one.
     pub(crate) fn next_fault(&mut self) -> Option<EndpointFault> {
-        if self.knobs.leaving {
+        if self.settings.leaving {
             return Some(EndpointFault::Refuse);
         }
         self.queued_faults
             .pop_front()
-            .or_else(|| self.knobs.always.clone())
+            .or_else(|| self.settings.always.clone())
             .or_else(|| self.draw_random_fault())
     }
 
     /// Returns a random service time, scaled by the endpoint's speed.
     pub(crate) fn next_service_time(&mut self) -> Duration {
-        let time = self.knobs.service_time.draw(&mut self.rng);
-        time * 1000 / self.knobs.speed_millis.max(1)
+        let time = self.settings.service_time.draw(&mut self.rng);
+        time * 1000 / self.settings.speed_millis.max(1)
     }
 
     fn draw_random_fault(&mut self) -> Option<EndpointFault> {
-        if self.knobs.mix.is_empty() {
+        if self.settings.mix.is_empty() {
             return None;
         }
         let mut drawn = self.rng.random_range(0..1000);
-        for (fault, share) in &self.knobs.mix {
+        for (fault, share) in &self.settings.mix {
             if drawn < *share {
                 return Some(fault.clone());
             }
--- a/crates/standins/src/endpoint_server.rs
+++ b/crates/standins/src/endpoint_server.rs
@@ -160,7 +160,7 @@
         time::sleep(time).await;
     }
     let size = header_text(&headers, ANSWER_BYTES_HEADER).and_then(|size| size.parse().ok());
-    let size = size.unwrap_or_else(|| state.plan().knobs.answer_bytes);
+    let size = size.unwrap_or_else(|| state.plan().settings.answer_bytes);
     state.ledger.record_end(&state.name);
     drop(slot);
     EndpointAnswer::build(id.unwrap_or_default(), &body, size.min(MAX_ANSWER_BYTES))
@@ -195,7 +195,7 @@
         _ => {}
     }
     let mut response = body_response(StatusCode::OK, body)?;
-    if state.plan().knobs.leaving {
+    if state.plan().settings.leaving {
         set_connection_close(&mut response);
     }
     Ok(response)
--- a/crates/standins/src/endpoint_knobs.rs
+++ b/crates/standins/src/endpoint_settings.rs
@@ -12,7 +12,7 @@
 
 /// The settings of a stand-in endpoint: its service time, its response size and its faults.
 #[derive(Clone, Debug)]
-pub struct EndpointKnobs {
+pub struct EndpointSettings {
     /// The time that a request takes at normal speed.
     pub service_time: ServiceTime,
     /// The speed in thousandths of the normal speed. A lower value simulates interference by other tasks on the VM.
@@ -27,7 +27,7 @@
     pub mix: Vec<(EndpointFault, u32)>,
 }
 
-impl Default for EndpointKnobs {
+impl Default for EndpointSettings {
     fn default() -> Self {
         Self {
             service_time: ServiceTime::Fixed(DEFAULT_SERVICE_TIME),
--- a/crates/standins/src/endpoint_stand_in.rs
+++ b/crates/standins/src/endpoint_stand_in.rs
@@ -34,8 +34,8 @@
 
 use crate::{
     EndpointFault,
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     ServerGuard,
     controlled_stream::StreamControl,
     endpoint_plan::EndpointPlan,
@@ -114,8 +114,8 @@
     }
 
     /// Sets the initial settings.
-    pub fn with_knobs(self, knobs: EndpointKnobs) -> Self {
-        self.state.plan().knobs = knobs;
+    pub fn with_settings(self, settings: EndpointSettings) -> Self {
+        self.state.plan().settings = settings;
         self
     }
 
@@ -130,15 +130,15 @@
     }
 
     /// Changes the endpoint's settings.
-    pub fn set_knobs<Change>(&self, change: Change)
+    pub fn update_settings<Change>(&self, change: Change)
     where
-        Change: FnOnce(&mut EndpointKnobs),
+        Change: FnOnce(&mut EndpointSettings),
     {
-        change(&mut self.state.plan().knobs);
+        change(&mut self.state.plan().settings);
     }
 
     /// Queues a fault for one request. Queued faults apply to the next requests in the order of the calls.
-    pub fn once(&self, fault: EndpointFault) {
+    pub fn queue_fault(&self, fault: EndpointFault) {
         self.state.plan().queue_fault(fault);
     }
 
--- a/crates/standins/src/fault_plan.rs
+++ b/crates/standins/src/fault_plan.rs
@@ -85,23 +85,23 @@
 
     /// Queues a fault for one call of this kind. Queued faults apply to the next calls in the order of the method
     /// calls.
-    pub fn once(&self, call: CallKind, fault: FaultKind) {
+    pub fn queue_fault(&self, call: CallKind, fault: FaultKind) {
         let mut state = self.lock();
         state.queued.entry(call).or_default().push_back(Some(fault));
     }
 
-    /// Queues a call without a fault, in the same queue as [`FaultPlan::once`].
-    pub fn pass(&self, call: CallKind) {
+    /// Queues a call without a fault, in the same queue as [`FaultPlan::queue_fault`].
+    pub fn queue_success(&self, call: CallKind) {
         self.lock().queued.entry(call).or_default().push_back(None);
     }
 
-    /// Sets the fault of every call of this kind until [`FaultPlan::heal`].
-    pub fn always(&self, call: CallKind, fault: FaultKind) {
+    /// Sets the fault of every call of this kind until [`FaultPlan::clear_faults`].
+    pub fn set_fault(&self, call: CallKind, fault: FaultKind) {
         self.lock().always.insert(call, fault);
     }
 
     /// Sets the random faults, each with its probability in thousandths.
-    pub fn mix<Faults>(&self, faults: Faults)
+    pub fn set_random_faults<Faults>(&self, faults: Faults)
     where
         Faults: IntoIterator<Item = (FaultKind, u32)>,
     {
@@ -119,7 +119,7 @@
     }
 
     /// Removes every fault, outage and limit. The counts stay.
-    pub fn heal(&self) {
+    pub fn clear_faults(&self) {
         let mut state = self.lock();
         state.outage = OutageState::Up;
         state.queued.clear();
--- a/crates/standins/src/fixed_ownership.rs
+++ b/crates/standins/src/fixed_ownership.rs
@@ -30,18 +30,18 @@
     }
 
     /// Adds an owned resource without an idle time.
-    pub fn with_held(self, resource: ResourceId, epoch: OwnerEpoch) -> Self {
-        self.hold(resource, epoch, Duration::ZERO);
+    pub fn with_owned(self, resource: ResourceId, epoch: OwnerEpoch) -> Self {
+        self.set_owned(resource, epoch, Duration::ZERO);
         self
     }
 
     /// Adds an owned resource that must stay idle for the time `idle`.
-    pub fn hold(&self, resource: ResourceId, epoch: OwnerEpoch, idle: Duration) {
+    pub fn set_owned(&self, resource: ResourceId, epoch: OwnerEpoch, idle: Duration) {
         self.lock().insert(resource, (epoch, idle));
     }
 
     /// Removes a resource, as after a takeover by another daemon.
-    pub fn lose(&self, resource: ResourceId) {
+    pub fn remove(&self, resource: ResourceId) {
         self.lock().shift_remove(&resource);
     }
 
--- a/crates/standins/src/ledger_summary.rs
+++ b/crates/standins/src/ledger_summary.rs
@@ -16,7 +16,7 @@
     /// The number of runs that ended because their worker's lease lapsed.
     pub lapses: u64,
     /// The number of runs that ended because their worker restarted or failed.
-    pub vanished: u64,
+    pub worker_failures: u64,
     /// The number of pairs of runs of one task that were in progress at the same time.
     pub overlaps: u64,
     /// The number of pairs of runs of one task that both finished.
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -7,10 +7,10 @@
 mod ended_runs;
 mod endpoint_answer;
 mod endpoint_fault;
-mod endpoint_knobs;
 mod endpoint_ledger;
 mod endpoint_plan;
 mod endpoint_server;
+mod endpoint_settings;
 mod endpoint_stand_in;
 mod fault_kind;
 mod fault_plan;
@@ -27,7 +27,7 @@
 mod server_guard;
 mod service_time;
 mod shared_worker;
-mod step_worker;
+mod simulated_worker;
 mod stream_controls;
 mod table_rows;
 mod table_stand_in;
@@ -37,9 +37,9 @@
 mod vm_list_stand_in;
 mod wire_response;
 mod worker_fleet;
-mod worker_knobs;
 mod worker_lease;
 mod worker_run;
+mod worker_settings;
 mod worker_stand_in;
 mod worker_state;
 
@@ -51,11 +51,11 @@
         EndpointAnswer, //
     },
     endpoint_fault::EndpointFault,
-    endpoint_knobs::EndpointKnobs,
     endpoint_ledger::{
         EndpointCounts,
         EndpointLedger, //
     },
+    endpoint_settings::EndpointSettings,
     endpoint_stand_in::EndpointStandIn,
     fault_kind::FaultKind,
     fault_plan::{
@@ -78,10 +78,10 @@
     },
     server_guard::ServerGuard,
     service_time::ServiceTime,
-    step_worker::{
-        StepWorker,
+    simulated_worker::{
+        SimulatedWorker,
         TaskWork,
-        WorkerDeed, //
+        WorkerEvent, //
     },
     table_stand_in::TableStandIn,
     task_payload::TaskPayload,
@@ -90,9 +90,9 @@
         FleetShape,
         WorkerFleet, //
     },
-    worker_knobs::{
+    worker_settings::{
         CheckpointMode,
-        WorkerKnobs, //
+        WorkerSettings, //
     },
     worker_stand_in::WorkerStandIn, //
 };
--- a/crates/standins/src/object_stand_in.rs
+++ b/crates/standins/src/object_stand_in.rs
@@ -116,7 +116,7 @@
     }
 
     /// Replaces the bytes of an object without fault injection, to simulate corruption.
-    pub fn damage<Key>(&self, key: Key, body: Bytes)
+    pub fn corrupt<Key>(&self, key: Key, body: Bytes)
     where
         Key: Into<ObjectKey>,
     {
--- a/crates/standins/src/run_ledger.rs
+++ b/crates/standins/src/run_ledger.rs
@@ -124,7 +124,7 @@
             evictions: ended(RunEnd::Checkpointed),
             resumes: to_u64(runs.iter().filter(|run| run.resumed.is_some()).count()),
             lapses: ended(RunEnd::Lapsed),
-            vanished: ended(RunEnd::Vanished),
+            worker_failures: ended(RunEnd::WorkerFailed),
             overlaps: to_u64(overlapping_pairs(&runs).len()),
             repeated_finishes: count_pairs(&runs, |first, second| {
                 run_end(first) == Some(RunEnd::Finished)
--- a/crates/standins/src/run_record.rs
+++ b/crates/standins/src/run_record.rs
@@ -27,7 +27,7 @@
     /// The worker's lease lapsed.
     Lapsed,
     /// The worker restarted or failed.
-    Vanished,
+    WorkerFailed,
 }
 
 /// The ledger's record of one run.
--- a/crates/standins/src/run_set.rs
+++ b/crates/standins/src/run_set.rs
@@ -7,7 +7,7 @@
 use jasminebend_ports::TaskAttempt;
 
 use crate::{
-    WorkerKnobs,
+    WorkerSettings,
     usage_queue::UsageQueue,
     worker_run::WorkerRun, //
 };
@@ -67,18 +67,21 @@
     }
 
     /// Returns the time and the run of the next completion.
-    pub(crate) fn next_completion(&self, knobs: &WorkerKnobs) -> Option<(Duration, TaskAttempt)> {
+    pub(crate) fn next_completion(
+        &self,
+        settings: &WorkerSettings,
+    ) -> Option<(Duration, TaskAttempt)> {
         let completions = self.runs().filter_map(|run| {
-            let at = run.completes_at(self.advanced_to, self.slowdown(run, knobs))?;
+            let at = run.completes_at(self.advanced_to, self.slowdown(run, settings))?;
             Some((at, run.attempt))
         });
         completions.min_by_key(|(at, _)| *at)
     }
 
     /// Advances the runs' progress to `now`, at their current speeds.
-    pub(crate) fn advance(&mut self, now: Duration, knobs: &WorkerKnobs) {
+    pub(crate) fn advance(&mut self, now: Duration, settings: &WorkerSettings) {
         let step = now.saturating_sub(self.advanced_to);
-        let slowdowns = self.slowdowns(knobs);
+        let slowdowns = self.slowdowns(settings);
         for (run, slowdown) in self.runs.values_mut().zip(slowdowns) {
             run.advance(step, slowdown);
         }
@@ -86,27 +89,34 @@
     }
 
     /// Measures the resource usage of each run whose last measurement is at least `usage_period` old.
-    pub(crate) fn measure(&mut self, now: Duration, knobs: &WorkerKnobs, usage: &mut UsageQueue) {
-        let slowdowns = self.slowdowns(knobs);
+    pub(crate) fn measure(
+        &mut self,
+        now: Duration,
+        settings: &WorkerSettings,
+        usage: &mut UsageQueue,
+    ) {
+        let slowdowns = self.slowdowns(settings);
         for (run, slowdown) in self.runs.values_mut().zip(slowdowns) {
-            if now.saturating_sub(run.measured_at) >= knobs.usage_period {
+            if now.saturating_sub(run.measured_at) >= settings.usage_period {
                 run.measured_at = now;
-                usage.measure(now, run, slowdown, knobs.usage_lag);
+                usage.measure(now, run, slowdown, settings.usage_lag);
             }
         }
     }
 
-    fn slowdowns(&self, knobs: &WorkerKnobs) -> Vec<f64> {
-        self.runs().map(|run| self.slowdown(run, knobs)).collect()
+    fn slowdowns(&self, settings: &WorkerSettings) -> Vec<f64> {
+        self.runs()
+            .map(|run| self.slowdown(run, settings))
+            .collect()
     }
 
     /// Returns the factor by which interference lengthens a run now; 1 is no interference.
-    fn slowdown(&self, run: &WorkerRun, knobs: &WorkerKnobs) -> f64 {
-        let load = f64::from(knobs.load_millis) / 1000.0;
+    fn slowdown(&self, run: &WorkerRun, settings: &WorkerSettings) -> f64 {
+        let load = f64::from(settings.load_millis) / 1000.0;
         let neighbours = self.runs().filter(|other| other.attempt != run.attempt);
         let added_share: f64 = neighbours
             .map(|other| {
-                let model = &knobs.interference;
+                let model = &settings.interference;
                 model.added_share(&run.class, &other.class, other.speed_millis)
             })
             .sum();
--- a/crates/standins/src/step_worker.rs
+++ b/crates/standins/src/simulated_worker.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TaskWork {
     /// The run time; [`Duration::MAX`] for a long-running task, which reports 100 percent progress from its start.
-    pub lasts: Duration,
+    pub run_time: Duration,
     /// Whether the task fails when its run time is over.
     pub fails: bool,
     /// The resources that the task uses on the worker.
@@ -44,13 +44,13 @@
 
 /// An event on a worker, recorded for the checks of a test.
 #[derive(Clone, Debug, PartialEq)]
-pub enum WorkerDeed {
+pub enum WorkerEvent {
     /// A run started.
-    Began(TaskKey, RunNumber),
+    Started(TaskKey, RunNumber),
     /// A run ended.
     Ended(TaskKey, RunNumber, RunResult),
     /// The completion of a run was acknowledged by the owner.
-    Noted(TaskKey, RunResult),
+    Acknowledged(TaskKey, RunResult),
 }
 
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
 /// fencing token is lower than the highest it has seen, reports each completion until it is acknowledged, and never
 /// starts a run that was stopped before its start order arrived.
 #[derive(Debug)]
-pub struct StepWorker {
+pub struct SimulatedWorker {
     record: FleetWorker,
     /// The rate of the worker's clock, in hundredths of the true rate.
     clock_rate_percent: u32,
@@ -83,10 +83,10 @@
     /// The number of the latest completion.
     completion_count: u64,
     /// All events with the true time of each.
-    events: Vec<(Duration, WorkerDeed)>,
+    events: Vec<(Duration, WorkerEvent)>,
 }
 
-impl StepWorker {
+impl SimulatedWorker {
     /// Creates a worker that boots at `now`, with a clock that runs at `clock_rate_percent` hundredths of the true
     /// rate.
     pub fn new(id: &str, capacity: ResourceAmount, clock_rate_percent: u32, now: Duration) -> Self {
@@ -125,7 +125,7 @@
     }
 
     /// Returns all events in the order of their recording, with the true time of each.
-    pub fn deeds(&self) -> &[(Duration, WorkerDeed)] {
+    pub fn events(&self) -> &[(Duration, WorkerEvent)] {
         &self.events
     }
 
@@ -143,10 +143,10 @@
 
     /// Restarts the worker under the same identity at `now`: its runs end as lapsed and its state is lost. The recorded
     /// events stay.
-    pub fn reboot(&mut self, now: Duration) {
+    pub fn restart(&mut self, now: Duration) {
         for (task, run) in self.runs.keys().copied().collect::<Vec<_>>() {
             self.events
-                .push((now, WorkerDeed::Ended(task, run, RunResult::Lapsed)));
+                .push((now, WorkerEvent::Ended(task, run, RunResult::Lapsed)));
         }
         let mut fresh = Self::new("", self.record.capacity, self.clock_rate_percent, now);
         fresh.record = FleetWorker {
@@ -166,7 +166,7 @@
         deadline: Duration,
         work: TaskWork,
     ) -> OrderOutcome {
-        self.settle(now);
+        self.advance_to(now);
         if let Some(refusal) = self.refuse_token(token) {
             return refusal;
         }
@@ -182,7 +182,7 @@
             return OrderOutcome::Refused(OrderRefusal::Old);
         }
         self.events
-            .push((now, WorkerDeed::Began(order.task, order.run)));
+            .push((now, WorkerEvent::Started(order.task, order.run)));
         let run = StepRun {
             work,
             started: now,
@@ -200,7 +200,7 @@
         task: TaskKey,
         run: RunNumber,
     ) -> OrderOutcome {
-        self.settle(now);
+        self.advance_to(now);
         if let Some(refusal) = self.refuse_token(token) {
             return refusal;
         }
@@ -216,13 +216,13 @@
     /// # Errors
     ///
     /// Returns the refusal of a fencing token that is lower than the highest seen.
-    pub fn hold(
+    pub fn renew_lease(
         &mut self,
         now: Duration,
         token: u64,
         order: LeaseRenewal,
     ) -> Result<RenewalReport, OrderOutcome> {
-        self.settle(now);
+        self.advance_to(now);
         if let Some(refusal) = self.refuse_token(token) {
             return Err(refusal);
         }
@@ -232,7 +232,8 @@
         let acknowledged = self
             .completions
             .extract_if(.., |end| end.number <= order.acknowledged);
-        let acknowledged = acknowledged.map(|end| (now, WorkerDeed::Noted(end.task, end.result)));
+        let acknowledged =
+            acknowledged.map(|end| (now, WorkerEvent::Acknowledged(end.task, end.result)));
         self.events.extend(acknowledged);
         let running = self.runs.iter().map(|(&(task, run), state)| RunningTask {
             task,
@@ -255,11 +256,11 @@
     }
 
     /// Ends the runs that finish, are stopped or lose their lease up to `now`.
-    pub fn settle(&mut self, now: Duration) {
+    pub fn advance_to(&mut self, now: Duration) {
         let lapse = self.true_time(self.lease_end);
         let mut ended: Vec<(Duration, (TaskKey, RunNumber), RunResult)> = Vec::new();
         for (&key, run) in &self.runs {
-            let finishes_at = run.started.saturating_add(run.work.lasts);
+            let finishes_at = run.started.saturating_add(run.work.run_time);
             let result = if run.work.fails {
                 RunResult::Failed
             } else {
@@ -294,7 +295,8 @@
             result,
             checkpoint: None::<Arc<str>>,
         });
-        self.events.push((at, WorkerDeed::Ended(task, run, result)));
+        self.events
+            .push((at, WorkerEvent::Ended(task, run, result)));
     }
 
     fn refuse_token(&mut self, token: u64) -> Option<OrderOutcome> {
@@ -325,11 +327,11 @@
 }
 
 fn progress_percent(run: &StepRun, now: Duration) -> u32 {
-    if run.work.lasts == Duration::MAX {
+    if run.work.run_time == Duration::MAX {
         return 100;
     }
     let share =
-        now.saturating_sub(run.started).as_secs_f64() / run.work.lasts.as_secs_f64().max(0.001);
+        now.saturating_sub(run.started).as_secs_f64() / run.work.run_time.as_secs_f64().max(0.001);
     // CAST: the conversion of a float to an integer saturates.
     (share * 100.0).min(100.0) as u32
 }
--- a/crates/standins/src/table_stand_in.rs
+++ b/crates/standins/src/table_stand_in.rs
@@ -111,7 +111,7 @@
     }
 
     /// Commits changes without fault injection.
-    pub fn commit_surely(&self, write: WriteId, changes: &[RowChange]) -> CommitOutcome {
+    pub fn commit_without_faults(&self, write: WriteId, changes: &[RowChange]) -> CommitOutcome {
         self.lock().commit(write, changes)
     }
 
--- a/crates/standins/src/worker_knobs.rs
+++ b/crates/standins/src/worker_settings.rs
@@ -9,7 +9,7 @@
 pub enum CheckpointMode {
     /// They are saved.
     #[default]
-    Kept,
+    Saved,
     /// They can't be saved, and the worker reports an error.
     Fails,
     /// The worker reports them as saved, but a run that resumes from one starts from the beginning.
@@ -18,7 +18,7 @@
 
 /// The settings of a stand-in worker. The faults of its calls are set by a [`FaultPlan`](crate::FaultPlan).
 #[derive(Clone, Debug)]
-pub struct WorkerKnobs {
+pub struct WorkerSettings {
     /// Whether every task fails soon after its start.
     pub fails_every_task: bool,
     /// What happens to checkpoints.
@@ -33,11 +33,11 @@
     pub usage_lag: (Duration, Duration),
 }
 
-impl Default for WorkerKnobs {
+impl Default for WorkerSettings {
     fn default() -> Self {
         Self {
             fails_every_task: false,
-            checkpoints: CheckpointMode::Kept,
+            checkpoints: CheckpointMode::Saved,
             interference: InterferenceModel::new(),
             load_millis: 1000,
             usage_period: Duration::from_secs(5),
--- a/crates/standins/src/worker_stand_in.rs
+++ b/crates/standins/src/worker_stand_in.rs
@@ -52,7 +52,7 @@
     OutageState,
     RunLedger,
     ServerGuard,
-    WorkerKnobs,
+    WorkerSettings,
     http_server::{
         self,
         CallHandler, //
@@ -153,12 +153,12 @@
     }
 
     /// Changes the worker's settings. Runs up to now keep the progress that they made under the old settings.
-    pub fn set_knobs<Change>(&self, change: Change)
+    pub fn update_settings<Change>(&self, change: Change)
     where
-        Change: FnOnce(&mut WorkerKnobs),
+        Change: FnOnce(&mut WorkerSettings),
     {
         self.shared.advance_runs();
-        change(&mut self.shared.lock().knobs);
+        change(&mut self.shared.lock().settings);
     }
 
     /// Restarts the worker: its runs end, its state and lease are lost, and an outage of it ends.
--- a/crates/standins/src/worker_state.rs
+++ b/crates/standins/src/worker_state.rs
@@ -32,7 +32,7 @@
     RunEnd,
     RunLedger,
     RunRecord,
-    WorkerKnobs,
+    WorkerSettings,
     ended_runs::EndedRuns,
     run_set::RunSet,
     usage_queue::UsageQueue,
@@ -53,7 +53,7 @@
     pub(crate) name: VmName,
     pub(crate) domain: DomainName,
     pub(crate) capacity: ResourceAmount,
-    pub(crate) knobs: WorkerKnobs,
+    pub(crate) settings: WorkerSettings,
     pub(crate) ledger: Arc<RunLedger>,
     incarnation: u64,
     lease: WorkerLease,
@@ -74,7 +74,7 @@
             name,
             domain,
             capacity,
-            knobs: WorkerKnobs::default(),
+            settings: WorkerSettings::default(),
             ledger,
             incarnation: seed,
             lease: WorkerLease::default(),
@@ -114,7 +114,7 @@
         self.advance_to(now);
         self.lease.renew(now, renewal)?;
         self.ended.acknowledge(&renewal.acknowledged);
-        self.running.measure(now, &self.knobs, &mut self.usage);
+        self.running.measure(now, &self.settings, &mut self.usage);
         Ok(WorkerReport {
             incarnation: self.incarnation,
             // CAST: a worker holds far fewer runs than 2^32.
@@ -207,7 +207,7 @@
         self.advance_to(now);
         for run in self.running.runs() {
             self.ledger
-                .record_end(run.ledger_index, now, RunEnd::Vanished, None);
+                .record_end(run.ledger_index, now, RunEnd::WorkerFailed, None);
         }
         self.running.clear();
         self.ended = EndedRuns::default();
@@ -220,13 +220,13 @@
     /// the remaining runs.
     pub(crate) fn advance_to(&mut self, now: Duration) {
         while let Some((at, attempt)) = self.next_event().filter(|(at, _)| *at <= now) {
-            self.running.advance(at, &self.knobs);
+            self.running.advance(at, &self.settings);
             match attempt {
                 Some(attempt) => self.complete_run(at, attempt),
                 None => self.lapse_lease(at),
             }
         }
-        self.running.advance(now, &self.knobs);
+        self.running.advance(now, &self.settings);
     }
 
     pub(crate) fn running_tasks(&self) -> Vec<WorkerTask> {
@@ -281,7 +281,7 @@
             kept: None,
         });
         let fails_at = self
-            .knobs
+            .settings
             .fails_every_task
             .then_some(now + BROKEN_TASK_FAILURE_DELAY);
         let run = WorkerRun::new(order, now, done_seconds, ledger_index).with_failure_at(fails_at);
@@ -310,8 +310,8 @@
         let run = self.running.get(attempt)?;
         let name = format!("{}/{}/{attempt}", self.name, self.incarnation);
         let checkpoint = CheckpointId::from(name);
-        match self.knobs.checkpoints {
-            CheckpointMode::Kept => self
+        match self.settings.checkpoints {
+            CheckpointMode::Saved => self
                 .ledger
                 .save_checkpoint(checkpoint.clone(), run.done_seconds),
             CheckpointMode::Lost => {}
@@ -342,7 +342,7 @@
     /// Whichever comes first is returned.
     fn next_event(&self) -> Option<(Duration, Option<TaskAttempt>)> {
         let lapse = self.lease.end().map(|at| (at, None));
-        let completion = self.running.next_completion(&self.knobs);
+        let completion = self.running.next_completion(&self.settings);
         let completion = completion.map(|(at, attempt)| (at, Some(attempt)));
         // A run that completes at the time of the lapse counts as completed, since `min_by_key` returns the first
         // minimum.
--- a/crates/standins/tests/contracts/endpoint.rs
+++ b/crates/standins/tests/contracts/endpoint.rs
@@ -14,8 +14,8 @@
     EndpointAnswer,
     EndpointCounts,
     EndpointFault,
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     ServerGuard,
     ServiceTime, //
@@ -42,14 +42,14 @@
 
 impl EndpointHarness {
     async fn new(slots: u16, service_time: Duration) -> Self {
-        let knobs = EndpointKnobs {
+        let settings = EndpointSettings {
             service_time: ServiceTime::Fixed(service_time),
-            ..EndpointKnobs::default()
+            ..EndpointSettings::default()
         };
         let ledger = Arc::new(EndpointLedger::new());
         let stand_in = EndpointStandIn::new("vm-1", ledger, 1)
             .with_limits(slots, 2)
-            .with_knobs(knobs);
+            .with_settings(settings);
         let (address, guard) = stand_in.start().await.unwrap();
         Self {
             stand_in,
@@ -125,7 +125,7 @@
         assert_eq!(checked, Ok(()), "{answer}");
     }
     let ledger = endpoint.stand_in.ledger();
-    assert_eq!(ledger.repeated(), ["a"]);
+    assert_eq!(ledger.repeated_request_ids(), ["a"]);
     assert_eq!((ledger.runs_of("b"), ledger.runs()), (1, 3));
 }
 
@@ -182,7 +182,7 @@
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
     for (fault, start, end, runs) in cases {
         let id = format!("{fault:?}");
-        endpoint.stand_in.once(fault);
+        endpoint.stand_in.queue_fault(fault);
         let answer = endpoint.exchange(&id).await;
         assert!(answer.starts_with(start), "{id} gave {answer}");
         assert!(answer.ends_with(end), "{id} gave {answer}");
@@ -196,7 +196,9 @@
 #[tokio::test]
 async fn a_leaving_endpoint_refuses_requests_as_not_run() {
     let endpoint = EndpointHarness::new(1, Duration::ZERO).await;
-    endpoint.stand_in.set_knobs(|knobs| knobs.leaving = true);
+    endpoint
+        .stand_in
+        .update_settings(|settings| settings.leaving = true);
     let answer = endpoint.exchange("a").await;
     assert!(answer.contains("jasminebend-executed: no\r\n"), "{answer}");
     assert!(answer.contains("connection: close\r\n"), "{answer}");
--- a/crates/standins/tests/contracts/limits.rs
+++ b/crates/standins/tests/contracts/limits.rs
@@ -40,7 +40,7 @@
         (BYTES_ABOVE_RESPONSE_LIMIT, Err(TableError::Malformed)),
     ];
     for (spaces, expected) in cases {
-        server.once(EndpointFault::Raw(padded_response(spaces).into()));
+        server.queue_fault(EndpointFault::Raw(padded_response(spaces).into()));
         assert_eq!(table.read(&"a".into()).await, expected, "{spaces}");
     }
 }
--- a/crates/standins/tests/contracts/objects.rs
+++ b/crates/standins/tests/contracts/objects.rs
@@ -57,7 +57,7 @@
     ];
     for (fault, error, effect) in cases {
         let name = key(&format!("{fault:?}"));
-        objects.stand_in.faults().once(CallKind::Put, fault);
+        objects.stand_in.faults().queue_fault(CallKind::Put, fault);
         let answer = objects.port.put(&name, Bytes::from_static(b"1")).await;
         assert_eq!(answer, Err(error), "{fault:?}");
         let found = objects.port.get(&name).await.unwrap();
@@ -68,7 +68,7 @@
 /// A write that is delivered again must not corrupt the object or create another one.
 async fn a_write_delivered_twice_is_one_object(objects: ObjectHarness) {
     let twice = FaultKind::Duplicate(Duration::from_millis(10));
-    objects.stand_in.faults().once(CallKind::Put, twice);
+    objects.stand_in.faults().queue_fault(CallKind::Put, twice);
     let body = Bytes::from_static(b"1");
     objects.port.put(&key("a"), body.clone()).await.unwrap();
     tokio::time::sleep(Duration::from_millis(30)).await;
@@ -114,7 +114,7 @@
     ] {
         let objects = harness::objects_over_http(SHORT_TIMEOUT).await;
         objects.port.get(&key("a")).await.unwrap();
-        objects.stand_in.faults().once(CallKind::Put, fault);
+        objects.stand_in.faults().queue_fault(CallKind::Put, fault);
         let answer = objects.port.put(&key("a"), Bytes::new()).await;
         assert_eq!(answer, Err(ObjectError::Unknown), "{fault:?}");
         assert_eq!(objects.port.get(&key("a")).await, Ok(effect), "{fault:?}");
--- a/crates/standins/tests/contracts/table.rs
+++ b/crates/standins/tests/contracts/table.rs
@@ -157,7 +157,7 @@
     for case in FAULT_CASES {
         let fault = case.fault;
         let row = format!("{fault:?}");
-        table.stand_in.faults().once(CallKind::Commit, fault);
+        table.stand_in.faults().queue_fault(CallKind::Commit, fault);
         let change = put(&row, RowExpectation::Absent, "1");
         let error = table.port.commit(WRITE, vec![change]).await.unwrap_err();
         let found = table.port.read(&key(&row)).await.unwrap();
@@ -174,7 +174,7 @@
     table
         .stand_in
         .faults()
-        .once(CallKind::Read, FaultKind::LoseAnswer);
+        .queue_fault(CallKind::Read, FaultKind::LoseAnswer);
     let first = table.port.read(&key("a")).await;
     assert!(matches!(first, Ok(None) | Err(TableError::Unknown)));
     assert_eq!(table.port.read(&key("a")).await, Ok(None));
@@ -185,7 +185,7 @@
     table.port.read(&key("a")).await.unwrap();
     for fault in [FaultKind::LoseAnswer, FaultKind::LoseRequest] {
         let before = table.stand_in.faults().counts().writes;
-        table.stand_in.faults().once(CallKind::Commit, fault);
+        table.stand_in.faults().queue_fault(CallKind::Commit, fault);
         let change = put("a", RowExpectation::Any, "1");
         let answer = table.port.commit(WRITE, vec![change]).await;
         assert_eq!(answer, Err(TableError::Unknown), "{fault:?}");
@@ -197,13 +197,13 @@
 /// writer prevents it.
 async fn a_delayed_commit_fails_its_compare_and_set(table: TableHarness) {
     let late = FaultKind::LateEffect(Duration::from_millis(20));
-    table.stand_in.faults().once(CallKind::Commit, late);
+    table.stand_in.faults().queue_fault(CallKind::Commit, late);
     let change = put("a", RowExpectation::Absent, "late");
     let answer = table.port.commit(WRITE, vec![change]).await;
     assert_eq!(answer, Err(TableError::Unknown));
     let change = put("b", RowExpectation::Absent, "first");
     table.port.commit(WRITE, vec![change]).await.unwrap();
-    table.stand_in.faults().once(CallKind::Commit, late);
+    table.stand_in.faults().queue_fault(CallKind::Commit, late);
     let change = put("b", RowExpectation::Absent, "late");
     table.port.commit(WRITE, vec![change]).await.unwrap_err();
     wait_until("the late commit", || !table.stand_in.rows("a").is_empty()).await;
@@ -214,7 +214,7 @@
 /// A delayed second delivery of a commit must not restore an older value of a row. An expected version prevents it.
 async fn a_commit_delivered_twice_takes_effect_once(table: TableHarness) {
     let twice = FaultKind::Duplicate(Duration::from_millis(20));
-    table.stand_in.faults().once(CallKind::Commit, twice);
+    table.stand_in.faults().queue_fault(CallKind::Commit, twice);
     let change = put("a", RowExpectation::Absent, "1");
     let outcome = table.port.commit(WRITE, vec![change]).await.unwrap();
     let CommitOutcome::Committed(version) = outcome else {
@@ -247,7 +247,7 @@
 /// Lost responses must not lose or repeat increments. The write ID in the row shows the writer whether its commit took
 /// effect, so that it neither repeats it nor gives it up.
 async fn increments_survive_a_mix_of_faults(table: TableHarness) {
-    table.stand_in.faults().mix([
+    table.stand_in.faults().set_random_faults([
         (FaultKind::LoseAnswer, 150),
         (FaultKind::LoseRequest, 150),
         (FaultKind::Malformed, 50),
@@ -306,7 +306,7 @@
     ] {
         let table = harness::table_over_http(SHORT_TIMEOUT).await;
         table.port.read(&key("a")).await.unwrap();
-        table.stand_in.faults().once(CallKind::Commit, fault);
+        table.stand_in.faults().queue_fault(CallKind::Commit, fault);
         let change = put("a", RowExpectation::Absent, "1");
         let answer = table.port.commit(WRITE, vec![change]).await;
         assert_eq!(answer, Err(TableError::Unknown), "{fault:?}");
@@ -330,7 +330,7 @@
 /// A NAT or firewall that loses its connection state makes calls on all open connections time out although the service
 /// works. One timeout must make the adapter drop all of them.
 #[tokio::test]
-async fn one_timeout_gives_up_the_silent_connections() {
+async fn one_timeout_drops_all_silent_connections() {
     let table = harness::table_over_http(SHORT_TIMEOUT).await;
     let row = key("a");
     // Concurrent calls open several connections, which are then idle in the pool.
--- a/crates/standins/tests/contracts/vm_list.rs
+++ b/crates/standins/tests/contracts/vm_list.rs
@@ -72,7 +72,7 @@
     let fresh = list.port.read().await.unwrap();
     list.stand_in
         .faults()
-        .once(CallKind::Read, FaultKind::Stale);
+        .queue_fault(CallKind::Read, FaultKind::Stale);
     let stale = list.port.read().await.unwrap();
     assert_eq!(stale.vms, []);
     assert!(stale.revision < fresh.revision);
@@ -87,7 +87,7 @@
         (FaultKind::Malformed, VmListError::Malformed),
     ];
     for (fault, error) in cases {
-        list.stand_in.faults().always(CallKind::Read, fault);
+        list.stand_in.faults().set_fault(CallKind::Read, fault);
         assert_eq!(list.port.read().await, Err(error), "{fault:?}");
     }
 }
@@ -126,7 +126,7 @@
         FaultKind::Slow(ENDLESS_DELAY),
         FaultKind::SlowAnswer(ENDLESS_DELAY),
     ] {
-        list.stand_in.faults().once(CallKind::Read, fault);
+        list.stand_in.faults().queue_fault(CallKind::Read, fault);
         let answer = list.port.read().await;
         assert_eq!(answer, Err(VmListError::Unavailable), "{fault:?}");
     }
--- a/crates/standins/tests/contracts/worker_orders.rs
+++ b/crates/standins/tests/contracts/worker_orders.rs
@@ -199,7 +199,7 @@
     ];
     worker.adopt(EPOCH).await.unwrap();
     for (index, (fault, surely_not_run, starts)) in (0..).zip(cases) {
-        worker.stand_in.faults().once(CallKind::Start, fault);
+        worker.stand_in.faults().queue_fault(CallKind::Start, fault);
         let error = worker.start(batch(index, 1)).await.unwrap_err();
         let expected = match surely_not_run {
             true => WorkerError::Unreachable,
@@ -218,7 +218,7 @@
 async fn a_start_delivered_twice_runs_once(worker: WorkerHarness) {
     worker.adopt(EPOCH).await.unwrap();
     let twice = FaultKind::Duplicate(Duration::from_millis(10));
-    worker.stand_in.faults().once(CallKind::Start, twice);
+    worker.stand_in.faults().queue_fault(CallKind::Start, twice);
     worker.start(batch(1, 1)).await.unwrap();
     worker.stop(run(1, 1)).await.unwrap();
     tokio::time::sleep(Duration::from_millis(30)).await;
@@ -251,7 +251,7 @@
     ] {
         let worker = harness::worker_over_http(SHORT_TIMEOUT).await;
         worker.adopt(EPOCH).await.unwrap();
-        worker.stand_in.faults().once(CallKind::Start, fault);
+        worker.stand_in.faults().queue_fault(CallKind::Start, fault);
         let answer = worker.start(batch(1, 1)).await;
         assert_eq!(answer, Err(WorkerError::Unknown), "{fault:?}");
         assert_eq!(worker.stand_in.running().len(), runs, "{fault:?}");
--- a/crates/standins/tests/contracts/worker_runs.rs
+++ b/crates/standins/tests/contracts/worker_runs.rs
@@ -70,13 +70,13 @@
     worker.clock.advance(3 * SECOND);
     worker
         .stand_in
-        .set_knobs(|knobs| knobs.checkpoints = CheckpointMode::Fails);
+        .update_settings(|settings| settings.checkpoints = CheckpointMode::Fails);
     let failed = worker.checkpoint(run(1, 1)).await;
     assert_eq!(failed, Err(WorkerError::CheckpointFailed));
     assert_eq!(worker.stand_in.running().len(), 1);
     worker
         .stand_in
-        .set_knobs(|knobs| knobs.checkpoints = CheckpointMode::Lost);
+        .update_settings(|settings| settings.checkpoints = CheckpointMode::Lost);
     let lost = worker.checkpoint(run(1, 1)).await.unwrap();
     let resumed = TaskOrder {
         checkpoint: Some(lost),
@@ -93,7 +93,7 @@
     let model = InterferenceModel::new().with_pair("sync", "cart", 1_000);
     worker
         .stand_in
-        .set_knobs(|knobs| knobs.interference = model);
+        .update_settings(|settings| settings.interference = model);
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     worker.start(service(2)).await.unwrap();
@@ -111,9 +111,9 @@
 }
 
 async fn reports_each_measurement_once_after_its_lag(worker: WorkerHarness) {
-    worker.stand_in.set_knobs(|knobs| {
-        knobs.usage_period = 2 * SECOND;
-        knobs.usage_lag = (3 * SECOND, 3 * SECOND);
+    worker.stand_in.update_settings(|settings| {
+        settings.usage_period = 2 * SECOND;
+        settings.usage_lag = (3 * SECOND, 3 * SECOND);
     });
     worker.adopt(EPOCH).await.unwrap();
     let used = ResourceAmount::new(10_000, 1);
@@ -139,9 +139,9 @@
 // traffic. So the owner limits the number of measurements in a report. Every run must still be reported in turn, and
 // completions must not be delayed.
 async fn limited_reports_rotate_over_all_runs_and_include_all_completions(worker: WorkerHarness) {
-    worker.stand_in.set_knobs(|knobs| {
-        knobs.usage_period = SECOND;
-        knobs.usage_lag = (Duration::ZERO, Duration::ZERO);
+    worker.stand_in.update_settings(|settings| {
+        settings.usage_period = SECOND;
+        settings.usage_lag = (Duration::ZERO, Duration::ZERO);
     });
     worker.adopt(EPOCH).await.unwrap();
     let long = TaskPayload::new(60 * SECOND).to_text();
@@ -182,9 +182,9 @@
 
 // If a limited report omitted a slow service, the owner would end the throttling of the tasks that slow it down.
 async fn a_limited_report_lists_services_first(worker: WorkerHarness) {
-    worker.stand_in.set_knobs(|knobs| {
-        knobs.usage_period = SECOND;
-        knobs.usage_lag = (Duration::ZERO, Duration::ZERO);
+    worker.stand_in.update_settings(|settings| {
+        settings.usage_period = SECOND;
+        settings.usage_lag = (Duration::ZERO, Duration::ZERO);
     });
     worker.adopt(EPOCH).await.unwrap();
     for index in 0..4 {
@@ -208,13 +208,13 @@
     assert_ne!(inventory.incarnation, before);
     assert_eq!(inventory.tasks, []);
     let runs = worker.ledger.runs();
-    assert_eq!(runs[0].ended, Some((Duration::ZERO, RunEnd::Vanished)));
+    assert_eq!(runs[0].ended, Some((Duration::ZERO, RunEnd::WorkerFailed)));
 }
 
 async fn a_broken_worker_fails_every_task(worker: WorkerHarness) {
     worker
         .stand_in
-        .set_knobs(|knobs| knobs.fails_every_task = true);
+        .update_settings(|settings| settings.fails_every_task = true);
     worker.adopt(EPOCH).await.unwrap();
     worker.start(batch(1, 1)).await.unwrap();
     worker.clock.advance(SECOND);
--- a/crates/standins/tests/fuzz/adapters.rs
+++ b/crates/standins/tests/fuzz/adapters.rs
@@ -29,8 +29,8 @@
 };
 use jasminebend_standins::{
     EndpointFault,
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     ServiceTime, //
 };
@@ -58,11 +58,11 @@
 }
 
 fn instant_endpoint() -> EndpointStandIn {
-    let knobs = EndpointKnobs {
+    let settings = EndpointSettings {
         service_time: ServiceTime::Fixed(Duration::ZERO),
-        ..EndpointKnobs::default()
+        ..EndpointSettings::default()
     };
-    EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1).with_knobs(knobs)
+    EndpointStandIn::new("vm-1", Arc::new(EndpointLedger::new()), 1).with_settings(settings)
 }
 
 /// A corrupted response must not be taken for the report that a commit had no effect or met a conflict: the writer
@@ -76,7 +76,7 @@
     with_fixed_seeds(|source| {
         let answer = mutate_input(source, &valid)?;
         let refuses = answer.starts_with(b"HTTP/1.1 4");
-        server.once(EndpointFault::Raw(answer.clone().into()));
+        server.queue_fault(EndpointFault::Raw(answer.clone().into()));
         let table = HttpTable::new(address).with_timeout(CALL_TIMEOUT);
         let outcome = runtime.block_on(table.commit(WriteId(1), Vec::new()));
         let contradicts = match outcome {
@@ -125,7 +125,7 @@
     with_fixed_seeds(|source| {
         let answer = mutate_input(source, &valid)?;
         let refuses = answer.starts_with(b"HTTP/1.1 4");
-        server.once(EndpointFault::Raw(answer.clone().into()));
+        server.queue_fault(EndpointFault::Raw(answer.clone().into()));
         let renewal = LeaseRenewal {
             shard: 1,
             epoch: OwnerEpoch(1),
@@ -149,7 +149,7 @@
     for format in [AnswerFormat::Json, AnswerFormat::Postcard] {
         for (suffix, is_report) in [("", true), ("0", false)] {
             let answer = report_response_with_suffix(format, suffix);
-            server.once(EndpointFault::Raw(answer.into()));
+            server.queue_fault(EndpointFault::Raw(answer.into()));
             let renewal = LeaseRenewal {
                 shard: 1,
                 epoch: OwnerEpoch(1),
--- a/crates/standins/tests/fuzz/servers.rs
+++ b/crates/standins/tests/fuzz/servers.rs
@@ -107,7 +107,7 @@
     let table = TableStandIn::new();
     let rows = ["row/1", "row/2"];
     let rows = rows.map(|key| RowChange::put(key, RowExpectation::Any, b"old".to_vec()));
-    table.commit_surely(WriteId(1), &rows);
+    table.commit_without_faults(WriteId(1), &rows);
     table
 }
 
