--- a/crates/cluster/src/table_access.rs
+++ b/crates/cluster/src/table_access.rs
@@ -138,8 +138,8 @@
     /// Logs when the table becomes unreadable or readable.
     pub(crate) fn record_table_error(&mut self, error: Option<&RowError>) {
         match (error, self.table_unreadable) {
-            (Some(error), false) => warn!("[cluster] The shared rows cannot be read: {}.", error),
-            (None, true) => info!("[cluster] The shared rows can be read again."),
+            (Some(error), false) => warn!("[cluster] The table cannot be read: {}.", error),
+            (None, true) => info!("[cluster] The table can be read again."),
             _ => (),
         }
         self.table_unreadable = error.is_some();
@@ -153,7 +153,7 @@
     match result {
         Ok(Ok(CommitOutcome::Committed(_))) => WriteOutcome::Committed,
         Ok(Ok(CommitOutcome::Conflict { .. })) => WriteOutcome::Conflict,
-        Ok(Err(error)) if error.surely_not_run() => WriteOutcome::NotRun,
+        Ok(Err(error)) if error.certainly_had_no_effect() => WriteOutcome::NotRun,
         Ok(Err(_)) | Err(_) => WriteOutcome::Unknown,
     }
 }
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -12,16 +12,16 @@
     ClassTarget,
     Configuration,
     DomainState,
-    ExecutorRecord,
+    EndpointRecord,
     FailureDomain,
     IdempotencyRule,
     OwnerEpoch,
     ResourceId,
     RouteRule,
-    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState, //
+    WorkClass,
 };
 use jasminebend_gateway::{
     Gateway,
@@ -114,7 +114,7 @@
             incarnation: 1,
             domain: domain.into(),
             state: VmState::Live,
-            executor: Some(ExecutorRecord {
+            executor: Some(EndpointRecord {
                 service: "booking".into(),
                 address,
                 slots,
@@ -156,7 +156,7 @@
     pub(crate) async fn start(self) -> TestGateway {
         let ownership = Arc::new(FixedOwnership::new());
         for share in self.shares {
-            ownership.hold(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
+            ownership.set_owned(ResourceId::Slots(share), OwnerEpoch(1), Duration::ZERO);
         }
         let configuration = watch::Sender::new(Arc::new(configuration(self.target, self.rule)));
         let vms = watch::Sender::new(Arc::new(VmSnapshot {
@@ -199,7 +199,7 @@
     };
     Configuration {
         domains: vec![domain("east"), domain("west")],
-        classes: vec![ServiceClass {
+        classes: vec![WorkClass {
             name: "booking".into(),
             kind: ClassKind::Service,
             target: ClassTarget::AnswerWithin(target),
@@ -255,14 +255,14 @@
     pub(crate) fn hold_shares(&self, shares: Range<u16>, idle: Duration) {
         for share in shares {
             self.ownership
-                .hold(ResourceId::Slots(share), OwnerEpoch(2), idle);
+                .set_owned(ResourceId::Slots(share), OwnerEpoch(2), idle);
         }
     }
 
     /// Makes the daemon lose these shares.
     pub(crate) fn release_shares(&self, shares: Range<u16>) {
         for share in shares {
-            self.ownership.lose(ResourceId::Slots(share));
+            self.ownership.remove(ResourceId::Slots(share));
         }
     }
 
--- a/crates/jasminebend/src/demo_environment.rs
+++ b/crates/jasminebend/src/demo_environment.rs
@@ -16,15 +16,15 @@
 };
 use jasminebend_ports::{
     ClockSource,
-    HttpObjects,
-    HttpTable,
+    HttpObjectStore,
+    HttpTableService,
     HttpVmList,
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 use jasminebend_standins::{
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     FleetShape,
     ObjectStandIn,
@@ -103,10 +103,12 @@
     pub(crate) fn ports(&self, seed: u64) -> DaemonPorts {
         let addresses = &self.addresses;
         DaemonPorts {
-            table: Arc::new(HttpTable::new(addresses.table).with_timeout(PLATFORM_TIMEOUT)),
-            objects: Arc::new(HttpObjects::new(addresses.objects).with_timeout(PLATFORM_TIMEOUT)),
+            table: Arc::new(HttpTableService::new(addresses.table).with_timeout(PLATFORM_TIMEOUT)),
+            objects: Arc::new(
+                HttpObjectStore::new(addresses.objects).with_timeout(PLATFORM_TIMEOUT),
+            ),
             vm_list: Arc::new(HttpVmList::new(addresses.vm_list).with_timeout(PLATFORM_TIMEOUT)),
-            workers: Arc::new(HttpWorkers::new().with_timeout(PLATFORM_TIMEOUT)),
+            workers: Arc::new(HttpWorkerTransport::new().with_timeout(PLATFORM_TIMEOUT)),
             clock: Arc::clone(&self.clock),
             seed,
         }
@@ -142,15 +144,15 @@
         for index in 0..ENDPOINT_COUNT {
             let domain = DomainName::from(DOMAINS[index % DOMAINS.len()]);
             let name = VmName::from(format!("endpoint-{index}"));
-            let knobs = EndpointKnobs {
+            let settings = EndpointSettings {
                 service_time: ServiceTime::Exponential(MEAN_SERVICE_TIME),
-                ..EndpointKnobs::default()
+                ..EndpointSettings::default()
             };
             // CAST: `index` is below `ENDPOINT_COUNT`.
             let seed = seed.wrapping_add(index as u64);
             let endpoint = EndpointStandIn::new(name.clone(), Arc::clone(&self.requests), seed)
                 .with_clock(Arc::clone(&self.clock))
-                .with_knobs(knobs);
+                .with_settings(settings);
             let (address, guard) = endpoint.start().await?;
             self.vm_list
                 .add(endpoint.record(domain.clone(), SERVICE_NAME, address));
--- a/crates/jasminebend/src/entry_control.rs
+++ b/crates/jasminebend/src/entry_control.rs
@@ -96,7 +96,7 @@
     ///
     /// A daemon that started while the VM list was unreachable knows no endpoints and would refuse every caller, while
     /// the other daemons still know the list that they read before.
-    fn knows_vms(&self) -> bool {
+    fn has_vm_list(&self) -> bool {
         let configuration = self.configuration();
         let mut classes = configuration.classes.iter();
         let has_services = classes.any(|class| class.kind == ClassKind::Service);
@@ -122,9 +122,10 @@
     fn holds_slots(&self) -> bool {
         let ownership = self.cluster.ownership();
         let usable = |resource: ResourceId| {
-            matches!(resource, ResourceId::Slots(_)) && ownership.idle_for(resource).is_zero()
+            matches!(resource, ResourceId::Slots(_))
+                && ownership.remaining_takeover_delay(resource).is_zero()
         };
-        let held = ownership.held();
+        let held = ownership.owned_resources();
         held.iter().any(|(resource, _)| usable(*resource))
     }
 
@@ -157,7 +158,7 @@
     fn ready(&self) -> bool {
         !self.is_stopping()
             && self.cluster.is_ready()
-            && self.knows_vms()
+            && self.has_vm_list()
             && self.slots_ready.load(Ordering::Relaxed)
     }
 
@@ -203,14 +204,14 @@
     }
 
     async fn job(&self, job: &str) -> Result<serde_json::Value, ControlError> {
-        let status = self.planner.job(parse_job(job)?).await;
+        let status = self.planner.job_status(parse_job(job)?).await;
         status
             .map(|status| job_status_json(&status))
             .map_err(job_error)
     }
 
     async fn jobs(&self) -> Result<Vec<serde_json::Value>, ControlError> {
-        let statuses = self.planner.jobs().await;
+        let statuses = self.planner.job_statuses().await;
         let statuses = statuses.map_err(job_error)?;
         Ok(statuses.iter().map(job_status_json).collect())
     }
@@ -252,7 +253,7 @@
 /// repeating it is safe.
 fn cancellation_error(error: JobError) -> ControlError {
     match error {
-        JobError::Table(cause) if !cause.surely_not_run() => ControlError::Unknown {
+        JobError::Table(cause) if !cause.certainly_had_no_effect() => ControlError::Unknown {
             find_out: error.to_string(),
         },
         other => job_error(other),
@@ -271,7 +272,7 @@
     }
 }
 
-/// Converts a job's status to JSON, with the job's identifier as sixteen hexadecimal digits, as a submission returns it.
+/// Converts a job's status to JSON. The job's identifier has sixteen hexadecimal digits, as a submission returns it.
 ///
 /// Many JSON parsers lose the last digits of so large a number.
 fn job_status_json(status: &JobStatus) -> serde_json::Value {
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -33,20 +33,20 @@
     IdempotencyRule,
     ResourceAmount,
     RouteRule,
-    ServiceClass,
     ServiceName,
     TeamName,
     TeamQuota,
     VmRecord, //
+    WorkClass,
 };
 use jasminebend_ports::{
     ClockSource,
-    HttpWorkers,
+    HttpWorkerTransport,
     SystemClock, //
 };
 use jasminebend_standins::{
-    EndpointKnobs,
     EndpointLedger,
+    EndpointSettings,
     EndpointStandIn,
     FleetShape,
     ObjectStandIn,
@@ -80,11 +80,11 @@
 impl TestPlatform {
     /// Starts a platform with one endpoint, which works for `service_time` on each request.
     pub(crate) async fn start(service_time: Duration) -> Self {
-        Self::start_with(service_time, 1).await
+        Self::start_with_endpoints(service_time, 1).await
     }
 
     /// Starts a platform with this number of endpoints.
-    pub(crate) async fn start_with(service_time: Duration, endpoints: u32) -> Self {
+    pub(crate) async fn start_with_endpoints(service_time: Duration, endpoints: u32) -> Self {
         let ledger = Arc::new(EndpointLedger::new());
         let runs = Arc::new(RunLedger::new());
         let mut fleet = worker_fleet(&runs);
@@ -148,7 +148,7 @@
             table: Arc::new(self.table.clone()),
             objects: Arc::new(self.objects.clone()),
             vm_list: Arc::new(self.vm_list.clone()),
-            workers: Arc::new(HttpWorkers::new()),
+            workers: Arc::new(HttpWorkerTransport::new()),
             clock: Arc::new(SystemClock::new()),
             seed: u64::from(NEXT_NUMBER.fetch_add(1, Ordering::Relaxed)),
         };
@@ -162,11 +162,11 @@
 
     /// Writes a settings file for a single daemon, with `lines` appended.
     pub(crate) fn settings_file(&self, lines: &str) -> PathBuf {
-        self.settings_file_of(1, lines)
+        self.settings_file_for(1, lines)
     }
 
     /// Writes a settings file for this number of daemons, with `lines` appended.
-    pub(crate) fn settings_file_of(&self, daemons: u8, lines: &str) -> PathBuf {
+    pub(crate) fn settings_file_for(&self, daemons: u8, lines: &str) -> PathBuf {
         let shares = u16::from(daemons) * 4;
         let path = self.directory.join("settings.yaml");
         let sizes = format!("seats: {daemons}\nslot_shares: {shares}\n");
@@ -180,13 +180,13 @@
     service_time: Duration,
     ledger: &Arc<EndpointLedger>,
 ) -> (VmRecord, ServerGuard) {
-    let knobs = EndpointKnobs {
+    let settings = EndpointSettings {
         service_time: ServiceTime::Fixed(service_time),
-        ..EndpointKnobs::default()
+        ..EndpointSettings::default()
     };
     let seed = SEED + u64::from(number);
     let endpoint = EndpointStandIn::new(format!("vm-{number}"), Arc::clone(ledger), seed);
-    let endpoint = endpoint.with_knobs(knobs);
+    let endpoint = endpoint.with_settings(settings);
     let (address, guard) = endpoint.start().await.expect("a free port");
     (endpoint.record("a", SERVICE_NAME, address), guard)
 }
@@ -227,8 +227,8 @@
     }
 }
 
-fn quotes_class() -> ServiceClass {
-    ServiceClass {
+fn quotes_class() -> WorkClass {
+    WorkClass {
         name: ClassName::from("quotes"),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(Duration::from_secs(2)),
@@ -241,8 +241,8 @@
     }
 }
 
-fn reconciliation_class() -> ServiceClass {
-    ServiceClass {
+fn reconciliation_class() -> WorkClass {
+    WorkClass {
         name: ClassName::from("reconciliation"),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(3600)),
--- a/crates/jasminebend/tests/daemon/rolling_replacement.rs
+++ b/crates/jasminebend/tests/daemon/rolling_replacement.rs
@@ -31,8 +31,8 @@
 const CALLER_COUNT: usize = 6;
 const SETTINGS_LINES: &str = "drain:\n  balancer_lag: 400ms\n";
 
-/// What a daemon logs when it considers another one terminated, which must not happen to a daemon that runs or that has
-/// left gracefully.
+/// What a daemon logs when it considers another one terminated, which must not happen to a daemon that runs or has left
+/// gracefully.
 const TERMINATED_LOG_TEXT: &str = "has terminated";
 
 /// Operators roll out a new image: each daemon is stopped and another one is started in its place, while the balancer
@@ -40,8 +40,9 @@
 /// to a new one must never be used by both.
 #[tokio::test(flavor = "multi_thread")]
 async fn replacing_every_daemon_loses_no_order() {
-    let platform = TestPlatform::start_with(Duration::from_millis(5), ENDPOINT_COUNT).await;
-    let settings = platform.settings_file_of(DAEMON_COUNT, SETTINGS_LINES);
+    let platform =
+        TestPlatform::start_with_endpoints(Duration::from_millis(5), ENDPOINT_COUNT).await;
+    let settings = platform.settings_file_for(DAEMON_COUNT, SETTINGS_LINES);
     let mut programs = Vec::new();
     for _ in 0..DAEMON_COUNT {
         programs.push(RunningProgram::start(&settings));
@@ -78,6 +79,6 @@
     assert_eq!(total.get(&CallerOutcome::Lost), None, "{total:?}");
     assert_eq!(total.get(&CallerOutcome::NoConnection), None, "{total:?}");
     assert!(total[&CallerOutcome::Whole] > 100, "{total:?}");
-    assert!(platform.ledger.repeated().is_empty());
+    assert!(platform.ledger.repeated_request_ids().is_empty());
     assert_eq!(platform.ledger.over_slots(), 0);
 }
--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -24,16 +24,16 @@
     OwnerEpoch,
     ResourceAmount,
     ResourceId,
-    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState,
+    WorkClass,
     WorkerRecord, //
 };
 use jasminebend_planner::{
     JobSpec,
-    PlannerEdges,
     PlannerHandle,
+    PlannerPorts,
     PlannerSettings, //
 };
 use jasminebend_ports::{
@@ -101,8 +101,8 @@
 
     async fn planner(&self, epoch: u64, objects: &ObjectStandIn) -> PlannerHandle {
         let shard = ResourceId::Shard(0);
-        let ownership = FixedOwnership::new().with_held(shard, OwnerEpoch(epoch));
-        let ports = PlannerEdges {
+        let ownership = FixedOwnership::new().with_owned(shard, OwnerEpoch(epoch));
+        let ports = PlannerPorts {
             ownership: Arc::new(ownership),
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -196,7 +196,7 @@
 }
 
 fn configuration() -> Configuration {
-    let class = |index: usize| ServiceClass {
+    let class = |index: usize| WorkClass {
         name: format!("class-{index}").as_str().into(),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(36_000)),
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -20,17 +20,17 @@
     ResourceAmount,
     ResourceId,
     RouteRule,
-    ServiceClass,
     TeamQuota,
     VmSnapshot, //
+    WorkClass,
 };
 use jasminebend_planner::{
     JobId,
     JobPhase,
     JobSpec,
     JobStatus,
-    PlannerEdges,
     PlannerHandle,
+    PlannerPorts,
     PlannerSettings, //
 };
 use jasminebend_ports::{
@@ -138,8 +138,9 @@
         table: Arc<dyn TableService>,
         workers: Arc<dyn WorkerPort>,
     ) -> TestPlanner {
-        let ownership = Arc::new(FixedOwnership::new().with_held(PLANNED_SHARD, OwnerEpoch(epoch)));
-        let ports = PlannerEdges {
+        let ownership =
+            Arc::new(FixedOwnership::new().with_owned(PLANNED_SHARD, OwnerEpoch(epoch)));
+        let ports = PlannerPorts {
             ownership: Arc::clone(&ownership) as _,
             configuration: self.configuration.subscribe(),
             vms: self.vms.subscribe(),
@@ -204,7 +205,7 @@
 
 impl TestPlanner {
     pub(crate) async fn status(&self, job: JobId) -> JobStatus {
-        self.handle.job(job).await.unwrap()
+        self.handle.job_status(job).await.unwrap()
     }
 
     /// Waits until a job has ended and returns its status; fails if that takes longer than
@@ -275,13 +276,13 @@
     }
 }
 
-fn class(name: &str, target: ClassTarget) -> ServiceClass {
+fn class(name: &str, target: ClassTarget) -> WorkClass {
     let is_service = matches!(target, ClassTarget::AnswerWithin(_));
     let route = RouteRule {
         host: None,
         path_prefix: "/".to_owned(),
     };
-    ServiceClass {
+    WorkClass {
         name: name.into(),
         kind: match is_service {
             true => ClassKind::Service,
--- a/crates/standins/src/fixed_ownership.rs
+++ b/crates/standins/src/fixed_ownership.rs
@@ -30,18 +30,18 @@
     }
 
     /// Adds an owned resource without an idle time.
-    pub fn with_held(self, resource: ResourceId, epoch: OwnerEpoch) -> Self {
-        self.hold(resource, epoch, Duration::ZERO);
+    pub fn with_owned(self, resource: ResourceId, epoch: OwnerEpoch) -> Self {
+        self.set_owned(resource, epoch, Duration::ZERO);
         self
     }
 
     /// Adds an owned resource that must stay idle for the time `idle`.
-    pub fn hold(&self, resource: ResourceId, epoch: OwnerEpoch, idle: Duration) {
+    pub fn set_owned(&self, resource: ResourceId, epoch: OwnerEpoch, idle: Duration) {
         self.lock().insert(resource, (epoch, idle));
     }
 
     /// Removes a resource, as after a takeover by another daemon.
-    pub fn lose(&self, resource: ResourceId) {
+    pub fn remove(&self, resource: ResourceId) {
         self.lock().shift_remove(&resource);
     }
 
@@ -55,14 +55,14 @@
         self.lock().get(&resource).map(|(epoch, _)| *epoch)
     }
 
-    fn held(&self) -> Vec<(ResourceId, OwnerEpoch)> {
+    fn owned_resources(&self) -> Vec<(ResourceId, OwnerEpoch)> {
         let held = self.lock();
         held.iter()
             .map(|(resource, (epoch, _))| (*resource, *epoch))
             .collect()
     }
 
-    fn idle_for(&self, resource: ResourceId) -> Duration {
+    fn remaining_takeover_delay(&self, resource: ResourceId) -> Duration {
         self.lock()
             .get(&resource)
             .map_or(Duration::ZERO, |(_, idle)| *idle)
--- a/crates/standins/src/worker_stand_in.rs
+++ b/crates/standins/src/worker_stand_in.rs
@@ -38,10 +38,10 @@
     AnswerFormat,
     ClockSource,
     WorkerAnswer,
-    WorkerCalls,
     WorkerError,
     WorkerRequest,
     WorkerTask, //
+    WorkerTransport,
 };
 use tokio::net::TcpListener;
 
@@ -52,7 +52,7 @@
     OutageState,
     RunLedger,
     ServerGuard,
-    WorkerKnobs,
+    WorkerSettings,
     http_server::{
         self,
         CallHandler, //
@@ -153,12 +153,12 @@
     }
 
     /// Changes the worker's settings. Runs up to now keep the progress that they made under the old settings.
-    pub fn set_knobs<Change>(&self, change: Change)
+    pub fn update_settings<Change>(&self, change: Change)
     where
-        Change: FnOnce(&mut WorkerKnobs),
+        Change: FnOnce(&mut WorkerSettings),
     {
         self.shared.advance_runs();
-        change(&mut self.shared.lock().knobs);
+        change(&mut self.shared.lock().settings);
     }
 
     /// Restarts the worker: its runs end, its state and lease are lost, and an outage of it ends.
@@ -248,7 +248,7 @@
 }
 
 #[async_trait]
-impl WorkerCalls for WorkerStandIn {
+impl WorkerTransport for WorkerStandIn {
     async fn call(
         &self,
         _worker: SocketAddr,
@@ -277,7 +277,7 @@
         let Ok(request) = serde_json::from_slice(&body) else {
             return refused_response(StatusCode::BAD_REQUEST, "the body is no worker request");
         };
-        let format = AnswerFormat::from_accept(head.headers.get(ACCEPT));
+        let format = AnswerFormat::from_accept_header(head.headers.get(ACCEPT));
         match self.run_with_faults(request).await {
             Ok(Ok(answer)) => encode_answer(format, &answer),
             Ok(Err(error)) => json_response(StatusCode::CONFLICT, &error),
