--- a/crates/base/src/configuration.rs
+++ b/crates/base/src/configuration.rs
@@ -17,9 +17,9 @@
     DomainName,
     DomainState,
     FailureDomain,
+    ServiceClass,
     TeamName,
     TeamQuota, //
-    WorkClass,
 };
 
 /// The configuration shared by all daemons: failure domains, classes of work with their targets,
@@ -35,7 +35,7 @@
     pub domains: Vec<FailureDomain>,
     /// The declared classes of work; names are unique.
     #[serde(default)]
-    pub classes: Vec<WorkClass>,
+    pub classes: Vec<ServiceClass>,
     /// The teams and their quotas; names are unique.
     #[serde(default)]
     pub teams: Vec<TeamQuota>,
@@ -87,7 +87,7 @@
     }
 
     /// Returns the class with this name; `None` if it is not declared.
-    pub fn class(&self, name: &ClassName) -> Option<&WorkClass> {
+    pub fn class(&self, name: &ClassName) -> Option<&ServiceClass> {
         self.classes.iter().find(|class| class.name == *name)
     }
 
@@ -132,7 +132,7 @@
 
 /// Checks that the target fits the kind of the class and is not zero, and that a service class has
 /// a service and a valid route.
-fn check_class(class: &WorkClass) -> Result<(), ConfigurationError> {
+fn check_class(class: &ServiceClass) -> Result<(), ConfigurationError> {
     let class_name = class.name.to_string();
     let target = match (class.kind, class.target) {
         (ClassKind::Service, ClassTarget::AnswerWithin(target)) => target,
@@ -149,7 +149,7 @@
 }
 
 /// Checks that a service class has a service, and a route whose path prefix begins with `/`.
-fn check_route(class: &WorkClass) -> Result<(), ConfigurationError> {
+fn check_route(class: &ServiceClass) -> Result<(), ConfigurationError> {
     let class_name = class.name.to_string();
     let (Some(_), Some(route)) = (&class.service, &class.route) else {
         return Err(ConfigurationError::MissingServiceOrRoute { class: class_name });
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -22,6 +22,7 @@
 mod resource_id;
 mod route_rule;
 mod seat_number;
+mod service_class;
 mod service_name;
 mod team_name;
 mod team_quota;
@@ -29,7 +30,6 @@
 mod vm_record;
 mod vm_snapshot;
 mod vm_state;
-mod work_class;
 mod worker_record;
 
 pub use self::{
@@ -50,6 +50,7 @@
     resource_id::ResourceId,
     route_rule::RouteRule,
     seat_number::SeatNumber,
+    service_class::ServiceClass,
     service_name::ServiceName,
     team_name::TeamName,
     team_quota::TeamQuota,
@@ -57,6 +58,5 @@
     vm_record::VmRecord,
     vm_snapshot::VmSnapshot,
     vm_state::VmState,
-    work_class::WorkClass,
     worker_record::WorkerRecord, //
 };
--- a/crates/base/src/work_class.rs
+++ b/crates/base/src/service_class.rs
@@ -14,11 +14,12 @@
     ServiceName, //
 };
 
-/// A class of work, as declared in the configuration.
+/// A class of work, as declared in the configuration: the requests of a service, or batch jobs.
+/// Serde prints the type's name in the error for a malformed configuration, which the
+/// administration API returns.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-// The administration API returns this text in the error for a malformed configuration.
-#[serde(deny_unknown_fields, expecting = "struct ServiceClass")]
-pub struct WorkClass {
+#[serde(deny_unknown_fields)]
+pub struct ServiceClass {
     /// The name of the class; unique in the configuration.
     pub name: ClassName,
     /// Whether the class consists of requests or of batch jobs.
--- a/crates/gateway/benches/loopback/measured_gateway.rs
+++ b/crates/gateway/benches/loopback/measured_gateway.rs
@@ -14,10 +14,10 @@
     OwnerEpoch,
     ResourceId,
     RouteRule,
+    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState, //
-    WorkClass,
 };
 use jasminebend_gateway::{
     Gateway,
@@ -88,7 +88,7 @@
 
 fn configuration(target: Duration) -> Configuration {
     Configuration {
-        classes: vec![WorkClass {
+        classes: vec![ServiceClass {
             name: "booking".into(),
             kind: ClassKind::Service,
             target: ClassTarget::AnswerWithin(target),
--- a/crates/gateway/tests/requests/support/test_gateway.rs
+++ b/crates/gateway/tests/requests/support/test_gateway.rs
@@ -18,10 +18,10 @@
     OwnerEpoch,
     ResourceId,
     RouteRule,
+    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState, //
-    WorkClass,
 };
 use jasminebend_gateway::{
     Gateway,
@@ -199,7 +199,7 @@
     };
     Configuration {
         domains: vec![domain("east"), domain("west")],
-        classes: vec![WorkClass {
+        classes: vec![ServiceClass {
             name: "booking".into(),
             kind: ClassKind::Service,
             target: ClassTarget::AnswerWithin(target),
--- a/crates/jasminebend/benches/administration_cost.rs
+++ b/crates/jasminebend/benches/administration_cost.rs
@@ -34,7 +34,7 @@
     DomainState,
     FailureDomain,
     IdempotencyRule,
-    WorkClass, //
+    ServiceClass, //
 };
 use jasminebend_ports::{
     HttpWorkerTransport,
@@ -139,7 +139,7 @@
 }
 
 fn configuration(classes: usize) -> Configuration {
-    let class = |number| WorkClass {
+    let class = |number| ServiceClass {
         name: ClassName::from(format!("reconciliation-{number}")),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(3600)),
--- a/crates/jasminebend/src/demo_configuration.rs
+++ b/crates/jasminebend/src/demo_configuration.rs
@@ -13,10 +13,10 @@
     IdempotencyRule,
     ResourceAmount,
     RouteRule,
+    ServiceClass,
     ServiceName,
     TeamName,
     TeamQuota, //
-    WorkClass,
 };
 
 use crate::demo_environment::{
@@ -64,8 +64,8 @@
     prefix: &str,
     target: Duration,
     idempotency: IdempotencyRule,
-) -> WorkClass {
-    WorkClass {
+) -> ServiceClass {
+    ServiceClass {
         name: ClassName::from(name),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(target),
@@ -78,8 +78,8 @@
     }
 }
 
-fn batch_class() -> WorkClass {
-    WorkClass {
+fn batch_class() -> ServiceClass {
+    ServiceClass {
         name: ClassName::from("reconciliation"),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(60)),
--- a/crates/jasminebend/tests/daemon/platform.rs
+++ b/crates/jasminebend/tests/daemon/platform.rs
@@ -33,11 +33,11 @@
     IdempotencyRule,
     ResourceAmount,
     RouteRule,
+    ServiceClass,
     ServiceName,
     TeamName,
     TeamQuota,
     VmRecord, //
-    WorkClass,
 };
 use jasminebend_ports::{
     ClockSource,
@@ -227,8 +227,8 @@
     }
 }
 
-fn quotes_class() -> WorkClass {
-    WorkClass {
+fn quotes_class() -> ServiceClass {
+    ServiceClass {
         name: ClassName::from("quotes"),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(Duration::from_secs(2)),
@@ -241,8 +241,8 @@
     }
 }
 
-fn reconciliation_class() -> WorkClass {
-    WorkClass {
+fn reconciliation_class() -> ServiceClass {
+    ServiceClass {
         name: ClassName::from("reconciliation"),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(3600)),
--- a/crates/planner/benches/shard/main.rs
+++ b/crates/planner/benches/shard/main.rs
@@ -24,10 +24,10 @@
     OwnerEpoch,
     ResourceAmount,
     ResourceId,
+    ServiceClass,
     VmRecord,
     VmSnapshot,
     VmState,
-    WorkClass,
     WorkerRecord, //
 };
 use jasminebend_planner::{
@@ -196,7 +196,7 @@
 }
 
 fn configuration() -> Configuration {
-    let class = |index: usize| WorkClass {
+    let class = |index: usize| ServiceClass {
         name: format!("class-{index}").as_str().into(),
         kind: ClassKind::Batch,
         target: ClassTarget::FinishWithin(Duration::from_secs(36_000)),
--- a/crates/planner/tests/planner/test_bed.rs
+++ b/crates/planner/tests/planner/test_bed.rs
@@ -20,9 +20,9 @@
     ResourceAmount,
     ResourceId,
     RouteRule,
+    ServiceClass,
     TeamQuota,
     VmSnapshot, //
-    WorkClass,
 };
 use jasminebend_planner::{
     JobId,
@@ -275,13 +275,13 @@
     }
 }
 
-fn class(name: &str, target: ClassTarget) -> WorkClass {
+fn class(name: &str, target: ClassTarget) -> ServiceClass {
     let is_service = matches!(target, ClassTarget::AnswerWithin(_));
     let route = RouteRule {
         host: None,
         path_prefix: "/".to_owned(),
     };
-    WorkClass {
+    ServiceClass {
         name: name.into(),
         kind: match is_service {
             true => ClassKind::Service,
--- a/crates/routing/src/route_entry.rs
+++ b/crates/routing/src/route_entry.rs
@@ -7,8 +7,8 @@
     ClassName,
     ClassTarget,
     IdempotencyRule,
+    ServiceClass,
     ServiceName, //
-    WorkClass,
 };
 
 /// Route of a service class, with the class settings that the request path uses.
@@ -31,7 +31,7 @@
 impl RouteEntry {
     /// Returns the route of `class`, or `None` if requests cannot be routed to it: a batch class,
     /// or one without an answer time, a route or a service.
-    pub(crate) fn from_class(class: &WorkClass) -> Option<Self> {
+    pub(crate) fn from_class(class: &ServiceClass) -> Option<Self> {
         if class.kind != ClassKind::Service {
             return None;
         }
--- a/crates/routing/tests/route_table.rs
+++ b/crates/routing/tests/route_table.rs
@@ -7,12 +7,12 @@
     ClassTarget,
     Configuration,
     RouteRule,
-    WorkClass, //
+    ServiceClass, //
 };
 use jasminebend_routing::RouteTable;
 
-fn service_class(name: &str, host: Option<&str>, prefix: &str) -> WorkClass {
-    WorkClass {
+fn service_class(name: &str, host: Option<&str>, prefix: &str) -> ServiceClass {
+    ServiceClass {
         name: name.into(),
         kind: ClassKind::Service,
         target: ClassTarget::AnswerWithin(Duration::from_millis(100)),
