--- a/crates/dispatch/src/decaying_sum.rs
+++ b/crates/dispatch/src/decaying_sum.rs
@@ -40,12 +40,12 @@
     }
 
     /// Returns the average amount per second; 0 if none was added yet. The observation is assumed
-    /// to have lasted at least `least`.
-    pub(crate) fn rate(&self, now: Duration, least: Duration) -> f64 {
+    /// to have lasted at least `min_observation`.
+    pub(crate) fn rate(&self, now: Duration, min_observation: Duration) -> f64 {
         let Some(first_at) = self.first_at else {
             return 0.0;
         };
-        let observed = now.saturating_sub(first_at).max(least);
+        let observed = now.saturating_sub(first_at).max(min_observation);
         let mean_life = self.half_life.as_secs_f64() / std::f64::consts::LN_2;
         self.total(now) / (mean_life * (1.0 - self.decay_factor(observed)))
     }
--- a/crates/dispatch/src/dispatcher.rs
+++ b/crates/dispatch/src/dispatcher.rs
@@ -94,7 +94,7 @@
     /// Orders decided between two plans, to be returned by the next plan.
     pub(crate) pending_orders: Vec<WorkerOrder>,
     /// Log entries to be returned by the next plan.
-    pub(crate) pending_notes: Vec<FillerEviction>,
+    pub(crate) pending_evictions: Vec<FillerEviction>,
     pub(crate) commits: CommitTracker,
     pub(crate) interference: InterferenceModel,
     /// Demands for which no worker had capacity in a recent plan.
@@ -137,7 +137,7 @@
             pending_steps: IndexSet::new(),
             pending_stops: IndexSet::new(),
             pending_orders: Vec::new(),
-            pending_notes: Vec::new(),
+            pending_evictions: Vec::new(),
             commits: CommitTracker::default(),
             interference: InterferenceModel::default(),
             unplaceable: UnplaceableDemands::default(),
--- a/crates/dispatch/src/dispatcher_admission.rs
+++ b/crates/dispatch/src/dispatcher_admission.rs
@@ -82,7 +82,7 @@
 
     /// Returns the CPU of a pool that long-running tasks do not hold, in millicores, counted only
     /// as far as short tasks of the usual size fit. A worker that is silent for a moment counts.
-    fn unpromised_cpu(&self, pool: &Arc<str>, size: u64) -> u64 {
+    fn unpromised_cpu(&self, pool: &Arc<str>, task_cpu: u64) -> u64 {
         let staying_workers = self.workers.iter().filter(|worker| {
             let record = &worker.record;
             let stays = worker.listed && !record.draining && !worker.in_maintenance;
@@ -90,7 +90,7 @@
         });
         let unpromised = staying_workers.map(|worker| {
             let capacity = worker.record.capacity.cpu_millis;
-            capacity.saturating_sub(worker.long_running_cpu) / size * size
+            capacity.saturating_sub(worker.long_running_cpu) / task_cpu * task_cpu
         });
         unpromised.sum()
     }
@@ -168,8 +168,8 @@
 /// Returns the CPU that a job's long-running tasks reserve, in millicores.
 fn long_running_cpu(graph: &JobGraph) -> u64 {
     let steps = graph.steps.iter();
-    let lasting = steps.filter(|step| step.kind() == WorkKind::LongRunning);
-    lasting
+    let long_running = steps.filter(|step| step.kind() == WorkKind::LongRunning);
+    long_running
         .map(|step| u64::from(step.count).saturating_mul(step.size.cpu_millis))
         .fold(0, u64::saturating_add)
 }
--- a/crates/dispatch/src/dispatcher_plan.rs
+++ b/crates/dispatch/src/dispatcher_plan.rs
@@ -47,7 +47,7 @@
 const STOP_COMPLETION_MARGIN: Duration = Duration::from_millis(400);
 /// The maximum number of steps for which one plan explains the wait: each explanation scans all
 /// workers.
-const MAX_WAIT_NOTES_PER_PLAN: usize = 4;
+const MAX_WAIT_EXPLANATIONS_PER_PLAN: usize = 4;
 
 /// The orders, requests and log entries that a plan results in.
 #[derive(Debug, Default)]
@@ -56,7 +56,7 @@
     pub orders: Vec<WorkerOrder>,
     /// Requests to send to the advice service.
     pub advice_requests: Vec<AdviceRequest>,
-    /// Decisions to log: fillers throttled or evicted for a service's sake.
+    /// Decisions to evict fillers for a service's sake, to log.
     pub evictions: Vec<FillerEviction>,
     /// Steps that wait although they should have started, to log.
     pub waits: Vec<StepWait>,
@@ -87,7 +87,7 @@
         let mut outcome = PlanOutcome {
             orders,
             advice_requests: Vec::new(),
-            evictions: std::mem::take(&mut self.pending_notes),
+            evictions: std::mem::take(&mut self.pending_evictions),
             waits: Vec::new(),
         };
         self.plan_stops(now, &mut outcome);
@@ -200,7 +200,7 @@
                 starved.extend(self.starved_since(step, now).map(|since| (since, step)));
             }
             if missing > 0 && rank.is_urgent(now) {
-                if outcome.waits.len() < MAX_WAIT_NOTES_PER_PLAN {
+                if outcome.waits.len() < MAX_WAIT_EXPLANATIONS_PER_PLAN {
                     outcome.waits.extend(self.explain_wait(step, missing, now));
                 }
                 self.reserve_workers(step, missing, now);
@@ -405,7 +405,7 @@
             ..self.placement_context(spec, &search.profile, now)
         };
         let mut best: Option<(PlacementScore, WorkerKey)> = None;
-        for (place, worker) in self.workers.iter().enumerate() {
+        for (index, worker) in self.workers.iter().enumerate() {
             if search
                 .last_failed_plan
                 .is_some_and(|plan| worker.changed_in_plan < plan)
@@ -416,7 +416,7 @@
             if !fits || !self.is_usable(worker, &demand.pool, now) {
                 continue;
             }
-            let key = WorkerKey::new(place);
+            let key = WorkerKey::new(index);
             if !spec.filler && self.reserved_workers.contains(&key) {
                 continue;
             }
--- a/crates/dispatch/src/dispatcher_reservations.rs
+++ b/crates/dispatch/src/dispatcher_reservations.rs
@@ -28,12 +28,13 @@
 const MAX_RESERVED_WORKERS_DIVISOR: usize = 4;
 
 /// The minimum interval between two explanations of why the same step waits.
-const WAIT_NOTE_INTERVAL: Duration = Duration::from_millis(2000);
+const WAIT_EXPLANATION_INTERVAL: Duration = Duration::from_millis(2000);
 
 impl Dispatcher {
-    /// Reserves as many workers as tasks of the step are missing, preferring those with the most
-    /// free CPU, if the step is long-running or a gang. Otherwise small tasks would take each piece
-    /// of capacity as it becomes free, and a large task would never fit.
+    /// Reserves as many workers as tasks of the step are missing, if the step is long-running or a
+    /// gang. Without a reservation small tasks would take each piece of capacity as it becomes
+    /// free, and a large task would never fit. The workers with the most free CPU are preferred:
+    /// they should be the first to have enough.
     pub(crate) fn reserve_workers(&mut self, step: StepKey, missing_tasks: usize, now: Duration) {
         let limit = (self.workers.len() / MAX_RESERVED_WORKERS_DIVISOR).max(1);
         let left = limit.saturating_sub(self.reserved_workers.len());
@@ -91,16 +92,16 @@
         let rule = self.queue_rules.get(&job.queue)?;
         let state = job.step(step.occurrence, step.step)?;
         if state
-            .wait_noted_at
-            .is_some_and(|noted| now < noted + WAIT_NOTE_INTERVAL)
+            .wait_explained_at
+            .is_some_and(|explained| now < explained + WAIT_EXPLANATION_INTERVAL)
         {
             return None;
         }
         let mut rejections = RejectionCounts::default();
         let profile = FillerProfile::new(&self.interference, spec.image.as_ref());
         let context = self.placement_context(spec, &profile, now);
-        for (place, worker) in self.workers.iter().enumerate() {
-            let key = WorkerKey::new(place);
+        for (index, worker) in self.workers.iter().enumerate() {
+            let key = WorkerKey::new(index);
             let at_spread_limit = state.is_at_spread_limit(key, spec);
             let free = worker.free_capacity();
             let size = spec.reserved();
@@ -141,7 +142,7 @@
         if let Some(job) = self.jobs.get_mut(&step.job)
             && let Some(state) = job.step_mut(step.occurrence, step.step)
         {
-            state.wait_noted_at = Some(now);
+            state.wait_explained_at = Some(now);
         }
         Some(StepWait {
             step,
--- a/crates/dispatch/src/dispatcher_starvation.rs
+++ b/crates/dispatch/src/dispatcher_starvation.rs
@@ -21,8 +21,9 @@
 const FORCED_SEARCH_INTERVAL: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Returns since when a step's job has had no run, if the step is a filler and that time
-    /// exceeds the starvation timeout; `None` otherwise or right after a forced search.
+    /// Returns since when a step's job has had no run, if the step is a filler, is no gang,
+    /// and that time exceeds the starvation timeout; `None` otherwise or right after a forced
+    /// search.
     pub(crate) fn starved_since(&self, step: StepKey, now: Duration) -> Option<Duration> {
         let job = self.jobs.get(&step.job)?;
         let spec = job.graph.steps.get(usize::from(step.step))?;
--- a/crates/dispatch/src/dispatcher_throttling.rs
+++ b/crates/dispatch/src/dispatcher_throttling.rs
@@ -28,7 +28,8 @@
 /// The forecast horizon of a service's load: the time until the next metrics arrive and a new
 /// throttle factor takes effect.
 const LOAD_FORECAST_HORIZON: Duration = Duration::from_millis(700);
-/// The lowest throttle factor; below it a filler is evicted, since moving it costs less.
+/// The lowest throttle factor: instead of throttling it further, a filler is better evicted and run
+/// elsewhere.
 const MIN_THROTTLE_FACTOR: f64 = 0.25;
 /// The granularity of throttle factors, in percent: each change costs a call.
 const THROTTLE_STEP_PERCENT: u32 = 25;
@@ -124,7 +125,8 @@
         let fading = self.settings.switches.has(PolicyPart::FadingMetrics);
         let fillers_present = self.worker_mut(key).visible_fillers(now, fading);
         let worker = self.worker(key);
-        // An impossible CPU usage is discarded: what it teaches would stay for long.
+        // Nothing is learned beside an impossible CPU usage: a wrong effect would stay in the model
+        // for long.
         if fillers_present.iter().any(|filler| filler.share > 1.0) {
             return;
         }
@@ -258,7 +260,7 @@
         self.log_eviction(key, service, effects, newcomers.len(), now);
     }
 
-    /// Logs that fillers were evicted for the sake of a service.
+    /// Logs the decision to evict fillers for the sake of a service; `evicted_count` may be 0.
     fn log_eviction(
         &mut self,
         key: WorkerKey,
@@ -275,7 +277,7 @@
         let expected = run
             .and_then(|run| run.load)
             .map_or(0.0, |load| load.forecast(now, LOAD_FORECAST_HORIZON));
-        self.pending_notes.push(FillerEviction {
+        self.pending_evictions.push(FillerEviction {
             evicted_at: now,
             worker: key,
             service: service.0,
--- a/crates/dispatch/src/dispatcher_workers.rs
+++ b/crates/dispatch/src/dispatcher_workers.rs
@@ -32,8 +32,8 @@
 
 impl Dispatcher {
     /// Returns how long after a takeover workers may continue to execute a former owner's orders.
-    /// Unless the former owner is known to be gone, it may itself have acted for a while after it
-    /// was replaced.
+    /// Unless the former owner is known to have terminated, it may itself have acted for a while
+    /// after it was replaced.
     pub fn inherited_orders_lifetime(&self, former_is_gone: bool) -> Duration {
         let lease = WorkerClock::longest(self.settings.lease_duration);
         match former_is_gone {
@@ -108,7 +108,7 @@
     pub fn worker_records(&self) -> Vec<FleetWorker> {
         let known = self.workers.iter().enumerate();
         known
-            .filter(|(place, _)| !self.is_retired(WorkerKey::new(*place)))
+            .filter(|(index, _)| !self.is_retired(WorkerKey::new(*index)))
             .map(|(_, worker)| worker.record.clone())
             .collect()
     }
@@ -238,10 +238,10 @@
     }
 
     /// Records that a renewal failed.
-    pub fn handle_renewal_failure(&mut self, key: WorkerKey, end: OrderOutcome) {
+    pub fn handle_renewal_failure(&mut self, key: WorkerKey, outcome: OrderOutcome) {
         let worker = self.worker_mut(key);
         worker.unanswered += 1;
-        worker.connection_refused = end == OrderOutcome::Refused(OrderRefusal::Closed);
+        worker.connection_refused = outcome == OrderOutcome::Refused(OrderRefusal::Closed);
     }
 
     /// Records the outcome of a start order.
@@ -250,11 +250,11 @@
         key: WorkerKey,
         task: TaskKey,
         run: RunNumber,
-        end: OrderOutcome,
+        outcome: OrderOutcome,
         now: Duration,
     ) {
         self.order_window.record_answered();
-        match end {
+        match outcome {
             OrderOutcome::Taken => {
                 if let Some(state) = self.worker_mut(key).runs.get_mut(&(task, run))
                     && state.phase == RunPhase::Sent
@@ -281,11 +281,11 @@
         key: WorkerKey,
         task: TaskKey,
         run: RunNumber,
-        end: OrderOutcome,
+        outcome: OrderOutcome,
         now: Duration,
     ) {
         self.order_window.record_answered();
-        let answered_at = match end {
+        let answered_at = match outcome {
             OrderOutcome::Taken | OrderOutcome::Refused(OrderRefusal::Old) => Some(now),
             OrderOutcome::Refused(_) | OrderOutcome::Unknown => return,
         };
@@ -296,10 +296,10 @@
 
     /// Gives up the runs of workers whose lease has certainly lapsed or that have left.
     pub fn expire_leases(&mut self, now: Duration) {
-        for place in 0..self.workers.len() {
-            let key = WorkerKey::new(place);
+        for index in 0..self.workers.len() {
+            let key = WorkerKey::new(index);
             // Checking a worker must not mark it as changed.
-            let worker = &mut self.workers[place];
+            let worker = &mut self.workers[index];
             if worker.inherited_until.is_some_and(|until| now > until) {
                 worker.inherited_until = None;
             }
@@ -324,7 +324,7 @@
     /// Stops the long-running tasks of a draining worker, so that they restart elsewhere before it
     /// leaves.
     fn stop_long_running_tasks(&mut self, key: WorkerKey) {
-        let lasting: Vec<(TaskKey, RunNumber)> = self
+        let long_running: Vec<(TaskKey, RunNumber)> = self
             .worker(key)
             .runs
             .keys()
@@ -334,7 +334,7 @@
                     .is_some_and(|spec| spec.long_running)
             })
             .collect();
-        for (task, run) in lasting {
+        for (task, run) in long_running {
             self.stop_run(key, task, run);
         }
     }
--- a/crates/dispatch/src/filler_eviction.rs
+++ b/crates/dispatch/src/filler_eviction.rs
@@ -10,14 +10,16 @@
     WorkerKey, //
 };
 
-/// Log entry: fillers were evicted because a service answered too slowly.
+/// Log entry: decision to evict fillers because a service answers too slowly, or is forecast to and
+/// throttling is not enough. Throttling itself, and the eviction of all fillers beside a service
+/// that has been too slow for too long, are not logged by it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FillerEviction {
-    /// When the fillers were evicted, on the owner's process clock.
+    /// When the eviction was decided, on the owner's process clock.
     pub evicted_at: Duration,
     /// The worker that the service runs on.
     pub worker: WorkerKey,
-    /// The service's task for whose sake the fillers were evicted.
+    /// The service's task for whose sake it was decided.
     pub service: TaskKey,
     /// The service's image.
     pub image: Option<Arc<str>>,
@@ -27,6 +29,6 @@
     pub expected_load: f64,
     /// The worker's fillers, each with its image and its estimated effect on the service's load.
     pub fillers: Vec<(TaskKey, Option<Arc<str>>, f64)>,
-    /// The number of fillers that were evicted.
+    /// The number of fillers that were evicted; 0 if no filler qualified.
     pub evicted_count: usize,
 }
--- a/crates/dispatch/src/interference_model.rs
+++ b/crates/dispatch/src/interference_model.rs
@@ -34,7 +34,7 @@
 /// The upper bound of the effect of a filler on all of a worker's CPU.
 const MAX_EFFECT: f64 = 5.0;
 /// The effect, at all of a worker's CPU, above which a filler image counts as harmful: at a tenth
-/// of the CPU it costs a service a twentieth of its load.
+/// of the CPU it adds a twentieth to a service's load.
 const HARMFUL_EFFECT: f64 = 0.5;
 /// The tail latency assumed of a service without load, as a share of the lowest tail observed.
 const IDLE_TAIL_SHARE: f64 = 0.8;
@@ -75,7 +75,7 @@
     /// The variance of one observation of the service's load.
     noise: f64,
     /// The share of the filler images observed beside the service that do not harm it.
-    harmless: f64,
+    harmless_share: f64,
 }
 
 /// Estimate of the load that a filler image on all of a worker's CPU adds to a service: mean and
@@ -104,8 +104,8 @@
         )
     }
 
-    /// Updates the effects of the fillers in `company` and the estimate of the service's own load
-    /// in `track` from the service's measured load.
+    /// Updates the effects of `fillers_present` and `estimate`, the estimate of the service's own
+    /// load, from the service's measured load.
     pub(crate) fn observe_load(
         &mut self,
         service: &Arc<str>,
@@ -156,7 +156,7 @@
     pub(crate) fn harmless_share(&self, service: &Arc<str>) -> f64 {
         self.services
             .get(service)
-            .map_or(1.0, |model| model.harmless)
+            .map_or(1.0, |model| model.harmless_share)
     }
 
     /// Returns the model's parameters as a record for a successor.
@@ -190,7 +190,7 @@
             min_tail_ratio: INITIAL_MIN_TAIL_RATIO,
             fillers: IndexMap::new(),
             noise: INITIAL_NOISE_VARIANCE,
-            harmless: 1.0,
+            harmless_share: 1.0,
         }
     }
 
@@ -205,7 +205,7 @@
             };
             model.fillers.insert(image.as_str().into(), pair);
         }
-        model.harmless = model.count_harmless();
+        model.harmless_share = model.compute_harmless_share();
         model
     }
 
@@ -282,11 +282,11 @@
                 pair.correct(share, difference, total);
             }
         }
-        self.harmless = self.count_harmless();
+        self.harmless_share = self.compute_harmless_share();
     }
 
     /// Returns the share of the filler images that do not harm the service.
-    fn count_harmless(&self) -> f64 {
+    fn compute_harmless_share(&self) -> f64 {
         let images = self.fillers.len().max(1) as f64;
         let harmful = self
             .fillers
--- a/crates/dispatch/src/job_state.rs
+++ b/crates/dispatch/src/job_state.rs
@@ -71,8 +71,8 @@
     pub(crate) tickets: IndexMap<WorkerKey, (Arc<str>, Duration)>,
     /// When tickets were last requested.
     pub(crate) advice_requested_at: Option<Duration>,
-    /// When it was last logged why the step waits.
-    pub(crate) wait_noted_at: Option<Duration>,
+    /// When it was last explained, for the log, why the step waits.
+    pub(crate) wait_explained_at: Option<Duration>,
     /// The estimated load of the step's tasks without fillers, if they serve requests.
     pub(crate) load: Option<LoadEstimate>,
 }
@@ -173,7 +173,7 @@
             tasks_per_worker: IndexMap::new(),
             tickets: IndexMap::new(),
             advice_requested_at: None,
-            wait_noted_at: None,
+            wait_explained_at: None,
             load: None,
         });
         Self {
--- a/crates/dispatch/src/short_demand.rs
+++ b/crates/dispatch/src/short_demand.rs
@@ -34,14 +34,18 @@
 /// jobs.
 #[derive(Debug)]
 pub(crate) struct ShortDemand {
-    /// The sum of CPU times seconds over all steps, as declared, in millicores.
+    /// The sum over all steps of a step's CPU times its run time, as declared, in millicores times
+    /// seconds.
     work: DecayingSum,
-    /// The sum of a step's squared CPU times seconds, as declared.
+    /// The sum over all steps of the square of a step's CPU, times its declared run time in
+    /// seconds.
     step_squares: DecayingSum,
-    /// The sum of a task's squared CPU times seconds over all tasks, as declared.
+    /// The sum over all tasks of the square of a task's CPU, times its declared run time in
+    /// seconds.
     task_squares: DecayingSum,
-    /// The CPU times seconds that completed runs declared, and that they took.
+    /// The sum over completed runs of CPU times declared run time, in millicores times seconds.
     declared: DecayingSum,
+    /// The same sum with the run times that the runs took.
     taken: DecayingSum,
 }
 
--- a/crates/dispatch/src/worker_health.rs
+++ b/crates/dispatch/src/worker_health.rs
@@ -59,8 +59,8 @@
         self.quarantined_until.is_some_and(|until| now < until)
     }
 
-    /// Returns when the worker's last quarantine ends or ended, if no run has succeeded since;
-    /// until then one task at a time probes the worker.
+    /// Returns when the worker's last quarantine ends or ended, if no run has succeeded since.
+    /// After the quarantine, and until a run succeeds, one task at a time probes the worker.
     pub(crate) fn probation_since(&self) -> Option<Duration> {
         self.quarantined_until
     }
--- a/crates/dispatch/src/worker_state.rs
+++ b/crates/dispatch/src/worker_state.rs
@@ -145,7 +145,7 @@
         };
         self.departed_fillers
             .retain(|(_, left)| visible_share(*left) < 1.0);
-        let gone = self
+        let departed = self
             .departed_fillers
             .iter()
             .map(|(presence, left)| FillerPresence {
@@ -160,7 +160,7 @@
                 seen_share: visible_share(run.placed_at),
             })
         });
-        gone.chain(present).collect()
+        departed.chain(present).collect()
     }
 
     /// Returns the CPU that short tasks reserve, in millicores.
--- a/crates/fleet/src/admission_check.rs
+++ b/crates/fleet/src/admission_check.rs
@@ -18,7 +18,7 @@
 /// How long the owner may take to answer; without an answer the job is admitted.
 const OWNER_DECISION_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// The admission decision on a long-running job; CPU amounts in thousandths of a core.
+/// The admission decision on a long-running job; CPU amounts in millicores.
 #[derive(Serialize)]
 struct AdmissionLine<'a> {
     job: String,
--- a/crates/fleet/src/fleet_log.rs
+++ b/crates/fleet/src/fleet_log.rs
@@ -45,7 +45,7 @@
     Daemon,
     /// A caller's request was answered.
     Request,
-    /// An order to start, stop or throttle a run was sent, or it was decided which fillers give way to a service.
+    /// An order to start, stop or throttle a run was sent, or it was decided to evict fillers for a service's sake.
     Order,
     /// A step waits longer than it should.
     Wait,
--- a/crates/fleet/src/fleet_settings.rs
+++ b/crates/fleet/src/fleet_settings.rs
@@ -23,11 +23,12 @@
     pub peer_address: SocketAddr,
     /// The address of the metrics endpoint.
     pub metrics_address: SocketAddr,
-    /// The daemon's CPU share, in thousandths of a core; daemons with a larger share take the ownership first.
+    /// The daemon's CPU share, in millicores; daemons with a larger share take the ownership first.
     pub cpu_millis: u64,
     /// How long the daemon may take to stop.
     pub stop_timeout: Duration,
-    /// The platform's lease on maintenance calls: a new owner makes none for this long.
+    /// The time that the platform requires between maintenance calls of two daemons for one VM: a new owner makes none
+    /// for this long.
     pub maintenance_lease: Duration,
     /// The settings of the dispatcher.
     pub dispatch: DispatchSettings,
--- a/crates/fleet/src/http_pool.rs
+++ b/crates/fleet/src/http_pool.rs
@@ -40,7 +40,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 /// The most idle connections that are kept to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 6;
-/// How long a connection may stay idle: one to a VM that lost power would otherwise stay open for ever.
+/// How long a connection may stay idle: one to a VM that lost power would otherwise stay open forever.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// The interval at which idle connections that timed out are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
--- a/crates/fleet/src/http_server.rs
+++ b/crates/fleet/src/http_server.rs
@@ -183,7 +183,7 @@
     count.open.set(count.open.get().saturating_sub(1));
 }
 
-/// Waits until `stop` is true, for ever if the sender is dropped before.
+/// Waits until `stop` is true, forever if the sender is dropped before.
 pub(crate) async fn until_stopped(stop: &mut watch::Receiver<bool>) {
     if stop.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
--- a/crates/fleet/src/lease_renewal.rs
+++ b/crates/fleet/src/lease_renewal.rs
@@ -25,8 +25,8 @@
 const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(50);
 /// The longest pause between calls, within which a worker that is back is noticed.
 const LONGEST_RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// How long to wait for the commit of reported outcomes before the next call: without their acknowledgement the worker
-/// would answer at once with the same outcomes.
+/// How long to wait for the commit of reported completions before the next call: without their acknowledgement the
+/// worker would answer at once with the same completions.
 const COMMIT_WAIT: Duration = Duration::from_millis(100);
 
 /// The end of a run, as a worker reported it.
@@ -82,14 +82,14 @@
                 term.end();
                 return;
             }
-            Err(end) => {
+            Err(outcome) => {
                 failures += 1;
                 if failures == 2 {
                     log_contact_change(&shared, &address.id, "lost", failures);
                 }
                 term.dispatcher
                     .borrow_mut()
-                    .handle_renewal_failure(key, end);
+                    .handle_renewal_failure(key, outcome);
                 if term.dispatcher.borrow().is_retired(key) {
                     term.renewed_workers.borrow_mut().remove(&key);
                     return;
--- a/crates/fleet/src/member_expiry.rs
+++ b/crates/fleet/src/member_expiry.rs
@@ -41,7 +41,7 @@
 }
 
 /// Removes members that have not answered for long, until the term is over. Without the store the ownership depends on
-/// a majority of the members, so that daemons that are gone for good must not be counted for ever. A member is removed
+/// a majority of the members, so that daemons that will not return must not be counted forever. A member is removed
 /// only while a majority answers.
 pub(crate) async fn expire_members(shared: Rc<SharedState>, term: Rc<OwnerTerm>) {
     let mut silent_since: HashMap<String, Duration> = HashMap::new();
--- a/crates/fleet/src/monitored_store.rs
+++ b/crates/fleet/src/monitored_store.rs
@@ -196,7 +196,7 @@
     }
 
     /// Waits until a call sent at `sent` can be given up: later calls were answered, and it has taken
-    /// [`OVERDUE_LATENCY_FACTOR`] times as long as the latest of them.
+    /// [`OVERDUE_LATENCY_FACTOR`] times as long as the latest of them and at least [`LEAST_OVERDUE_TIME`].
     async fn until_overdue(&self, sent: Duration) {
         loop {
             time::sleep(SUSPECT_AFTER).await;
--- a/crates/fleet/src/order_planning.rs
+++ b/crates/fleet/src/order_planning.rs
@@ -76,9 +76,9 @@
     other: usize,
 }
 
-/// The decision to throttle or move the fillers beside a service that answers too slowly, with its measurements.
+/// The decision to evict fillers beside a service that answers too slowly or is forecast to, with its measurements.
 #[derive(Serialize)]
-struct FillerDecisionLine<'a> {
+struct FillerEvictionLine<'a> {
     order: &'static str,
     worker: &'a str,
     service: String,
@@ -116,8 +116,8 @@
         for order in outcome.orders {
             task::spawn_local(send_order(Rc::clone(&shared), Rc::clone(&term), order));
         }
-        for note in &outcome.evictions {
-            log_filler_decision(&shared, &term, note);
+        for eviction in &outcome.evictions {
+            log_filler_eviction(&shared, &term, eviction);
         }
         for wait in &outcome.waits {
             log_wait(&shared, &term, wait, now);
@@ -265,7 +265,7 @@
         .increment(1);
     let now = shared.now();
     let dispatcher = term.dispatcher.borrow();
-    let heard = dispatcher.last_answer_at(worker);
+    let last_answer_at = dispatcher.last_answer_at(worker);
     shared.log.line(
         LogEvent::Order,
         OrderLine {
@@ -275,25 +275,25 @@
             worker: &dispatcher.worker_record(worker).id,
             outcome: format!("{outcome:?}"),
             owner_token: term.token(),
-            worker_heard_ms: heard.map(|heard| whole_millis(now.saturating_sub(heard))),
+            worker_heard_ms: last_answer_at.map(|at| whole_millis(now.saturating_sub(at))),
             job_age_ms: dispatcher.job_age(task.job(), now).map(whole_millis),
         },
     );
 }
 
-fn log_filler_decision(shared: &SharedState, term: &OwnerTerm, note: &FillerEviction) {
+fn log_filler_eviction(shared: &SharedState, term: &OwnerTerm, eviction: &FillerEviction) {
     let dispatcher = term.dispatcher.borrow();
-    let fillers = note.fillers.iter();
+    let fillers = eviction.fillers.iter();
     shared.log.line(
         LogEvent::Order,
-        FillerDecisionLine {
+        FillerEvictionLine {
             order: "give_way",
-            worker: &dispatcher.worker_record(note.worker).id,
-            service: note.service.to_string(),
-            image: note.image.as_deref(),
-            tail_percent: note.tail_percent,
-            expected_load: note.expected_load,
-            moved: note.evicted_count,
+            worker: &dispatcher.worker_record(eviction.worker).id,
+            service: eviction.service.to_string(),
+            image: eviction.image.as_deref(),
+            tail_percent: eviction.tail_percent,
+            expected_load: eviction.expected_load,
+            moved: eviction.evicted_count,
             fillers: fillers
                 .map(|(task, image, effect)| (task.to_string(), image.as_deref(), *effect))
                 .collect(),
--- a/crates/fleet/src/owner_record.rs
+++ b/crates/fleet/src/owner_record.rs
@@ -29,7 +29,7 @@
     pub incarnation: u64,
     /// The daemon's address for other daemons.
     pub address: String,
-    /// The daemon's CPU share, in thousandths of a core.
+    /// The daemon's CPU share, in millicores.
     pub cpu_millis: u64,
 }
 
--- a/crates/fleet/src/pool_usage_log.rs
+++ b/crates/fleet/src/pool_usage_log.rs
@@ -21,7 +21,7 @@
 /// The interval between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The CPU amounts of a pool that each kind of work holds and waits for, in thousandths of a core.
+/// The CPU amounts of a pool that each kind of work holds and waits for, in millicores.
 #[derive(Serialize)]
 struct PoolUsageLine<'a> {
     pool: &'a str,
@@ -70,7 +70,7 @@
 
 fn set_gauges(pool: &PoolUsage, kind: &'static str, share: CpuUsage) {
     let name = pool.pool.to_string();
-    // CAST: Exact up to 2^53 thousandths of a core.
+    // CAST: Exact up to 2^53 millicores.
     metrics::gauge!("jasminebend_fleet_pool_held_millis", "pool" => name.clone(), "kind" => kind)
         .set(share.held as f64);
     // CAST: As above.
--- a/crates/fleet/src/succession.rs
+++ b/crates/fleet/src/succession.rs
@@ -161,7 +161,7 @@
     }
 
     /// Returns the number of daemons that should claim before this one: those with a larger CPU share, and those with
-    /// an equal share and a smaller name.
+    /// an equal share and a smaller name. The owner to be replaced is not counted.
     fn rank(&self) -> u32 {
         let own = self.members.iter().find(|member| member.node == self.node);
         let own = own.map_or(0, |member| member.cpu_millis);
--- a/crates/fleet/tests/daemons/jobs.rs
+++ b/crates/fleet/tests/daemons/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs from a caller's request to the outcome of their last task, through crashes and outages, in real time.
+//! Jobs from a caller's request to the completion of their last task, through crashes and outages, in real time.
 
 use std::{
     future::Future,
--- a/crates/fleet/tests/daemons/main.rs
+++ b/crates/fleet/tests/daemons/main.rs
@@ -1,5 +1,5 @@
 //! Tests of whole daemons that share a store, through crashes and outages: jobs from a caller's request to the
-//! outcome of their last task.
+//! completion of their last task.
 
 mod admission;
 mod jobs;
--- a/crates/fleet/tests/daemons/takeover.rs
+++ b/crates/fleet/tests/daemons/takeover.rs
@@ -154,7 +154,7 @@
     });
 }
 
-/// Guards against tasks that wait for ever: once half of the daemons know the successor, no majority can confirm the
+/// Guards against tasks that wait forever: once half of the daemons know the successor, no majority can confirm the
 /// former owner.
 #[test]
 fn a_worker_is_given_up_once_half_of_the_daemons_know_the_successor() {
--- a/crates/fleet/tests/http_pool.rs
+++ b/crates/fleet/tests/http_pool.rs
@@ -58,7 +58,7 @@
     stream.expect("the connection is open")
 }
 
-/// Guards against a daemon that runs out of file descriptors: connections to VMs that lost power stayed open for ever.
+/// Guards against a daemon that runs out of file descriptors: connections to VMs that lost power stayed open forever.
 #[tokio::test(start_paused = true)]
 async fn idle_connections_are_closed() {
     let calls = async {
--- a/crates/fleet/tests/http_server.rs
+++ b/crates/fleet/tests/http_server.rs
@@ -80,7 +80,7 @@
     drop(caller);
 }
 
-/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that had
+/// Guards against a daemon that runs out of memory and file descriptors: it waited forever for callers that had
 /// stopped in the middle of a request's body.
 #[tokio::test(start_paused = true)]
 async fn a_body_that_stops_ends_its_connection() {
@@ -109,7 +109,7 @@
         .await;
 }
 
-/// Guards against a daemon that runs out of memory and file descriptors: it waited for ever for callers that did not
+/// Guards against a daemon that runs out of memory and file descriptors: it waited forever for callers that did not
 /// read their answers.
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_is_not_read_ends_its_connection() {
