--- a/crates/base/src/domain_state.rs
+++ b/crates/base/src/domain_state.rs
@@ -14,7 +14,7 @@
     #[default]
     #[display("in")]
     In,
-    /// No new work starts in the domain, and the work that runs there is moved out.
+    /// No new work starts in the domain, and the work that runs there leaves it.
     #[display("out")]
     Out,
 }
--- a/crates/base/src/vm_state.rs
+++ b/crates/base/src/vm_state.rs
@@ -6,7 +6,8 @@
     Serialize, //
 };
 
-/// The state of a VM in the VM list. The list is stale: the VM's actual state may have changed.
+/// The state of a VM in the VM list. The list may be stale: the VM's actual state may have changed
+/// since.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -104,10 +104,10 @@
             return Poll::Pending;
         }
         let limit = self.head_timeout;
-        let write_timer = self
+        let head_timer = self
             .head_timer
             .get_or_insert_with(|| Box::pin(sleep(limit)));
-        match write_timer.as_mut().poll(context) {
+        match head_timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
--- a/crates/gateway/src/endpoint_entry.rs
+++ b/crates/gateway/src/endpoint_entry.rs
@@ -24,8 +24,8 @@
     Idle,
     /// A request uses the slot.
     Busy,
-    /// A request uses the slot that was abandoned by its caller or its deadline; its response may
-    /// still arrive.
+    /// Nothing waits any more for the request that uses the slot: its caller disconnected, its
+    /// deadline passed or another attempt was faster. Its response may still arrive.
     Abandoned,
     /// The outcome of the last request is unknown: the endpoint may be working on it until this
     /// time.
@@ -167,14 +167,14 @@
     }
 
     /// Returns whether one more connection is within the limit of `max_connections`, in addition to
-    /// `giving_up` connections that are about to be abandoned.
+    /// `to_abandon` connections that are about to be abandoned.
     pub(crate) fn may_connect(
         &mut self,
         now: Duration,
         max_connections: usize,
-        giving_up: usize,
+        to_abandon: usize,
     ) -> bool {
         self.lingering_until.retain(|until| *until > now);
-        self.lingering_until.len() + giving_up < max_connections
+        self.lingering_until.len() + to_abandon < max_connections
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -206,8 +206,8 @@
         return Some(connection);
     }
     let mut state = lease.pool().lock();
-    // A connection that is merely idle is better than none: at a low rate every booking finds the
-    // connection of its slot idle, and the endpoint may still count the connections that were
+    // A connection that is only idle for too long is better than none: at a low rate of bookings
+    // this is so for each of them, and the endpoint may still count the connections that were
     // replaced before.
     if !is_suspect && !state.may_connect(lease.key(), now, 1) {
         return Some(connection);
--- a/crates/gateway/src/gateway_settings.rs
+++ b/crates/gateway/src/gateway_settings.rs
@@ -10,8 +10,8 @@
 /// The least time that a connection to an endpoint may take to open, however short the target.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The timeouts and limits of the gateway. [`GatewaySettings::new`] gives the defaults, and each field
-/// is described at the method that sets it.
+/// The timeouts and limits of the gateway. [`GatewaySettings::new`] gives the defaults, and each
+/// field is described at the method that sets it.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
     pub(crate) domain: DomainName,
@@ -93,7 +93,7 @@
     }
 
     /// Sets how long a connection to an endpoint may take to open. Half of the target applies if
-    /// that is less.
+    /// that is less, but never less than 20 ms.
     pub fn with_connect_timeout(mut self, timeout: Duration) -> Self {
         self.connect_timeout = timeout;
         self
--- a/crates/gateway/src/header_rules.rs
+++ b/crates/gateway/src/header_rules.rs
@@ -41,8 +41,9 @@
 
 /// Rejects a request whose head must not be forwarded.
 ///
-/// hyper does not reject two or no `Host` headers, a `Transfer-Encoding` list with more than
-/// `chunked`, and a path with dot segments (which could lead from one route to another).
+/// The checks include faults that hyper leaves to its user: two `Host` headers or none, a
+/// `Transfer-Encoding` list with more than `chunked`, and a path with dot segments (which could
+/// lead from one route to another).
 pub(crate) fn check_head<Body>(request: &Request<Body>) -> Result<(), Refusal> {
     if request.method() == Method::CONNECT || request.headers().contains_key(UPGRADE) {
         return Err(Refusal::UpgradeRefused);
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -42,8 +42,8 @@
 const SHARE_RETURN_GRACE_PERIOD: Duration = Duration::from_millis(500);
 /// The most retries that the budget can accumulate.
 const RETRY_BUDGET_BURST: f64 = 10.0;
-/// In the benchmark `endpoint_pick`, p99 falls to 0.66 of that of a random choice, against 0.80
-/// with two samples; more than eight samples improve it little.
+/// In the benchmark `endpoint_pick`, p99 falls to 0.66 of that of a random choice with eight
+/// samples, and to 0.80 with two; more than eight improve it little.
 const LOAD_BALANCING_POLICY: LoadBalancingPolicy = LoadBalancingPolicy::LeastCost { samples: 8 };
 
 /// A request that waits for a slot.
@@ -130,10 +130,10 @@
     }
 
     /// Returns whether a slot may open one more connection to its endpoint, in addition to
-    /// `giving_up` connections that are about to be abandoned.
-    pub(crate) fn may_connect(&mut self, key: SlotKey, now: Duration, giving_up: usize) -> bool {
+    /// `to_abandon` connections that are about to be abandoned.
+    pub(crate) fn may_connect(&mut self, key: SlotKey, now: Duration, to_abandon: usize) -> bool {
         let max_connections = self.entry(key.endpoint).connections_per_slot;
-        self.slot(key).may_connect(now, max_connections, giving_up)
+        self.slot(key).may_connect(now, max_connections, to_abandon)
     }
 
     /// Takes a free slot, if there is one.
@@ -148,8 +148,8 @@
         self.add_to_free_list(Some(key));
     }
 
-    /// Takes a free slot, if there is one. A slot of the endpoint `avoid` is taken only if there is
-    /// no other.
+    /// Takes a free slot, if there is one, preferably not of the endpoint `avoid`: if the first
+    /// usable pick is a slot of it, the next one is taken instead, whatever its endpoint.
     pub(crate) fn take_slot_avoiding(
         &mut self,
         now: Duration,
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -80,7 +80,7 @@
     pub(crate) arrival: Duration,
     /// The time by which the request should be answered.
     pub(crate) deadline: Duration,
-    /// An endpoint that is avoided if there is another, because an attempt there failed or is slow.
+    /// An endpoint that is avoided where possible, because an attempt there failed or is slow.
     pub(crate) avoid: Option<SocketAddr>,
 }
 
@@ -153,7 +153,8 @@
         Some(self.lease(&mut state, key))
     }
 
-    /// Takes a slot, and waits for one if necessary until the target of the request passes.
+    /// Takes a slot, and waits for one if necessary until the target of the request passes. If all
+    /// shares were lost recently, it waits no longer than they may take to return.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         demand: SlotDemand,
--- a/crates/gateway/tests/requests/leaving_endpoints.rs
+++ b/crates/gateway/tests/requests/leaving_endpoints.rs
@@ -1,4 +1,4 @@
-//! An endpoint or failure domain that is leaving receives no new requests within 3 s (the tests
+//! An endpoint or failure domain that is leaving stops receiving new requests within 3 s (the tests
 //! allow 1 s), and completes those in progress.
 
 use std::{
--- a/crates/gateway/tests/requests/silent_connections.rs
+++ b/crates/gateway/tests/requests/silent_connections.rs
@@ -65,8 +65,8 @@
     assert!(missed <= 1, "{missed} bookings missed");
 }
 
-// A connection was silent for longer than is trusted. A booking uses a new one, so that none is
-// lost.
+// A connection was silent for longer than `with_max_connection_silence` allows. A booking uses a
+// new one, so that none is lost.
 #[tokio::test]
 async fn a_booking_is_not_sent_on_a_connection_silent_for_too_long() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/gateway/tests/requests/slot_limits.rs
+++ b/crates/gateway/tests/requests/slot_limits.rs
@@ -249,9 +249,9 @@
     );
 }
 
-// Bookings are infrequent, so that each finds the connection of its slot idle. If a healthy
-// connection were replaced each time, the limit would soon be reached and the slot would become
-// unusable.
+// Bookings are infrequent, so that the connection of the slot is idle for too long before each of
+// them. If a healthy connection were replaced each time, the limit would soon be reached and every
+// such slot would become unusable.
 #[tokio::test]
 async fn infrequent_bookings_do_not_exhaust_the_connections() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/ports/src/call_error.rs
+++ b/crates/ports/src/call_error.rs
@@ -12,16 +12,19 @@
 pub(crate) enum CallError {
     /// No connection was established, so that the call was not executed.
     Unreachable,
-    /// The server responded that it did not execute the call.
+    /// The call was not executed: the server responded so or rejected it (400, 401 or 403), or it
+    /// contained characters that HTTP does not allow and was not sent.
     Refused,
     /// The connection failed after a byte of the call may have been written, so that the call may
     /// have been executed.
     ConnectionLost,
     /// No answer arrived within the timeout; the call may have been executed.
     TimedOut,
-    /// The answer can't be parsed; the call may have been executed.
+    /// The answer can't be parsed, or is an error (5xx or 429) that does not say that the call was
+    /// not executed; the call may have been executed.
     Malformed,
-    /// The server responded that the call is too large, so that it was not executed.
+    /// The call is too large, by the limit of the client or by a response of the server, so that it
+    /// was not executed.
     TooLarge,
 }
 
--- a/crates/ports/src/vm_list.rs
+++ b/crates/ports/src/vm_list.rs
@@ -5,8 +5,8 @@
 
 use crate::VmListError;
 
-/// The port to the platform's VM list. The list is stale: it may contain a terminated VM and lack a
-/// live one.
+/// The port to the platform's VM list. The list may be stale: it may contain a terminated VM and
+/// lack a live one.
 #[async_trait]
 pub trait VmList: Send + Sync {
     /// Reads the whole list.
--- a/crates/routing/benches/retry_and_hedge.rs
+++ b/crates/routing/benches/retry_and_hedge.rs
@@ -1,5 +1,5 @@
 //! Retry budget: the load that retries add when a third of the endpoints fail, and the load that
-//! hedged requests add for the tail latency that they save.
+//! hedged attempts add for the tail latency that they save.
 //!
 //! `cargo bench -p jasminebend-routing --bench retry_and_hedge`
 
@@ -29,7 +29,7 @@
 /// Mean time to a response from an endpoint that is not slowed down.
 const MEAN_WORK_TIME: Duration = Duration::from_millis(20);
 const MAX_ATTEMPTS: u32 = 3;
-/// Number of latency samples before the first hedged request.
+/// Number of latency samples before the first hedged attempt.
 const MIN_HEDGE_SAMPLES: u64 = 100;
 
 #[derive(Clone, Copy, Eq, PartialEq)]
--- a/crates/routing/src/endpoint_backoff.rs
+++ b/crates/routing/src/endpoint_backoff.rs
@@ -5,8 +5,8 @@
 const MAX_DOUBLINGS: u32 = 5;
 
 /// Exponential backoff during which an endpoint that refused a connection, answered 503 or
-/// announced its shutdown gets no requests. The time starts at a base and doubles
-/// with each call of [`Self::back_off`] since the last success, up to 32 times the base.
+/// announced its shutdown gets no requests. The time starts at a base and doubles with each call of
+/// [`Self::back_off`] since the last one of [`Self::record_success`], up to 32 times the base.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointBackoff {
     active_until: Duration,
--- a/crates/routing/src/endpoint_score.rs
+++ b/crates/routing/src/endpoint_score.rs
@@ -7,9 +7,9 @@
 /// An endpoint whose error rate is 1 costs `1 + ERROR_RATE_COST_FACTOR` times its base cost.
 const ERROR_RATE_COST_FACTOR: f64 = 20.0;
 
-/// Statistics of an endpoint from which the load balancer computes its cost: moving averages of
-/// the latency of successful responses and of the error rate, the number of outstanding requests,
-/// and the network round-trip time to its failure domain.
+/// Statistics of an endpoint from which [`Self::cost`] is computed: moving averages of the latency
+/// of successful responses and of the error rate, the number of outstanding requests, and the
+/// network round-trip time to its failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EndpointScore {
     latency_secs: f64,
--- a/crates/routing/src/request_queue.rs
+++ b/crates/routing/src/request_queue.rs
@@ -81,7 +81,8 @@
         Ok(key)
     }
 
-    /// Removes a request, for example one whose caller has left; `None` if it is no longer queued.
+    /// Removes a request, for example one whose caller disconnected; `None` if it is no longer
+    /// queued.
     pub fn remove(&mut self, key: QueueKey) -> Option<Item> {
         self.entries.remove(&key).map(|entry| entry.item)
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,6 +1,6 @@
-//! Limit on the load that retries and hedged requests add.
+//! Limit on the load that retries and hedged attempts add.
 
-/// Token bucket that limits the load added by retries and hedged requests: each first attempt adds
+/// Token bucket that limits the load added by retries and hedged attempts: each first attempt adds
 /// a fraction of a token, each further attempt takes a whole one.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
