--- a/crates/gateway/src/class_metrics.rs
+++ b/crates/gateway/src/class_metrics.rs
@@ -11,7 +11,7 @@
 
 /// Connections to endpoints that were found silent, by service.
 pub(crate) const SILENT_CONNECTIONS_METRIC: &str = "jasminebend_gateway_silent_connections_total";
-/// Requests to which the gateway itself responded, by class and reason.
+/// Requests to which the gateway itself responded, by reason.
 pub(crate) const REFUSALS_METRIC: &str = "jasminebend_gateway_refusals_total";
 /// Open connections of callers.
 pub(crate) const CALLERS_METRIC: &str = "jasminebend_gateway_callers";
--- a/crates/gateway/src/gateway_ports.rs
+++ b/crates/gateway/src/gateway_ports.rs
@@ -25,6 +25,6 @@
     pub table: Arc<dyn TableService>,
     /// The clock by which all deadlines are computed.
     pub clock: Arc<dyn ClockSource>,
-    /// The seed of all random choices.
+    /// The seed of the random choices between endpoints.
     pub seed: u64,
 }
--- a/crates/gateway/src/header_names.rs
+++ b/crates/gateway/src/header_names.rs
@@ -2,7 +2,8 @@
 
 use http::HeaderName;
 
-/// Whether a request that was not answered was run: `no` or `unknown`.
+/// Whether a request that the gateway refused was run: `no` or `unknown`, or `yes` if the stored
+/// outcome of its idempotency key says so. An endpoint sends `no` if it did not run the request.
 pub(crate) static EXECUTED: HeaderName = HeaderName::from_static("jasminebend-executed");
 
 /// The reason for which the gateway itself responded, as one word.
--- a/crates/gateway/src/pool_state.rs
+++ b/crates/gateway/src/pool_state.rs
@@ -172,13 +172,13 @@
     }
 
     /// Records whether any of its shares is held.
-    pub(crate) fn record_held_shares(&mut self, some: bool, now: Duration) {
-        match (self.holds_shares, some) {
+    pub(crate) fn record_held_shares(&mut self, holds_shares: bool, now: Duration) {
+        match (self.holds_shares, holds_shares) {
             (_, true) => self.shares_lost_at = None,
             (true, false) => self.shares_lost_at = Some(now),
             (false, false) => {}
         }
-        self.holds_shares = some;
+        self.holds_shares = holds_shares;
     }
 
     /// Returns until when requests may wait for the shares to return, if they were lost recently.
--- a/crates/gateway/src/prepared_request.rs
+++ b/crates/gateway/src/prepared_request.rs
@@ -52,8 +52,8 @@
     }
 }
 
-/// Converts a request for an endpoint. A small body is read completely before a slot is taken, so
-/// that a slow caller occupies no slot; the memory of all such bodies is limited.
+/// Converts a request for an endpoint. A small body of known length is read completely before a
+/// slot is taken, so that a slow caller occupies no slot; the memory of all such bodies is limited.
 pub(crate) async fn prepare_request(
     shared: &GatewayState,
     request: Request<Incoming>,
--- a/crates/gateway/src/request_handler.rs
+++ b/crates/gateway/src/request_handler.rs
@@ -186,7 +186,7 @@
         if let Some(trace) = self.trace {
             let status = outcome
                 .as_ref()
-                .map_or_else(|refusal| refusal.status(), |a| a.status());
+                .map_or_else(|refusal| refusal.status(), |response| response.status());
             trace.end(status.as_u16());
         }
         outcome
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -131,7 +131,7 @@
     fn release(mut self) {
         self.connection.last_received_at = self.lease.pool().clock.monotonic();
         let closes = self.verdict == ResponseVerdict::Closing;
-        let connection = Some(self.connection).filter(|own| own.is_open() && !closes);
+        let connection = Some(self.connection).filter(|connection| connection.is_open() && !closes);
         self.lease.release(ExchangeOutcome::Answered {
             latency: self.latency,
             verdict: self.verdict,
--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -176,18 +176,18 @@
         }
     }
 
-    /// Releases a slot that was occupied for the time `held`, and assigns it to a waiting request.
+    /// Releases a slot that was occupied for `hold_time`, and assigns it to a waiting request.
     pub(crate) fn release_slot(
         self: &Arc<Self>,
         key: SlotKey,
         outcome: ExchangeOutcome,
-        held: Duration,
+        hold_time: Duration,
     ) {
         let now = self.clock.monotonic();
         let mut state = self.lock();
         state.entry(key.endpoint).score.record_completion();
         if matches!(outcome, ExchangeOutcome::Answered { .. }) {
-            state.slot_hold_time.observe(held);
+            state.slot_hold_time.observe(hold_time);
         }
         state.apply_outcome(&self.settings, key, outcome, now);
         state.add_to_free_list(Some(key));
--- a/crates/gateway/src/slot_lease.rs
+++ b/crates/gateway/src/slot_lease.rs
@@ -75,8 +75,8 @@
     }
 
     fn settle(&self, outcome: ExchangeOutcome) {
-        let is_held = self.pool.clock.monotonic().saturating_sub(self.acquired_at);
-        self.pool.release_slot(self.key, outcome, is_held);
+        let hold_time = self.pool.clock.monotonic().saturating_sub(self.acquired_at);
+        self.pool.release_slot(self.key, outcome, hold_time);
     }
 
     /// Returns the connection and drops the lease without releasing the slot; the caller must
--- a/crates/gateway/tests/requests/resource_limits.rs
+++ b/crates/gateway/tests/requests/resource_limits.rs
@@ -118,7 +118,7 @@
     assert!(got.len() < large.len() / 2, "{} bytes", got.len());
 }
 
-// Bodies and heads are larger than allowed, with or without a declared length.
+// Bodies and heads that are larger than allowed are refused, with or without a declared length.
 #[tokio::test]
 async fn oversized_heads_and_bodies_are_rejected() {
     let endpoint = ScriptedEndpoint::start().await;
--- a/crates/ports/src/table_error.rs
+++ b/crates/ports/src/table_error.rs
@@ -16,8 +16,8 @@
     /// effect.
     #[display("the table service refuses for now")]
     Refused,
-    /// The answer was lost or late; a write may have taken effect, which the writer must find out
-    /// by reading.
+    /// The answer was lost or late; a write may have taken effect. How the writer resolves this is
+    /// described at [`crate::TableService`].
     #[display("the table service's answer was lost; a write may have taken effect")]
     Unknown,
     /// The answer can't be parsed; a write may have taken effect.
--- a/crates/routing/src/admission_control.rs
+++ b/crates/routing/src/admission_control.rs
@@ -7,7 +7,7 @@
 pub enum AdmissionDecision {
     /// Queue the request: it is expected to meet its target.
     Queue,
-    /// Reject the request.
+    /// Refuse the request.
     Refuse {
         /// Expected time until a slot is free for it, after which the caller may retry.
         retry_after: Duration,
@@ -33,14 +33,14 @@
         self.service_time.saturating_mul(queue_position) / slots
     }
 
-    /// Decides whether to queue a request whose target is `left` away from now.
+    /// Decides whether to queue a request that should be answered within `remaining` from now.
     ///
-    /// A request that is expected to miss its target is rejected at once: it would only occupy a
+    /// A request that is expected to miss its target is refused at once: it would only occupy a
     /// slot that another request could use to meet its own target. Without slots, every request is
-    /// rejected.
-    pub fn decide(&self, left: Duration) -> AdmissionDecision {
+    /// refused.
+    pub fn decide(&self, remaining: Duration) -> AdmissionDecision {
         let wait = self.expected_wait();
-        if self.slot_count > 0 && wait + self.service_time <= left {
+        if self.slot_count > 0 && wait + self.service_time <= remaining {
             return AdmissionDecision::Queue;
         }
         AdmissionDecision::Refuse { retry_after: wait }
