--- a/crates/gateway/src/service_pool.rs
+++ b/crates/gateway/src/service_pool.rs
@@ -80,7 +80,7 @@
     pub(crate) arrival: Duration,
     /// The time by which the request should be answered.
     pub(crate) deadline: Duration,
-    /// An endpoint that is avoided if there is another, because an attempt there failed or is slow.
+    /// An endpoint that is avoided where possible, because an attempt there failed or is slow.
     pub(crate) avoid: Option<SocketAddr>,
 }
 
@@ -153,7 +153,8 @@
         Some(self.lease(&mut state, key))
     }
 
-    /// Takes a slot, and waits for one if necessary until the target of the request passes.
+    /// Takes a slot, and waits for one if necessary until the target of the request passes. If all
+    /// shares were lost recently, it waits no longer than they may take to return.
     pub(crate) async fn acquire(
         self: &Arc<Self>,
         demand: SlotDemand,
@@ -175,18 +176,18 @@
         }
     }
 
-    /// Releases a slot that was occupied for the time `held`, and assigns it to a waiting request.
+    /// Releases a slot that was occupied for `hold_time`, and assigns it to a waiting request.
     pub(crate) fn release_slot(
         self: &Arc<Self>,
         key: SlotKey,
         outcome: ExchangeOutcome,
-        held: Duration,
+        hold_time: Duration,
     ) {
         let now = self.clock.monotonic();
         let mut state = self.lock();
         state.entry(key.endpoint).score.record_completion();
         if matches!(outcome, ExchangeOutcome::Answered { .. }) {
-            state.slot_hold_time.observe(held);
+            state.slot_hold_time.observe(hold_time);
         }
         state.apply_outcome(&self.settings, key, outcome, now);
         state.add_to_free_list(Some(key));
