--- a/crates/jasminebend/benches/administration_cost.rs
+++ b/crates/jasminebend/benches/administration_cost.rs
@@ -109,7 +109,7 @@
     daemon.stop().await;
 }
 
-/// Runs `work` repeatedly, and returns the elapsed time and the cpu_time time of one run, in milliseconds.
+/// Runs `work` repeatedly, and returns the elapsed time and the processor time of one run, in milliseconds.
 async fn time_runs(times: u32, mut work: impl AsyncFnMut()) -> (f64, f64) {
     let started = Instant::now();
     let cpu_before = usage().cpu_time;
--- a/crates/jasminebend/benches/control_cost.rs
+++ b/crates/jasminebend/benches/control_cost.rs
@@ -307,7 +307,7 @@
                 rest.trim_end_matches('.').parse().ok()
             })
             .expect("an address");
-        // The log must be read on, because the daemon drops log lines while the pipe is full.
+        // The log is read to its end, because the daemon drops log lines while the pipe is full.
         thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
         Self { child, admin }
     }
--- a/crates/jasminebend/src/configuration_diff.rs
+++ b/crates/jasminebend/src/configuration_diff.rs
@@ -19,7 +19,7 @@
 }
 
 impl ConfigurationDiff {
-    /// Lists the names_and_json that differ between two configurations.
+    /// Lists the items that differ between two configurations.
     pub fn between(before: &Configuration, after: &Configuration) -> Vec<Self> {
         let domain =
             |list: &Configuration| names_and_json(&list.domains, |item| item.name.to_string());
--- a/crates/jasminebend/src/demo_faults.rs
+++ b/crates/jasminebend/src/demo_faults.rs
@@ -68,7 +68,8 @@
 
 /// Injects the faults one after another, and returns what started in a failure domain that was out.
 ///
-/// `seconds` is the length of the whole sequence in seconds, not counting the table service's outage.
+/// The waits between the steps are fractions of `seconds` and take about three quarters of it, but a failure domain is
+/// out for at least twice the grace period. The table service's outage and the daemon's replacement come on top.
 pub(crate) async fn run_faults(
     environment: &DemoEnvironment,
     operator: &DemoOperator,
--- a/crates/jasminebend/src/log_writer.rs
+++ b/crates/jasminebend/src/log_writer.rs
@@ -69,7 +69,7 @@
 {
     while let Ok(message) = queue.recv() {
         match message {
-            // An error means that the reader of the log is gone; there is nowhere to report it.
+            // An error means that the reader has closed the log; there is nowhere to report it.
             LogMessage::Line(line) => drop(sink.write_all(&line)),
             LogMessage::Flush(acknowledge) => drop(acknowledge.send(())),
         }
--- a/crates/jasminebend/tests/daemon/graceful_stop.rs
+++ b/crates/jasminebend/tests/daemon/graceful_stop.rs
@@ -48,7 +48,7 @@
 /// after the balancer's lag.
 const CALLER_COUNT: usize = 24;
 
-/// Sends orders one after another wait_until `stop` is set, and returns the number of orders by outcome.
+/// Sends orders one after another until `stop` is set, and returns the number of orders by outcome.
 async fn send_orders(
     daemon: SocketAddr,
     caller: usize,
--- a/crates/jbctl/src/command_line.rs
+++ b/crates/jbctl/src/command_line.rs
@@ -193,7 +193,7 @@
     Err(UsageError::MissingArgument { command, arguments })
 }
 
-/// Returns a name or identity if it can be part of a URL path without escaping.
+/// Returns a name or identifier if it can be part of a URL path without escaping.
 fn checked_name(text: &str) -> Result<String, UsageError> {
     let allowed = |character: char| character.is_ascii_alphanumeric() || "-_.".contains(character);
     if !text.is_empty() && text.chars().all(allowed) {
--- a/crates/jbctl/src/job_list_query.rs
+++ b/crates/jbctl/src/job_list_query.rs
@@ -5,7 +5,7 @@
 pub struct JobListQuery {
     /// The maximum number of jobs; `None` for the daemon's default.
     pub limit: Option<u32>,
-    /// The identity of the last job of the previous page; `None` for the first page.
+    /// The identifier of the last job of the previous page; `None` for the first page.
     pub after: Option<String>,
 }
 
--- a/crates/jbctl/src/job_timeline.rs
+++ b/crates/jbctl/src/job_timeline.rs
@@ -93,7 +93,7 @@
 }
 
 impl JobTimeline {
-    /// Reads the log lines of all daemons, in any order, and keeps those about one job, which is given by its identity.
+    /// Reads the log lines of all daemons, in any order, and keeps those about one job, given by its identifier.
     ///
     /// # Errors
     ///
--- a/crates/jbctl/src/operator_command.rs
+++ b/crates/jbctl/src/operator_command.rs
@@ -28,15 +28,15 @@
     },
     /// Submit the job that this file describes.
     JobSubmit(PathBuf),
-    /// Print the status of the job with this identity.
+    /// Print the status of the job with this identifier.
     JobStatus(String),
-    /// Cancel the job with this identity.
+    /// Cancel the job with this identifier.
     JobCancel(String),
     /// Print a page of the jobs.
     JobList(JobListQuery),
     /// Print the classes and their targets.
     ClassList,
-    /// Print the timeline of the job with this identity, from daemons' log lines on standard input.
+    /// Print the timeline of the job with this identifier, from daemons' log lines on standard input.
     Explain(String),
     /// Print counts and times of requests, runs and jobs, from daemons' log lines on standard input.
     Summary {
--- a/crates/jbctl/src/usage_error.rs
+++ b/crates/jbctl/src/usage_error.rs
@@ -48,10 +48,10 @@
         /// The address as given.
         address: String,
     },
-    /// A name or identity contains characters that would need escaping in a URL path, or is empty.
+    /// A name or identifier contains characters that would need escaping in a URL path, or is empty.
     #[display("`{name}` is not a name; give letters, digits, `-`, `_`, `.`")]
     InvalidName {
-        /// The name or identity as given.
+        /// The name or identifier as given.
         name: String,
     },
     /// A file cannot be written.
--- a/crates/standins/src/endpoint_fault.rs
+++ b/crates/standins/src/endpoint_fault.rs
@@ -20,7 +20,8 @@
     SilenceBeforeRun,
     /// Processes the request and makes the connection silent for the rest of its life.
     SilenceAfterRun,
-    /// Responds with this status at once without processing the request. The response lacks the header that says so.
+    /// Responds with this status at once without processing the request, and without the header that says that it
+    /// was not processed.
     FailFast(StatusCode),
     /// Processes the request and responds with this status.
     FailAfterRun(StatusCode),
--- a/crates/standins/src/run_record.rs
+++ b/crates/standins/src/run_record.rs
@@ -33,7 +33,7 @@
 /// The ledger's record of one run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RunRecord {
-    /// The identity of the run: its job, task index and attempt number.
+    /// The identifier of the run: its job, task index and attempt number.
     pub attempt: TaskAttempt,
     /// The class of its job.
     pub class: ClassName,
--- a/crates/standins/src/worker_lease.rs
+++ b/crates/standins/src/worker_lease.rs
@@ -94,9 +94,9 @@
         self.end = None;
     }
 
-    /// Rejects the adoption by another shard while the lease lasts. The epochs of different shards can't be compared:
-    /// if they were, a task could run in two places, or the worker could never be taken over. Once the lease has
-    /// lapsed, no run of the former shard is in progress here, even if its owner still assumes so.
+    /// Rejects the adoption by another shard while the lease lasts. The epochs of different shards can't be
+    /// compared; without this check a task could run in two places, or the worker could never be taken over. Once the
+    /// lease has lapsed, no run of the former shard is in progress here, even if its owner still assumes so.
     fn check_lapsed(&self) -> Result<(), WorkerError> {
         match self.end {
             Some(_) => Err(WorkerError::OutOfDate),
--- a/crates/standins/src/worker_state.rs
+++ b/crates/standins/src/worker_state.rs
@@ -235,7 +235,8 @@
 
     /// Rejects delayed start orders: their sender may meanwhile have considered the task not started and have started
     /// it elsewhere. An order is late if its epoch or incarnation is not the current one, if the lease was last
-    /// renewed longer than `valid_for` ago, or if this run or a later one of the task is in progress or has ended.
+    /// renewed longer than `valid_for` ago, if any run of the task is in progress, or if this run or a later one of the
+    /// task has ended.
     fn check_order(
         &self,
         now: Duration,
