--- a/crates/standins/src/run_ledger.rs
+++ b/crates/standins/src/run_ledger.rs
@@ -206,7 +206,7 @@
     run.ended.map(|(_, end)| end)
 }
 
-/// Returns whether `second` resumed from the checkpoint of `first` although `first` had finished or left a newer
+/// Returns whether both runs resumed from the same checkpoint although `first` had finished or left a newer
 /// checkpoint.
 fn repeats_resume(first: &RunRecord, second: &RunRecord) -> bool {
     let got_further = first.kept.is_some() || run_end(first) == Some(RunEnd::Finished);
