--- a/crates/cluster/src/cluster_status.rs
+++ b/crates/cluster/src/cluster_status.rs
@@ -42,7 +42,8 @@
 pub struct MemberStatus {
     /// The number of the seat that the member holds.
     pub seat: SeatNumber,
-    /// The incarnation of the seat, which differs after each restart of its daemon.
+    /// The incarnation of the member: the seat's epoch at which its process took the seat. It differs
+    /// after each restart of the daemon.
     pub incarnation: u64,
     /// The address at which peers reach the member.
     pub peer: String,
--- a/crates/cluster/tests/cluster/frames.rs
+++ b/crates/cluster/tests/cluster/frames.rs
@@ -39,7 +39,8 @@
     wait_until_balanced, //
 };
 
-/// Returns a report that claims this epoch and configuration version, and to have heard all members.
+/// Returns a report that contains `epoch` as the epoch of each seat and as the configuration version,
+/// and that claims recent messages from all members.
 fn report(epoch: u64) -> PeerReport {
     PeerReport {
         seats: vec![epoch; 5],
--- a/crates/cluster/tests/cluster/outages.rs
+++ b/crates/cluster/tests/cluster/outages.rs
@@ -185,7 +185,7 @@
 }
 
 /// Guards against slot shares that stay unusable: a daemon is partitioned from the table and its peers,
-/// comes back, and must release the resources that no other daemon could take over.
+/// reconnects, and must release the resources that no other daemon could take over.
 #[tokio::test(start_paused = true)]
 async fn a_reconnected_daemon_releases_its_former_resources() {
     let mut cluster = TestCluster::new(5);
--- a/crates/ownership/src/held_seat.rs
+++ b/crates/ownership/src/held_seat.rs
@@ -7,6 +7,6 @@
 pub struct HeldSeat {
     /// The identity under which this daemon holds resources.
     pub id: HolderId,
-    /// The seat's epoch as last confirmed by the table.
+    /// The seat's epoch as last read from the table.
     pub epoch: u64,
 }
--- a/crates/ownership/src/machine_configuration.rs
+++ b/crates/ownership/src/machine_configuration.rs
@@ -15,8 +15,9 @@
 impl MemberMachine {
     /// Begins a change of the configuration, and returns its version and the write that announces
     /// it. The caller adds the document to the write, and reports its completion to
-    /// [`MemberMachine::finish_write`]. Returns `None` if the table was not read recently enough, or
-    /// if another write or another change is in progress.
+    /// [`MemberMachine::finish_write`]. Returns `None` if this daemon may not start work, if the table
+    /// was not read since the last write ended, if writes are paused, or if another write or another
+    /// change is in progress.
     pub fn begin_configuration_change(&mut self, now: Duration) -> Option<(u64, SharedWrite)> {
         let table = self.table.as_ref()?;
         let header = table.configuration.row;
--- a/crates/placement/src/domain_admission.rs
+++ b/crates/placement/src/domain_admission.rs
@@ -10,8 +10,9 @@
 const RAMP_UP_BURST_STARTS: f64 = 2.0;
 
 /// Decides whether a failure domain accepts task starts, and limits their rate after it reopens. A
-/// domain that reopens empty would attract every waiting task at once; a token bucket admits a
-/// fixed number of starts per second until the domain is no longer the emptiest.
+/// domain that reopens empty would attract every waiting task at once. For [`RAMP_UP_DURATION`], a
+/// token bucket admits starts at a rate proportional to the domain's workers, so that the domain
+/// has time to fill until it is no longer the emptiest.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DomainAdmission {
     open: bool,
@@ -51,7 +52,8 @@
         self.last_refill = now;
     }
 
-    /// Adds the tokens earned since the last call, at a rate that grows with the number of workers.
+    /// Adds the tokens earned since the last call: a share of the number of workers per second, but
+    /// at least one per second.
     pub(crate) fn refill_tokens(&mut self, now: Duration, workers: usize) {
         let elapsed_seconds = now.saturating_sub(self.last_refill).as_secs_f64();
         let starts_per_second = (workers as f64 * RAMP_UP_STARTS_PER_WORKER_SECOND).max(1.0);
--- a/crates/placement/src/interference_model.rs
+++ b/crates/placement/src/interference_model.rs
@@ -19,7 +19,7 @@
 
 /// The highest ratio of latency to target to which a batch task with time left may raise a service.
 const MAX_LATENCY_RATIO: f64 = 0.85;
-/// The same share for an urgent batch task.
+/// The same ratio for an urgent batch task.
 const MAX_LATENCY_RATIO_URGENT: f64 = 1.0;
 /// Effects up to this logarithm of latency (5%) never exclude a task.
 const NEGLIGIBLE_LOG_EFFECT: f64 = 0.05;
@@ -195,8 +195,8 @@
     }
 
     /// Returns how much a task of `class` would slow the services on a worker, as a sum of
-    /// logarithms, or `None` if a service would be slowed beyond its target. For a service, returns
-    /// how much the worker's present tasks would slow it, and never `None`.
+    /// logarithms, or `None` if a service would be slowed beyond its target. If the task is itself a
+    /// service, returns how much the worker's present tasks would slow it, and never `None`.
     pub fn added_interference(
         &self,
         worker: &PoolWorker,
@@ -223,9 +223,9 @@
         Some(sum)
     }
 
-    /// Returns whether a task would be the second on a worker whose effect on a service there is
-    /// unknown. Admitting one such task at a time shows soonest which one slows the service, and
-    /// does the least damage.
+    /// Returns whether the effect of a task on a service of a worker is unknown, and the worker
+    /// already runs a batch task of which the same is true. Admitting one such task at a time shows
+    /// soonest which one slows the service, and does the least damage.
     fn is_second_unknown_class(&self, worker: &PoolWorker, class: ClassKey) -> bool {
         let services = worker.task_counts.iter();
         let mut models = services.filter_map(|(service, _)| self.service(*service));
--- a/crates/placement/src/placement_policy.rs
+++ b/crates/placement/src/placement_policy.rs
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Returns a worker's score, lower being better, or `None` if a service would be slowed beyond
-    /// its target.
+    /// Returns a worker's score, lower being better, or `None` if interference with its services
+    /// excludes the task.
     fn score(
         &self,
         worker: &PoolWorker,
--- a/crates/planner/src/commit_effect.rs
+++ b/crates/planner/src/commit_effect.rs
@@ -16,7 +16,7 @@
     Start(TaskId),
     /// The worker may be informed that the run's completion is stored, so that it can forget the run.
     Acknowledge(WorkerKey, TaskAttempt),
-    /// The job's inbox row is deleted.
+    /// The job's inbox row is deleted, so that a scan which begins later does not return it.
     Accepted(JobId),
     /// The running tasks of a cancelled job may be stopped.
     StopJob(JobId),
--- a/crates/planner/src/job_status.rs
+++ b/crates/planner/src/job_status.rs
@@ -45,7 +45,7 @@
     /// Total run time, in seconds, of runs whose work was lost: by evictions without a checkpoint,
     /// lost workers and failures.
     pub lost_seconds: u64,
-    /// The phase as text, with what would change it.
+    /// The phase as text; for a job that waits or is held, also what would end that.
     pub explanation: String,
     /// Results of the tasks in their order; empty until the job has ended.
     pub results: Vec<Option<String>>,
--- a/crates/planner/src/journal_writer.rs
+++ b/crates/planner/src/journal_writer.rs
@@ -27,7 +27,8 @@
 const MAX_EXTRA_ROWS_PER_COMMIT: usize = 64;
 /// Limits the obsolete log rows that one commit deletes.
 const MAX_LOG_DELETIONS_PER_COMMIT: u64 = 64;
-/// Upper bound of the obsolete log rows that a former owner can have left before the snapshot.
+/// The number of obsolete log rows before the snapshot that a former owner is assumed to have left;
+/// any older ones are not deleted.
 const MAX_OBSOLETE_LOG_ROWS: u64 = 512;
 
 /// A journal entry that is not committed yet.
@@ -147,7 +148,7 @@
         self.rows_when_postponed = 0;
     }
 
-    /// Postpones the next snapshot until as many log rows as now have been added.
+    /// Postpones the next snapshot: the present log rows no longer count towards it.
     pub(crate) fn postpone_snapshot(&mut self) {
         self.rows_when_postponed = self.head.next - self.head.first;
     }
--- a/crates/planner/src/run_phase.rs
+++ b/crates/planner/src/run_phase.rs
@@ -15,7 +15,8 @@
     ReadyToStart,
     /// A start was sent and is not answered.
     Starting,
-    /// The answer to a start was lost, so the run may have started. The same start is sent again.
+    /// Whether a start or a stop took effect is unknown, so the run may be running. The stop is
+    /// repeated if one is requested, otherwise the same start.
     Unconfirmed {
         /// Time of the next attempt, on the monotonic clock.
         retry: Duration,
@@ -24,8 +25,8 @@
     Running,
     /// A checkpoint or stop was sent and is not answered.
     Stopping,
-    /// The run was stopped, or its worker does not know it. A report that was requested after this
-    /// time contains its outcome.
+    /// The worker answered a stop, or does not know the run. A report that is requested after this
+    /// time shows how the run ended; it may have finished before the stop arrived.
     AwaitingOutcome {
         /// Time from which a report is recent enough, on the monotonic clock.
         since: Duration,
--- a/crates/planner/src/shard_job_rows.rs
+++ b/crates/planner/src/shard_job_rows.rs
@@ -38,8 +38,8 @@
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl ShardState {
-    /// Returns the rows that must be committed with a transition, and marks the job's row as
-    /// outdated.
+    /// Returns the rows that must be committed with a transition. A placement, the end of a run and
+    /// a cancellation need none; they mark the job's row as outdated instead.
     pub(crate) fn rows_of(&mut self, transition: &JobTransition) -> Vec<RowChange> {
         match transition {
             JobTransition::Accepted { job, .. } => {
--- a/crates/planner/src/shard_journal.rs
+++ b/crates/planner/src/shard_journal.rs
@@ -271,7 +271,7 @@
             CommitEffect::Acknowledge(worker, run) => {
                 self.uncommitted_ends.swap_remove(&run);
                 if let Some(link) = self.links.get_mut(&worker) {
-                    link.acknowledged.push(run);
+                    link.unacknowledged_ends.push(run);
                 }
             }
             CommitEffect::Accepted(job) => {
--- a/crates/planner/src/shard_plan.rs
+++ b/crates/planner/src/shard_plan.rs
@@ -175,8 +175,9 @@
         }
     }
 
-    /// Returns the capacity to reserve for a task. If the learned usage exceeds every worker, the
-    /// task gets the largest worker that fits its declared size as a whole.
+    /// Returns the capacity to reserve for a task. Learned usage that exceeds every worker is
+    /// limited to the capacity of the largest worker that can hold the declared size; otherwise the
+    /// task could never be placed.
     fn reservation(&self, class: ClassKey, job: &JobRecord) -> ResourceAmount {
         let size = self.learned.usage.reservation(class, job.spec.size);
         if self.pool.any_capacity_fits(size) {
--- a/crates/planner/src/shard_precommit.rs
+++ b/crates/planner/src/shard_precommit.rs
@@ -64,13 +64,18 @@
         let open = worker.condition == WorkerCondition::Open;
         let run = &self.runs[&task];
         let fits = run.reservation.fits_in(worker.free_capacity());
-        let harmless = self
+        let interference_allowed = self
             .learned
             .interference
             .added_interference(worker, run.class, run.kind, false)
             .is_some();
         let in_turn = first.is_none_or(|first| run.latest_start <= first);
-        if !(open && fits && harmless && in_turn && self.pool.domain_admits_start(key, now)) {
+        if !(open
+            && fits
+            && interference_allowed
+            && in_turn
+            && self.pool.domain_admits_start(key, now))
+        {
             return false;
         }
         let (class, reservation) = (run.class, run.reservation);
--- a/crates/planner/src/shard_reconcile.rs
+++ b/crates/planner/src/shard_reconcile.rs
@@ -206,8 +206,8 @@
             return;
         }
         let link = &mut self.links[&key];
-        if !link.acknowledged.contains(&run) {
-            link.acknowledged.push(run);
+        if !link.unacknowledged_ends.contains(&run) {
+            link.unacknowledged_ends.push(run);
         }
     }
 }
--- a/crates/planner/src/shard_workers.rs
+++ b/crates/planner/src/shard_workers.rs
@@ -116,7 +116,7 @@
                     shard: self.calls.permit.shard,
                     epoch,
                     lease,
-                    acknowledged: link.acknowledged.clone(),
+                    acknowledged: link.unacknowledged_ends.clone(),
                     usage_limit,
                 };
                 self.calls.renew(key, link.address, renewal);
@@ -193,7 +193,8 @@
         };
         self.record_answer(key, sent);
         let link = &mut self.links[&key];
-        link.acknowledged.retain(|run| !acknowledged.contains(run));
+        link.unacknowledged_ends
+            .retain(|run| !acknowledged.contains(run));
         if link.incarnation != Some(report.incarnation) {
             // The worker restarted and forgot its tasks and its owner; it must be adopted again.
             link.phase = LinkPhase::New;
--- a/crates/planner/src/submit_check.rs
+++ b/crates/planner/src/submit_check.rs
@@ -94,7 +94,7 @@
 }
 
 /// Rejects tasks that no listed worker can hold even if empty. Accepts all if the list was never
-/// read or contains no worker.
+/// read or contains no worker, since such a list proves nothing about the workers' sizes.
 fn check_fit(spec: &JobSpec, vms: &VmSnapshot) -> Result<(), SubmitError> {
     let mut capacities = workers(vms).map(|worker| worker.capacity).peekable();
     let unknown = capacities.peek().is_none();
--- a/crates/planner/src/worker_link.rs
+++ b/crates/planner/src/worker_link.rs
@@ -55,7 +55,7 @@
     /// Pre-committed runs that wait for free capacity, in commit order.
     pub(crate) precommitted: IndexSet<TaskId>,
     /// Runs whose end is committed and not yet acknowledged to the worker.
-    pub(crate) acknowledged: Vec<TaskAttempt>,
+    pub(crate) unacknowledged_ends: Vec<TaskAttempt>,
     /// Runs that were ended as lost and whose start may still be in transit.
     pub(crate) late_starts: Vec<TaskAttempt>,
     /// Runs on the worker that the journal does not place there, with their capacity, until they
@@ -92,7 +92,7 @@
             incarnation: None,
             runs: IndexSet::new(),
             precommitted: IndexSet::new(),
-            acknowledged: Vec::new(),
+            unacknowledged_ends: Vec::new(),
             late_starts: Vec::new(),
             orphans: IndexMap::new(),
             overload_controller: OverloadController::new(),
--- a/crates/planner/tests/planner/failure_domain.rs
+++ b/crates/planner/tests/planner/failure_domain.rs
@@ -66,8 +66,8 @@
 }
 
 // A failure domain is taken out while starts that were decided together are being sent. The first
-// one is in transit, the others must not be sent: stopping them later would be too late for whoever
-// cuts the power.
+// one is in transit, the others must not be sent: if they were only stopped later, work would have
+// begun where operators are about to cut the power.
 #[tokio::test(start_paused = true)]
 async fn no_start_is_sent_once_its_domain_went_out() {
     let bed = TestBed::new(12);
