--- a/crates/ownership/src/machine_peers.rs
+++ b/crates/ownership/src/machine_peers.rs
@@ -317,12 +317,12 @@
         };
         let mut targets = Vec::new();
         for (seat, record) in members.numbered_seats() {
-            let sitting = record
+            let silent_holder = record
                 .holder
                 .iter()
                 .filter(|_| !self.has_recent_message(seat, now));
             let former = record.former.iter().map(|former| &former.holder);
-            for holder in sitting.chain(former) {
+            for holder in silent_holder.chain(former) {
                 let id = HolderId {
                     seat,
                     incarnation: holder.incarnation,
--- a/crates/ownership/src/machine_release_all.rs
+++ b/crates/ownership/src/machine_release_all.rs
@@ -10,8 +10,8 @@
 };
 
 impl MemberMachine {
-    /// Returns the write that returns resources held under a lost seat, each once no work on it is
-    /// in progress.
+    /// Returns the write that gives back the resources held under a lost seat, each once no work on
+    /// it is in progress.
     pub(crate) fn return_resources_write(&mut self) -> Option<SharedWrite> {
         let lost_holder_id = self.lost_holder_id?;
         let table = self.table.as_ref()?;
--- a/crates/ownership/src/machine_table.rs
+++ b/crates/ownership/src/machine_table.rs
@@ -52,8 +52,8 @@
     }
 
     /// Records that the last write ended, whatever its outcome; the next read shows the outcome. No
-    /// further write is made for the duration `pause`, which reduces the load on a table that
-    /// refused.
+    /// further write is made for the duration `pause`, which reduces the load on the table after a
+    /// rejected or failed write.
     pub fn finish_write(&mut self, now: Duration, pause: Duration) {
         self.write_in_progress = false;
         self.last_write_ended_at = Some(now);
@@ -177,7 +177,7 @@
         }
         let read_since = self
             .seat_first_seen_at
-            .is_some_and(|seated| table.requested_at >= seated);
+            .is_some_and(|seen_at| table.requested_at >= seen_at);
         self.participating |= self.held_seat.is_some() && read_since;
     }
 
@@ -278,10 +278,10 @@
         .iter()
         .filter_map(|record| record.intent.as_ref()?.claim.as_ref())
         .any(later);
-    let seated = members
+    let held = members
         .seats
         .iter()
         .filter_map(|record| record.holder.as_ref())
         .any(|holder| later(&holder.daemon));
-    claimed || (former && seated)
+    claimed || (former && held)
 }
--- a/crates/ownership/src/member_machine.rs
+++ b/crates/ownership/src/member_machine.rs
@@ -247,12 +247,12 @@
         };
         let mut silent = Vec::new();
         for (seat, record) in members.numbered_seats() {
-            let sitting = record
+            let silent_holder = record
                 .holder
                 .iter()
                 .filter(|_| !self.has_recent_message(seat, now));
             let former = record.former.iter().map(|former| &former.holder);
-            silent.extend(sitting.chain(former).map(|holder| {
+            silent.extend(silent_holder.chain(former).map(|holder| {
                 let id = HolderId {
                     seat,
                     incarnation: holder.incarnation,
--- a/crates/placement/src/interference_model.rs
+++ b/crates/placement/src/interference_model.rs
@@ -179,9 +179,10 @@
         services.any(|(service, _)| self.effect(*service, class) > NEGLIGIBLE_LOG_EFFECT)
     }
 
-    /// Returns whether batch tasks of a class may be the cause that a worker's services are slow:
-    /// the classes known to slow them; if there are none, those whose effect is unknown; otherwise,
-    /// on an overloaded worker, whose processors are all in use, every class.
+    /// Returns whether batch tasks of a class may be the cause that a worker's services are slow. On
+    /// an overloaded worker, with nearly all processors in use, every class may be. Otherwise these
+    /// are the classes known to slow the services or, if there are none, those whose effect is
+    /// unknown.
     pub fn is_likely_cause(&self, worker: &PoolWorker, class: ClassKey, overloaded: bool) -> bool {
         let classes = worker.task_counts.iter().map(|(class, _)| *class);
         let mut batch = classes.filter(|class| self.service(*class).is_none());
--- a/crates/planner/src/planner_settings.rs
+++ b/crates/planner/src/planner_settings.rs
@@ -80,8 +80,8 @@
         self
     }
 
-    /// Sets how long a worker keeps its tasks running without a renewal; at least twice the
-    /// heartbeat interval.
+    /// Sets how long a worker keeps its tasks running without a renewal; must be at least
+    /// twice the heartbeat interval.
     pub fn with_lease(mut self, lease: Duration) -> Self {
         self.lease = lease;
         self
--- a/crates/planner/src/run_phase.rs
+++ b/crates/planner/src/run_phase.rs
@@ -15,8 +15,8 @@
     ReadyToStart,
     /// A start was sent and is not answered.
     Starting,
-    /// Whether a start or a stop took effect is unknown, so the run may be running. The stop is
-    /// repeated if one is requested, otherwise the same start.
+    /// It is unknown whether the worker runs it, for example because the answer to a start or a stop
+    /// was lost. If a stop is requested, it is sent; otherwise the same start is sent again.
     Unconfirmed {
         /// Time of the next attempt, on the monotonic clock.
         retry: Duration,
--- a/crates/planner/src/shard_completions.rs
+++ b/crates/planner/src/shard_completions.rs
@@ -248,11 +248,11 @@
             0 | 1 => self.record_worker_failure(worker, task.job),
             _ => self.clear_job_failures(task.job),
         }
-        let blameless = |name: &&VmName| {
+        let not_quarantined = |name: &&VmName| {
             let link = self.pool.key_of(name).and_then(|key| self.links.get(&key));
             link.is_none_or(|link| link.quarantined_until.is_none())
         };
-        let distinct = failed_on.iter().filter(blameless).count();
+        let distinct = failed_on.iter().filter(not_quarantined).count();
         let listed = self.links.values().filter(|link| link.listed).count();
         if distinct < MAX_FAILED_WORKERS.min(listed) {
             return;
