--- a/crates/ownership/src/machine_seat.rs
+++ b/crates/ownership/src/machine_seat.rs
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Returns the first empty seat without a pending change.
+    /// Returns the first empty seat without a pending change, or whose pending change is abandoned.
     fn find_empty_seat(&self, members: &MembersRow, now: Duration) -> Option<SeatNumber> {
         members
             .numbered_seats()
--- a/crates/ownership/src/machine_table.rs
+++ b/crates/ownership/src/machine_table.rs
@@ -17,8 +17,8 @@
     VersionedRow, //
 };
 
-/// How much longer each daemon waits than the daemon of the rank before it, before it does what any
-/// daemon may do.
+/// How much longer each daemon waits than the daemon of the rank before it, before it makes a write
+/// that any member may make: an eviction, or an assignment of orphaned resources.
 pub(crate) const DELAY_PER_RANK: Duration = Duration::from_millis(700);
 
 impl MemberMachine {
--- a/crates/planner/src/journal_error.rs
+++ b/crates/planner/src/journal_error.rs
@@ -33,7 +33,8 @@
     #[display("row or snapshot {sequence:016x} of the journal is missing")]
     #[from(skip)]
     Missing {
-        /// Sequence number of the missing log row or snapshot; 0 stands for the head row.
+        /// Sequence number of the missing log row or snapshot; 0 is the head row or the first log
+        /// row.
         sequence: u64,
     },
     /// A newer owner wrote to the journal.
--- a/crates/planner/src/journal_store.rs
+++ b/crates/planner/src/journal_store.rs
@@ -45,7 +45,8 @@
 /// because an unreadable model may be dropped while an unreadable ledger may not.
 pub(crate) type StoredSnapshot = (JobLedger, Vec<u8>);
 
-/// Sequence number under which a missing head row is reported; log rows count from one.
+/// Sequence number under which a missing head row is reported. The first log row of a shard has it
+/// too.
 const HEAD_SEQUENCE: u64 = 0;
 
 /// Reads a shard's journal for a new owner.
